--- a/internal/granter/asker.go
+++ b/internal/granter/asker.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// silencesBorne is how many unanswered requests it takes to turn to another domain.
-	silencesBorne = 2
-	avoidTerm     = clock.Second
-	// pooledCalls is the burst share, in calls, below which a team's banks pool it in one domain.
-	pooledCalls = 2
+	// maxUnansweredRequests is how many unanswered requests it takes to turn to another domain.
+	maxUnansweredRequests = 2
+	avoidTerm             = clock.Second
+	// minBurstShareCalls is the burst share, in calls, below which a team's banks pool it in one domain.
+	minBurstShareCalls = 2
 )
 
 // orderDomains fixes whom each purse asks. A team whose burst comes to less than two calls in some domain can't be
 // served from shares, so all nodes ask the bank with the largest share first, and that borrows from the others. Otherwise
 // two domains with half a call each would wait for one another for ever.
 func (g *Granter) orderDomains() {
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		p.pooled = g.isPooled(p.burst)
 		p.order = p.order[:0]
 		for _, d := range g.domains {
@@ -47,7 +47,7 @@
 			if d := g.shares.latest(b.name) - g.shares.latest(a.name); d != 0 {
 				return d
 			}
-			return compareScores(p.team, a.name, b.name)
+			return compareDomainScores(p.team, a.name, b.name)
 		})
 	}
 }
@@ -55,14 +55,14 @@
 func (g *Granter) isPooled(burst identifier.Tokens) bool {
 	for _, d := range g.domains {
 		s := g.shares.latest(d.name)
-		if s > 0 && burst*identifier.Tokens(s)/1000 < pooledCalls*identifier.TokensPerCall {
+		if s > 0 && burst*identifier.Tokens(s)/1000 < minBurstShareCalls*identifier.TokensPerCall {
 			return true
 		}
 	}
 	return false
 }
 
-func compareScores(t identifier.Team, a, b identifier.FailureDomain) int {
+func compareDomainScores(t identifier.Team, a, b identifier.FailureDomain) int {
 	seed := xxh3.HashString(string(t))
 	x, y := xxh3.HashStringSeed(string(a), seed), xxh3.HashStringSeed(string(b), seed)
 	switch {
@@ -92,13 +92,13 @@
 	return fallback
 }
 
-// ask sends a request when there is something to get or to give back.
-func (g *Granter) ask(p *purse, now clock.Time) {
+// askBanks sends a request when there is something to get or to give back.
+func (g *Granter) askBanks(p *purse, now clock.Time) {
 	if p.pending && now < p.askedAt.Add(g.options.AnswerBound) {
 		return
 	}
-	g.giveUpRequest(p, now)
-	p.dropStale(now)
+	g.abandonRequest(p, now)
+	p.dropExpiredReports(now)
 	want := p.want(now, g.options.Lookahead)
 	if now < p.nextAsk {
 		want = 0
@@ -107,8 +107,8 @@
 		if d := p.chooseBank(now); d != nil {
 			g.sendAsk(p, d, want, now)
 			p.pending = true
-			p.asked = d
-			p.askedOf = d.holders[p.slot].node
+			p.askedDomain = d
+			p.askedNode = d.holders[p.slot].node
 			p.number = g.number
 			p.askedAt = now
 		}
@@ -117,23 +117,23 @@
 		d := g.domain(p.ended[0].domain)
 		g.sendAsk(p, d, 0, now)
 	}
-	if !p.pending && p.reported > 0 && p.idle(now) {
-		g.sendAsk(p, p.asked, 0, now)
+	if !p.pending && p.reportedDemand > 0 && p.idle(now) {
+		g.sendAsk(p, p.askedDomain, 0, now)
 	}
 }
 
-// giveUpRequest notes the silence, and that an answer which still comes will not be used.
-func (g *Granter) giveUpRequest(p *purse, now clock.Time) {
+// abandonRequest notes the silence, and that an answer which still comes will not be used.
+func (g *Granter) abandonRequest(p *purse, now clock.Time) {
 	if !p.pending {
 		return
 	}
 	p.pending = false
 	until := p.askedAt.Add(g.options.SliceTerm)
-	p.end(p.asked.name, Returned{Number: p.number, Unspent: Unapplied}, until)
-	p.silences++
-	if p.silences >= silencesBorne {
-		p.silences = 0
-		p.asked.holders[p.slot].avoidUntil = now.Add(avoidTerm)
+	p.queueReturn(p.askedDomain.name, Returned{Number: p.number, Unspent: Unapplied}, until)
+	p.unansweredRequests++
+	if p.unansweredRequests >= maxUnansweredRequests {
+		p.unansweredRequests = 0
+		p.askedDomain.holders[p.slot].avoidUntil = now.Add(avoidTerm)
 	}
 }
 
@@ -141,9 +141,9 @@
 // counts as spent when the slice expires at the bank.
 func (g *Granter) sendAsk(p *purse, d *domain, want identifier.Tokens, now clock.Time) {
 	m := Ask{
-		Team: p.team, Domain: d.name, Number: g.nextNumber(), Want: want, Demand: p.offered(now),
+		Team: p.team, Domain: d.name, Number: g.nextNumber(), Want: want, Demand: p.currentDemand(now),
 	}
-	p.reported = m.Demand
+	p.reportedDemand = m.Demand
 	kept := p.ended[:0]
 	for _, e := range p.ended {
 		if e.domain != d.name {
@@ -158,28 +158,28 @@
 	}
 }
 
-func (p *purse) dropStale(now clock.Time) {
-	p.ended = slices.DeleteFunc(p.ended, func(e unreported) bool { return now >= e.until })
+func (p *purse) dropExpiredReports(now clock.Time) {
+	p.ended = slices.DeleteFunc(p.ended, func(e endedSlice) bool { return now >= e.until })
 }
 
-// offered is the demand in tokens a second. At the start of a rush the calls of the running window count by their
+// currentDemand is the demand in tokens a second. At the start of a rush the calls of the running window count by their
 // distances, so that the bank learns of it within a few calls.
-func (p *purse) offered(now clock.Time) identifier.Tokens {
+func (p *purse) currentDemand(now clock.Time) identifier.Tokens {
 	if p.idle(now) {
 		return 0
 	}
-	const shortest = 20 * clock.Millisecond
-	span := max(p.lastCall.Sub(p.firstCall), shortest)
-	rush := (p.arrivals - identifier.TokensPerCall) * identifier.Tokens(clock.Second) / identifier.Tokens(span)
-	return max(p.demand, rush, identifier.TokensPerCall)
+	const minSpan = 20 * clock.Millisecond
+	span := max(p.lastCallAt.Sub(p.firstCallAt), minSpan)
+	burstRate := (p.arrivals - identifier.TokensPerCall) * identifier.Tokens(clock.Second) / identifier.Tokens(span)
+	return max(p.demand, burstRate, identifier.TokensPerCall)
 }
 
 // idle tells that a call is missing that should have come; the bound follows the demand, so that a fast team's
 // tokens are free for another node soon after its calls have moved there.
 func (p *purse) idle(now clock.Time) bool {
-	const missed = 4
-	bound := missed * clock.Duration(identifier.TokensPerCall) * clock.Second / clock.Duration(max(p.demand, 1))
-	return now >= p.lastCall.Add(min(max(bound, shortestIdle), longestIdle))
+	const missedCalls = 4
+	bound := missedCalls * clock.Duration(identifier.TokensPerCall) * clock.Second / clock.Duration(max(p.demand, 1))
+	return now >= p.lastCallAt.Add(min(max(bound, minIdleBound), maxIdleBound))
 }
 
 // want is what is missing of the store for the lookahead and for the calls parked, in whole calls.
@@ -190,7 +190,7 @@
 			have += s.left
 		}
 	}
-	store := p.offered(now) * identifier.Tokens(lookahead) / identifier.Tokens(clock.Second)
+	store := p.currentDemand(now) * identifier.Tokens(lookahead) / identifier.Tokens(clock.Second)
 	parked := identifier.Tokens(len(p.waiters)) * identifier.TokensPerCall
 	if parked == 0 && have >= store/2 {
 		return 0
@@ -204,14 +204,14 @@
 // The term counts from the sending of the request, so the slice ends here before the bank counts it as spent.
 func (g *Granter) receiveGrant(from identifier.Node, m Grant, now clock.Time) {
 	p := g.purses[m.Team]
-	if p == nil || !p.pending || m.Number != p.number || from != p.askedOf {
+	if p == nil || !p.pending || m.Number != p.number || from != p.askedNode {
 		return
 	}
-	h := &p.asked.holders[p.slot]
+	h := &p.askedDomain.holders[p.slot]
 	p.pending = false
-	p.silences = 0
+	p.unansweredRequests = 0
 	// A refusal without a pause would be followed by the next request at once, for ever when the bank is this node.
-	p.nextAsk = now.Add(shortestRetryIn)
+	p.nextAsk = now.Add(minRetryIn)
 	switch {
 	case m.NotHolder:
 		h.avoidUntil = now.Add(avoidTerm / 4)
--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// clientTerm is how long a purse's demand counts after its last request.
-	clientTerm = 600 * clock.Millisecond
-	// hungerTerm is how long an unmet request counts.
-	hungerTerm = 200 * clock.Millisecond
-	// clientMemory is how long the number of a purse's last request is kept after it; messages that are delayed
+	// demandTerm is how long a purse's demand counts after its last request.
+	demandTerm = 600 * clock.Millisecond
+	// unmetTerm is how long an unmet request counts.
+	unmetTerm = 200 * clock.Millisecond
+	// clientRetention is how long the number of a purse's last request is kept after it; messages that are delayed
 	// longer than that find their slices long expired.
-	clientMemory = 30 * clock.Second
+	clientRetention = 30 * clock.Second
 
-	// pooledTerm is how long a pooled team's loans are kept after its last call; its calls are rare.
-	pooledTerm = 30 * clock.Second
+	// pooledLoanRetention is how long a pooled team's loans are kept after its last call; its calls are rare.
+	pooledLoanRetention = 30 * clock.Second
 
-	shortestRetryIn = 10 * clock.Millisecond
-	longestRetryIn  = 250 * clock.Millisecond
+	minRetryIn = 10 * clock.Millisecond
+	maxRetryIn = 250 * clock.Millisecond
 )
 
 // outstanding is a slice granted and neither ended nor expired.
@@ -55,8 +55,8 @@
 	rate   identifier.Tokens
 	cap    identifier.Tokens
 	pooled bool
-	// home tells that all nodes ask this domain's bank for the pooled team.
-	home bool
+	// pooledHere tells that all nodes ask this domain's bank for the pooled team.
+	pooledHere bool
 
 	bucket      identifier.Tokens
 	fraction    identifier.Tokens
@@ -72,13 +72,13 @@
 }
 
 type bank struct {
-	slot     int
-	claim    claimer.Name
-	owned    bool
-	epoch    identifier.Epoch
-	accounts map[identifier.Team]*account
-	sorted   []*account
-	growth   *growth
+	slot           int
+	claim          claimer.Name
+	isOpen         bool
+	epoch          identifier.Epoch
+	accounts       map[identifier.Team]*account
+	sortedAccounts []*account
+	shareIncrease  *shareIncrease
 }
 
 // account returns the team's account. A new one starts empty: what an old holder granted has ended, but what was
@@ -86,50 +86,50 @@
 func (g *Granter) account(b *bank, t identifier.Team, now clock.Time) *account {
 	a := b.accounts[t]
 	if a == nil {
-		a = &account{team: t, advancedAt: now, unmetAt: -clock.Time(hungerTerm), wantedAt: -clock.Time(clientTerm)}
+		a = &account{team: t, advancedAt: now, unmetAt: -clock.Time(unmetTerm), wantedAt: -clock.Time(demandTerm)}
 		b.accounts[t] = a
-		i, _ := slices.BinarySearchFunc(b.sorted, t, func(a *account, t identifier.Team) int {
+		i, _ := slices.BinarySearchFunc(b.sortedAccounts, t, func(a *account, t identifier.Team) int {
 			return strings.Compare(string(a.team), string(t))
 		})
-		b.sorted = slices.Insert(b.sorted, i, a)
-		g.setBase(b, a)
+		b.sortedAccounts = slices.Insert(b.sortedAccounts, i, a)
+		g.setOwnShare(b, a)
 	}
 	g.advance(a, now)
 	return a
 }
 
-// rebase gives all accounts the rates, bursts and shares now in force; a team that is gone has none.
-func (g *Granter) rebase(now clock.Time) {
+// applyRates gives all accounts the rates, bursts and shares now in force; a team that is gone has none.
+func (g *Granter) applyRates(now clock.Time) {
 	for _, b := range g.banks {
-		g.rebaseBank(b, now)
+		g.applyRatesToBank(b, now)
 	}
 }
 
-// rebaseBank also opens the accounts, so that they fill up before the first call.
-func (g *Granter) rebaseBank(b *bank, now clock.Time) {
-	if !b.owned {
+// applyRatesToBank also opens the accounts, so that they fill up before the first call.
+func (g *Granter) applyRatesToBank(b *bank, now clock.Time) {
+	if !b.isOpen {
 		return
 	}
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if p.slot == b.slot {
 			g.account(b, p.team, now)
 		}
 	}
-	for _, a := range b.sorted {
+	for _, a := range b.sortedAccounts {
 		g.advance(a, now)
-		g.setBase(b, a)
-		a.clip()
+		g.setOwnShare(b, a)
+		a.clipBucket()
 	}
 }
 
-func (g *Granter) setBase(b *bank, a *account) {
-	a.rate, a.cap, a.pooled, a.home = 0, 0, false, false
+func (g *Granter) setOwnShare(b *bank, a *account) {
+	a.rate, a.cap, a.pooled, a.pooledHere = 0, 0, false, false
 	if p := g.purses[a.team]; p != nil {
 		share := identifier.Tokens(g.share(b))
 		a.rate = p.rate * share / 1000
 		a.cap = p.burst * share / 1000
 		a.pooled = p.pooled
-		a.home = p.pooled && p.order[0].name == g.options.Domain
+		a.pooledHere = p.pooled && p.order[0].name == g.options.Domain
 	}
 }
 
@@ -142,7 +142,7 @@
 	return max(0, a.rate-a.lentRate()) + a.borrowedRate()
 }
 
-func (a *account) clip() {
+func (a *account) clipBucket() {
 	a.bucket = min(a.bucket, max(0, a.limit()-a.outstanding))
 }
 
@@ -151,7 +151,7 @@
 // refill for time in which it was full, and a window over that time would see the burst twice.
 func (g *Granter) advance(a *account, now clock.Time) {
 	a.dropBorrowed(now, g.options.SliceTerm)
-	a.clip()
+	a.clipBucket()
 	g.refill(a, now)
 	a.dropLent(now)
 	a.expireSlices(now)
@@ -172,7 +172,7 @@
 	a.fraction += a.refillRate() * slowed * span
 	a.bucket += a.fraction / scale
 	a.fraction %= scale
-	a.clip()
+	a.clipBucket()
 }
 
 func (a *account) expireSlices(now clock.Time) {
@@ -192,7 +192,7 @@
 		return strings.Compare(string(c.node), string(n))
 	})
 	if !ok {
-		a.clients = slices.Insert(a.clients, i, &client{node: n, unmetAt: -clock.Time(hungerTerm)})
+		a.clients = slices.Insert(a.clients, i, &client{node: n, unmetAt: -clock.Time(unmetTerm)})
 	}
 	return a.clients[i]
 }
@@ -214,7 +214,7 @@
 	c.demand = m.Demand
 	c.askAt = now
 	for _, r := range m.Returned {
-		a.takeBack(c, r)
+		a.returnSlice(c, r)
 	}
 	if m.Want <= 0 {
 		return
@@ -223,8 +223,8 @@
 	g.grant(b, a, c, m, now)
 }
 
-// takeBack ends a slice once; a repeated or late report finds it gone.
-func (a *account) takeBack(c *client, r Returned) {
+// returnSlice ends a slice once; a repeated or late report finds it gone.
+func (a *account) returnSlice(c *client, r Returned) {
 	for i, o := range c.slices {
 		if o.number != r.Number {
 			continue
@@ -247,7 +247,7 @@
 	r := Grant{Team: m.Team, Domain: m.Domain, Number: m.Number, Epoch: b.epoch, Amount: amount}
 	c.unmetAt = now
 	if amount > 0 {
-		c.unmetAt = -clock.Time(hungerTerm)
+		c.unmetAt = -clock.Time(unmetTerm)
 		a.bucket -= amount
 		a.outstanding += amount
 		c.slices = append(c.slices, outstanding{number: m.Number, amount: amount, until: now.Add(g.options.SliceTerm)})
@@ -255,7 +255,7 @@
 	if amount < m.Want {
 		a.unmetAt = now
 		g.borrow(b, a, now)
-		g.recallOwn(a, now)
+		g.recallLent(a, now)
 	}
 	if amount < m.Want {
 		r.RetryIn = a.retryIn(now)
@@ -267,24 +267,24 @@
 func (a *account) retryIn(now clock.Time) clock.Duration {
 	rate := a.refillRate()
 	if rate <= 0 || a.lentCap() > 0 || a.awaitsLoan(now) {
-		return shortestRetryIn
+		return minRetryIn
 	}
 	asking := identifier.Tokens(0)
 	for _, c := range a.clients {
-		if now < c.unmetAt.Add(hungerTerm) {
+		if now < c.unmetAt.Add(unmetTerm) {
 			asking++
 		}
 	}
 	missing := max(identifier.TokensPerCall*asking-a.bucket, 0)
 	d := clock.Duration(missing * 1000 / rate)
-	return min(max(d, shortestRetryIn), longestRetryIn)
+	return min(max(d, minRetryIn), maxRetryIn)
 }
 
 // demand is what the purses offer here, in tokens a second.
 func (a *account) demand(now clock.Time) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, c := range a.clients {
-		if now < c.askAt.Add(clientTerm) {
+		if now < c.askAt.Add(demandTerm) {
 			sum += c.demand
 		}
 	}
@@ -293,26 +293,26 @@
 
 // idle tells that the purses have nothing to ask for: they say so themselves when their calls stop.
 func (a *account) idle(now clock.Time) bool {
-	if a.home {
-		return now >= a.wantedAt.Add(pooledTerm)
+	if a.pooledHere {
+		return now >= a.wantedAt.Add(pooledLoanRetention)
 	}
-	return now >= a.wantedAt.Add(clientTerm) || a.demand(now) == 0 && now >= a.unmetAt.Add(shortestRetryIn)
+	return now >= a.wantedAt.Add(demandTerm) || a.demand(now) == 0 && now >= a.unmetAt.Add(minRetryIn)
 }
 
 func (a *account) unmet(now clock.Time) bool {
-	return now < a.unmetAt.Add(hungerTerm)
+	return now < a.unmetAt.Add(unmetTerm)
 }
 
 func (g *Granter) tickBank(b *bank, now clock.Time) {
-	for _, a := range b.sorted {
-		quiet := len(a.lent)+len(a.lenders)+len(a.clients) == 0
-		if quiet {
+	for _, a := range b.sortedAccounts {
+		unused := len(a.lent)+len(a.lenders)+len(a.clients) == 0
+		if unused {
 			continue
 		}
 		g.advance(a, now)
 		g.tickBorrower(b, a, now)
 		a.clients = slices.DeleteFunc(a.clients, func(c *client) bool {
-			return len(c.slices) == 0 && now >= c.askAt.Add(clientMemory)
+			return len(c.slices) == 0 && now >= c.askAt.Add(clientRetention)
 		})
 	}
 }
--- a/internal/granter/bank_test.go
+++ b/internal/granter/bank_test.go
@@ -20,11 +20,11 @@
 	shares := []definer.DomainShare{{Domain: "alfa", PerMille: 500}, {Domain: "bravo", PerMille: 500}}
 	g.SetTeams([]definer.Team{{Name: "team0", Rate: 8000, Burst: 8000}}, shares, nil, 2, 0)
 	g.SetHolder("bravo", 0, "b", 5)
-	g.Own(0, 5, 0)
+	g.OpenBank(0, 5, 0)
 	return g
 }
 
-func answer[T any](effects []granter.Effect) (m T, ok bool) {
+func firstMessage[T any](effects []granter.Effect) (m T, ok bool) {
 	for _, e := range effects {
 		if s, sends := e.(granter.Send); sends {
 			if m, ok = s.Message.(T); ok {
@@ -37,7 +37,7 @@
 
 func askFor(g *granter.Granter, number uint64, want identifier.Tokens, now clock.Time) identifier.Tokens {
 	m := granter.Ask{Team: "team0", Domain: "alfa", Number: number, Want: want, Demand: 1000}
-	r, _ := answer[granter.Grant](g.Receive("c", m, now))
+	r, _ := firstMessage[granter.Grant](g.Receive("c", m, now))
 	return r.Amount
 }
 
@@ -45,7 +45,7 @@
 	assert.Equal(t, askFor(newBank(), 1, 1000, 0), identifier.Tokens(0))
 }
 
-func TestSlicesFillTheCapUntilTheirEnd(t *testing.T) {
+func TestOutstandingSlicesOccupyCapUntilExpiry(t *testing.T) {
 	g := newBank()
 	for n := range uint64(4) {
 		assert.Equal(t, askFor(g, n+1, 1000, 10_000), identifier.Tokens(1000))
@@ -55,11 +55,11 @@
 	assert.Equal(t, askFor(g, 7, 1000, 12_300), identifier.Tokens(1000))
 }
 
-func TestLenderGivesAwayCapRateAndTokens(t *testing.T) {
+func TestLoanMovesCapRateAndTokensToBorrower(t *testing.T) {
 	g := newBank()
 	g.Tick(10_000)
 	q := granter.LoanRequest{Team: "team0", Domain: "alfa", Number: 1, WantRate: 8000, Unmet: true}
-	m, _ := answer[granter.Loan](g.Receive("b", q, 10_000))
+	m, _ := firstMessage[granter.Loan](g.Receive("b", q, 10_000))
 	assert.Equal(t, m.Cap, identifier.Tokens(3000))
 	assert.Equal(t, m.Tokens, identifier.Tokens(3000))
 	a := g.Dump(10_000).Accounts[0]
@@ -76,14 +76,14 @@
 
 // The borrower may not grant from a loan in its last half second, yet the slices granted before still rely on it:
 // the lender must go on hearing of it, or it takes the share back while they can be spent.
-func TestLoanIsReportedWhileItsSlicesLast(t *testing.T) {
+func TestEndedLoanIsReportedUntilItsSlicesExpire(t *testing.T) {
 	m := granter.Ask{Team: "team0", Domain: "alfa", Number: 1, Want: 9000, Demand: 9000}
 	for at, held := range map[clock.Time]int{1500: 1, 1600: 1, 2040: 1, 2060: 0} {
 		h := newBank()
-		q, _ := answer[granter.LoanRequest](h.Receive("c", m, 100))
+		q, _ := firstMessage[granter.LoanRequest](h.Receive("c", m, 100))
 		h.Receive("b", granter.Loan{Team: "team0", Domain: "bravo", Number: q.Number, Epoch: 5, Cap: 3000, Rate: 3000}, 110)
 		m.Number = 2
-		q, ok := answer[granter.LoanRequest](h.Receive("c", m, at))
+		q, ok := firstMessage[granter.LoanRequest](h.Receive("c", m, at))
 		assert.Check(t, ok)
 		assert.Equal(t, len(q.Held), held, "at %d", at)
 		m.Number = 1
@@ -91,10 +91,10 @@
 }
 
 // A domain that skipped a preset may be at its newest version and still use more than the asker's preset allows.
-func TestSharesAreConfirmedByUse(t *testing.T) {
+func TestSharesAreConfirmedByShareInUse(t *testing.T) {
 	for perMille, confirmed := range map[int]bool{500: true, 499: false} {
 		m := granter.SharesQuery{Domain: "alfa", Version: 1, PerMille: perMille}
-		_, ok := answer[granter.SharesConfirm](newBank().Receive("b", m, 100))
+		_, ok := firstMessage[granter.SharesConfirm](newBank().Receive("b", m, 100))
 		assert.Equal(t, ok, confirmed)
 	}
 }
--- a/internal/granter/borrower.go
+++ b/internal/granter/borrower.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// requestsPerTerm is how often a lender is asked within a loan term; after an answer with nothing new it is asked
+	// loanRequestsPerTerm is how often a lender is asked within a loan term; after an answer with nothing new it is asked
 	// again after soonBorrowPeriod if purses need it.
-	requestsPerTerm  = 8
-	soonBorrowPeriod = 20 * clock.Millisecond
-	// loanAnswerBound is how long purses are kept waiting for a lender's answer.
-	loanAnswerBound = 30 * clock.Millisecond
-	// returnMemory is how long a loan given back stays in the reports, in case one gets lost.
-	returnMemory = clock.Second
+	loanRequestsPerTerm = 8
+	borrowRetryPeriod   = 20 * clock.Millisecond
+	// loanAnswerTimeout is how long purses are kept waiting for a lender's answer.
+	loanAnswerTimeout = 30 * clock.Millisecond
+	// returnedLoanRetention is how long a loan given back stays in the reports, in case one gets lost.
+	returnedLoanRetention = clock.Second
 )
 
-// borrowed is a loan; one whose cap and rate are 0 is only reported.
-type borrowed struct {
+// borrowedLoan is a loan; one whose cap and rate are 0 is only reported.
+type borrowedLoan struct {
 	HeldLoan
 	until clock.Time
 	// ended tells that the loan may not be granted from any more, though slices may still rely on it.
@@ -39,7 +39,7 @@
 type lender struct {
 	domain identifier.FailureDomain
 	node   identifier.Node
-	loans  []borrowed
+	loans  []borrowedLoan
 	number uint64
 	askAt  clock.Time
 	asked  bool
@@ -72,9 +72,9 @@
 // while slices granted from it could still be spent.
 func (a *account) dropBorrowed(now clock.Time, sliceTerm clock.Duration) {
 	for _, l := range a.lenders {
-		l.loans = slices.DeleteFunc(l.loans, func(n borrowed) bool {
-			given := n.Cap == 0 && n.Rate == 0
-			return now >= n.until.Add(sliceTerm) || given && now >= n.reportedUntil
+		l.loans = slices.DeleteFunc(l.loans, func(n borrowedLoan) bool {
+			returned := n.Cap == 0 && n.Rate == 0
+			return now >= n.until.Add(sliceTerm) || returned && now >= n.reportedUntil
 		})
 		for i := range l.loans {
 			l.loans[i].ended = now >= l.loans[i].until
@@ -118,8 +118,8 @@
 func (g *Granter) sendLoanRequest(a *account, l *lender, want identifier.Tokens, now clock.Time) {
 	if l.asked {
 		lost := HeldLoan{Number: l.number, Back: Unapplied}
-		until := now.Add(returnMemory)
-		l.loans = append(l.loans, borrowed{HeldLoan: lost, until: until, reportedUntil: until})
+		until := now.Add(returnedLoanRetention)
+		l.loans = append(l.loans, borrowedLoan{HeldLoan: lost, until: until, reportedUntil: until})
 	}
 	m := LoanRequest{Team: a.team, Domain: l.domain, Number: g.nextNumber(), WantRate: want, Unmet: a.unmet(now)}
 	for _, n := range l.loans {
@@ -128,7 +128,7 @@
 	l.number = m.Number
 	l.askAt = now
 	l.asked = want > 0
-	l.nextAt = now.Add(g.options.LoanTerm / requestsPerTerm)
+	l.nextAt = now.Add(g.options.LoanTerm / loanRequestsPerTerm)
 	g.send(l.node, m)
 }
 
@@ -140,12 +140,12 @@
 	a := g.account(b, m.Team, now)
 	for _, l := range a.lenders {
 		if l.node == from && l.domain == m.Domain && l.asked && l.number == m.Number {
-			g.takeLoan(a, l, m, now)
+			g.acceptLoan(a, l, m, now)
 		}
 	}
 }
 
-func (g *Granter) takeLoan(a *account, l *lender, m Loan, now clock.Time) {
+func (g *Granter) acceptLoan(a *account, l *lender, m Loan, now clock.Time) {
 	l.asked = false
 	until := l.askAt.Add(g.options.shorten(g.options.LoanTerm) - g.options.SliceTerm)
 	if m.Extended {
@@ -157,16 +157,16 @@
 		}
 	}
 	if m.Cap == 0 && m.Rate == 0 {
-		l.nextAt = min(l.nextAt, now.Add(soonBorrowPeriod))
+		l.nextAt = min(l.nextAt, now.Add(borrowRetryPeriod))
 		return
 	}
 	if now >= until {
 		return
 	}
 	held := HeldLoan{Number: m.Number, Cap: m.Cap, Rate: m.Rate}
-	l.loans = append(l.loans, borrowed{HeldLoan: held, until: until})
+	l.loans = append(l.loans, borrowedLoan{HeldLoan: held, until: until})
 	a.bucket += m.Tokens
-	a.clip()
+	a.clipBucket()
 }
 
 // receiveRecall gives back what exceeds the recall, as far as slices don't need it, and reports at once.
@@ -180,7 +180,7 @@
 		if l.node != from || l.domain != m.Domain {
 			continue
 		}
-		if a.giveBack(l, m.Cap, m.Rate, now) {
+		if a.returnLoans(l, m.Cap, m.Rate, now) {
 			want := identifier.Tokens(0)
 			if a.unmet(now) {
 				want = g.missingRate(a, now)
@@ -190,26 +190,26 @@
 	}
 }
 
-// giveBack reduces the loans of a lender towards what may be kept; tokens go along in proportion to the cap.
-func (a *account) giveBack(l *lender, keepCap, keepRate identifier.Tokens, now clock.Time) bool {
+// returnLoans reduces the loans of a lender towards what may be kept; tokens go along in proportion to the cap.
+func (a *account) returnLoans(l *lender, keepCap, keepRate identifier.Tokens, now clock.Time) bool {
 	var heldCap, heldRate identifier.Tokens
 	for _, n := range l.loans {
 		heldCap += n.Cap
 		heldRate += n.Rate
 	}
 	free := a.limit() - a.outstanding
-	giveCap := max(0, min(heldCap-keepCap, free))
-	giveRate := max(0, heldRate-keepRate)
-	if giveCap == 0 && giveRate == 0 {
+	returnCap := max(0, min(heldCap-keepCap, free))
+	returnRate := max(0, heldRate-keepRate)
+	if returnCap == 0 && returnRate == 0 {
 		return false
 	}
 	var tokens identifier.Tokens
-	if giveCap > 0 {
-		tokens = min(giveCap, (a.bucket*giveCap+free-1)/free)
+	if returnCap > 0 {
+		tokens = min(returnCap, (a.bucket*returnCap+free-1)/free)
 	}
 	for i := range l.loans {
 		n := &l.loans[i]
-		c, r := min(n.Cap, giveCap), min(n.Rate, giveRate)
+		c, r := min(n.Cap, returnCap), min(n.Rate, returnRate)
 		t := min(tokens, c)
 		if c == 0 && r == 0 {
 			continue
@@ -217,20 +217,20 @@
 		n.Cap -= c
 		n.Rate -= r
 		n.Back += t
-		n.reportedUntil = now.Add(returnMemory)
-		giveCap -= c
-		giveRate -= r
+		n.reportedUntil = now.Add(returnedLoanRetention)
+		returnCap -= c
+		returnRate -= r
 		tokens -= t
 		a.bucket -= t
 	}
-	a.clip()
+	a.clipBucket()
 	return true
 }
 
 // awaitsLoan tells that a lender may answer at any moment, so that purses should ask again soon.
 func (a *account) awaitsLoan(now clock.Time) bool {
 	for _, l := range a.lenders {
-		if l.asked && now < l.askAt.Add(loanAnswerBound) {
+		if l.asked && now < l.askAt.Add(loanAnswerTimeout) {
 			return true
 		}
 	}
@@ -239,7 +239,7 @@
 
 // tickBorrower keeps loans running while they are needed, and gives them back when the domain's demand has ended.
 func (g *Granter) tickBorrower(b *bank, a *account, now clock.Time) {
-	if len(a.lenders) == 0 || !g.holds(b, now) {
+	if len(a.lenders) == 0 || !g.hasAuthority(b, now) {
 		return
 	}
 	idle := a.idle(now)
@@ -247,13 +247,13 @@
 		current := g.domain(l.domain).holders[b.slot].node == l.node
 		switch {
 		case !current:
-		case idle && a.giveBack(l, 0, 0, now):
+		case idle && a.returnLoans(l, 0, 0, now):
 			g.sendLoanRequest(a, l, 0, now)
 		case !idle && now >= l.nextAt:
 			g.sendLoanRequest(a, l, g.missingRate(a, now), now)
 		}
 	}
 	a.lenders = slices.DeleteFunc(a.lenders, func(l *lender) bool {
-		return len(l.loans) == 0 && idle && now >= l.askAt.Add(clientMemory)
+		return len(l.loans) == 0 && idle && now >= l.askAt.Add(clientRetention)
 	})
 }
--- a/internal/granter/dump.go
+++ b/internal/granter/dump.go
@@ -58,16 +58,16 @@
 // Dump returns the state, sorted by team, slot and domain.
 func (g *Granter) Dump(now clock.Time) State {
 	var s State
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		s.Purses = append(s.Purses, p.dump(now))
 	}
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			s.Accounts = append(s.Accounts, AccountState{
-				Team: a.team, Slot: b.slot, Epoch: b.epoch, Authority: g.holds(b, now),
+				Team: a.team, Slot: b.slot, Epoch: b.epoch, Authority: g.hasAuthority(b, now),
 				Rate: a.rate, Cap: a.cap, Bucket: a.bucket, Outstanding: a.outstanding,
 				LentRate: a.lentRate(), LentCap: a.lentCap(),
-				BorrowedRate: a.borrowedRate(), BorrowedCap: a.borrowedCap(), Growing: b.growth != nil,
+				BorrowedRate: a.borrowedRate(), BorrowedCap: a.borrowedCap(), Growing: b.shareIncrease != nil,
 			})
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 func (p *purse) dump(now clock.Time) PurseState {
-	s := PurseState{Team: p.team, Slot: p.slot, Waiters: len(p.waiters), Demand: p.offered(now)}
+	s := PurseState{Team: p.team, Slot: p.slot, Waiters: len(p.waiters), Demand: p.currentDemand(now)}
 	for _, n := range p.slices {
 		if now < n.until {
 			s.Slices++
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -50,42 +50,42 @@
 }
 
 type node struct {
-	id       identifier.Node
-	domain   identifier.FailureDomain
-	claims   *claimer.Claimer
-	grants   *granter.Granter
-	perMille int64
-	base     int64
-	read     int
-	pausedTo int64
-	dead     bool
+	id                identifier.Node
+	domain            identifier.FailureDomain
+	claims            *claimer.Claimer
+	grants            *granter.Granter
+	clockRatePerMille int64
+	clockBase         int64
+	readOffset        int
+	pausedUntil       int64
+	dead              bool
 	// load is the calls a second that come to this node, and owed what is due of them in thousandths.
-	load    map[identifier.Team]int64
-	owed    map[identifier.Team]int64
-	parked  map[granter.Call]identifier.Team
-	calls   granter.Call
-	sent    int
-	version identifier.Version
+	load          map[identifier.Team]int64
+	dueMilliCalls map[identifier.Team]int64
+	parked        map[granter.Call]identifier.Team
+	calls         granter.Call
+	sent          int
+	version       identifier.Version
 }
 
 type fleet struct {
-	random  *rand.Rand
-	now     int64
-	order   int
-	queue   queue
-	nodes   []*node
-	names   []claimer.Name
-	domains []definer.DomainShare
-	born    int
-	records []claimer.Claim
-	logDown bool
+	random       *rand.Rand
+	now          int64
+	order        int
+	queue        queue
+	nodes        []*node
+	claimNames   []claimer.Name
+	domains      []definer.DomainShare
+	startedNodes int
+	records      []claimer.Claim
+	logDown      bool
 	// loss, repeat and late are per mille of messages and appends.
 	loss, repeat, late int
 	// cut and cutLog name failure domains or single nodes.
 	cut    map[[2]string]bool
 	cutLog map[string]bool
-	// quiet fleets have claims only, and tick seldom.
-	quiet        bool
+	// claimsOnly fleets have claims only, and tick seldom.
+	claimsOnly   bool
 	held         map[claimer.Name]held
 	terms        claimer.Options
 	grantTerms   granter.Options
@@ -98,7 +98,7 @@
 }
 
 // newFleet founds domains of the given number of nodes with terms ten times shorter than the defaults when hasty.
-func newFleet(seed uint64, domains, nodes int, hasty bool) *fleet {
+func newFleet(seed uint64, domains, nodes int, shortTerms bool) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 7)),
 		cut:    map[[2]string]bool{},
@@ -106,7 +106,7 @@
 		held:   map[claimer.Name]held{},
 		oracle: oracle{},
 	}
-	if hasty {
+	if shortTerms {
 		f.terms = claimer.Options{
 			PromiseTerm: 800, LongTerm: 6000, WaitOut: 600, Margin: 20, AppendRetry: 200,
 		}
@@ -116,10 +116,10 @@
 		d := identifier.FailureDomain([]string{"alfa", "bravo", "carla", "delta"}[i])
 		f.domains = append(f.domains, definer.DomainShare{Domain: d, PerMille: 1000 / domains})
 		for s := range slots {
-			f.names = append(f.names, granter.ClaimName(d, s))
+			f.claimNames = append(f.claimNames, granter.ClaimName(d, s))
 		}
 	}
-	f.names = append(f.names, "ids/0")
+	f.claimNames = append(f.claimNames, "ids/0")
 	f.teams = baseTeams
 	f.version = 1
 	f.oracle.publish(f.teams, 0)
@@ -137,15 +137,15 @@
 }
 
 func (f *fleet) add(d identifier.FailureDomain) *node {
-	f.born++
+	f.startedNodes++
 	n := &node{
-		id: identifier.Node(fmt.Sprintf("%s%d", d, f.born)), domain: d, perMille: 990 + f.random.Int64N(21),
-		base: f.random.Int64N(100_000), load: map[identifier.Team]int64{}, owed: map[identifier.Team]int64{},
+		id: identifier.Node(fmt.Sprintf("%s%d", d, f.startedNodes)), domain: d, clockRatePerMille: 990 + f.random.Int64N(21),
+		clockBase: f.random.Int64N(100_000), load: map[identifier.Team]int64{}, dueMilliCalls: map[identifier.Team]int64{},
 		parked: map[granter.Call]identifier.Team{},
 	}
 	o := f.terms
-	o.Self, o.Domain, o.Rand = n.id, d, rand.New(rand.NewPCG(uint64(f.born), 1))
-	for _, name := range f.names {
+	o.Self, o.Domain, o.Rand = n.id, d, rand.New(rand.NewPCG(uint64(f.startedNodes), 1))
+	for _, name := range f.claimNames {
 		own := name == "ids/0" || slices.Contains([]claimer.Name{granter.ClaimName(d, 0), granter.ClaimName(d, 1)}, name)
 		if own {
 			o.Names = append(o.Names, name)
@@ -158,8 +158,8 @@
 	f.nodes = append(f.nodes, n)
 	f.configure(n)
 	f.tick(n)
-	f.poll(n)
-	f.tellMembers(d)
+	f.pollLog(n)
+	f.scheduleMemberUpdate(d)
 	return n
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	n.version = f.version
-	f.granted(n, n.grants.SetTeams(f.teams, f.domains, f.leastShares(), f.version, f.local(n)))
+	f.performGrantEffects(n, n.grants.SetTeams(f.teams, f.domains, f.leastShares(), f.version, f.local(n)))
 }
 
 type pastShares struct {
@@ -189,8 +189,8 @@
 	return least
 }
 
-// tellMembers stands for gossip: the nodes of the domain learn of a change within half a second.
-func (f *fleet) tellMembers(d identifier.FailureDomain) {
+// scheduleMemberUpdate stands for gossip: the nodes of the domain learn of a change within half a second.
+func (f *fleet) scheduleMemberUpdate(d identifier.FailureDomain) {
 	for _, n := range f.nodes {
 		f.whenAwake(n, f.random.Int64N(500), func() {
 			if n.domain == d {
@@ -201,14 +201,14 @@
 					}
 				}
 				slices.Sort(ids)
-				f.claimed(n, n.claims.SetMembers(ids, f.local(n)))
+				f.performClaimEffects(n, n.claims.SetMembers(ids, f.local(n)))
 			}
 		})
 	}
 }
 
 func (f *fleet) local(n *node) clock.Time {
-	return clock.Time(n.base + f.now*n.perMille/1000)
+	return clock.Time(n.clockBase + f.now*n.clockRatePerMille/1000)
 }
 
 // whenAwake runs the event at a node unless it is dead; a paused one takes it when it goes on.
@@ -216,8 +216,8 @@
 	f.at(delay, func() {
 		switch {
 		case n.dead:
-		case n.pausedTo > f.now:
-			f.whenAwake(n, n.pausedTo-f.now, do)
+		case n.pausedUntil > f.now:
+			f.whenAwake(n, n.pausedUntil-f.now, do)
 		default:
 			do()
 		}
@@ -225,27 +225,27 @@
 }
 
 func (f *fleet) tick(n *node) {
-	if f.quiet {
+	if f.claimsOnly {
 		f.whenAwake(n, 40, func() {
-			f.claimed(n, n.claims.Tick(f.local(n)))
+			f.performClaimEffects(n, n.claims.Tick(f.local(n)))
 			f.tick(n)
 		})
 		return
 	}
 	f.whenAwake(n, 10, func() {
-		f.claimed(n, n.claims.Tick(f.local(n)))
-		f.granted(n, n.grants.Tick(f.local(n)))
-		f.offer(n)
+		f.performClaimEffects(n, n.claims.Tick(f.local(n)))
+		f.performGrantEffects(n, n.grants.Tick(f.local(n)))
+		f.offerCalls(n)
 		f.tick(n)
 	})
 }
 
-// offer brings the calls due since the last tick.
-func (f *fleet) offer(n *node) {
+// offerCalls brings the calls due since the last tick.
+func (f *fleet) offerCalls(n *node) {
 	waits := false
 	for _, t := range f.teams {
-		n.owed[t.Name] += n.load[t.Name] * 10
-		for ; n.owed[t.Name] >= 1000; n.owed[t.Name] -= 1000 {
+		n.dueMilliCalls[t.Name] += n.load[t.Name] * 10
+		for ; n.dueMilliCalls[t.Name] >= 1000; n.dueMilliCalls[t.Name] -= 1000 {
 			n.calls++
 			f.oracle[t.Name].offered++
 			d := n.grants.Spend(t.Name, n.calls, f.local(n))
@@ -259,7 +259,7 @@
 		}
 	}
 	if waits {
-		f.granted(n, n.grants.Tick(f.local(n)))
+		f.performGrantEffects(n, n.grants.Tick(f.local(n)))
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-func (f *fleet) claimed(n *node, effects []claimer.Effect) {
+func (f *fleet) performClaimEffects(n *node, effects []claimer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case claimer.Append:
@@ -278,11 +278,11 @@
 			f.deliver(n, e.To, e.Message)
 		case claimer.Gained:
 			if s, ok := slotOf(n, e.Name); ok {
-				f.granted(n, n.grants.Own(s, e.Epoch, f.local(n)))
+				f.performGrantEffects(n, n.grants.OpenBank(s, e.Epoch, f.local(n)))
 			}
 		case claimer.Lost:
 			if s, ok := slotOf(n, e.Name); ok {
-				n.grants.Disown(s)
+				n.grants.CloseBank(s)
 			}
 		}
 	}
@@ -293,7 +293,7 @@
 	return s, ok && d == n.domain
 }
 
-func (f *fleet) granted(n *node, effects []granter.Effect) {
+func (f *fleet) performGrantEffects(n *node, effects []granter.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case granter.Send:
@@ -339,8 +339,8 @@
 			if f.cut[[2]string{string(from.domain), string(n.domain)}] || f.cut[[2]string{string(from.id), string(n.id)}] {
 				return
 			}
-			f.claimed(n, n.claims.Receive(from.id, message, f.local(n)))
-			f.granted(n, n.grants.Receive(from.id, message, f.local(n)))
+			f.performClaimEffects(n, n.claims.Receive(from.id, message, f.local(n)))
+			f.performGrantEffects(n, n.grants.Receive(from.id, message, f.local(n)))
 		})
 	}
 }
@@ -348,7 +348,7 @@
 // append may take effect late or never; the appender is told nothing either way.
 func (f *fleet) append(n *node, r claimer.Claim) {
 	f.appends++
-	if f.chance(f.loss) || f.logless(n) {
+	if f.chance(f.loss) || f.cutFromLog(n) {
 		return
 	}
 	delay := 2 + f.random.Int64N(20)
@@ -362,24 +362,24 @@
 	})
 }
 
-func (f *fleet) logless(n *node) bool {
+func (f *fleet) cutFromLog(n *node) bool {
 	return f.cutLog[string(n.domain)] || f.cutLog[string(n.id)]
 }
 
-func (f *fleet) poll(n *node) {
+func (f *fleet) pollLog(n *node) {
 	f.whenAwake(n, 10+f.random.Int64N(20), func() {
-		up := !f.logDown && !f.logless(n) && !f.chance(f.loss)
-		for up && n.read < len(f.records) {
-			r := f.records[n.read]
-			f.claimed(n, n.claims.ReadRecord(identifier.Offset(n.read), r, f.local(n)))
+		up := !f.logDown && !f.cutFromLog(n) && !f.chance(f.loss)
+		for up && n.readOffset < len(f.records) {
+			r := f.records[n.readOffset]
+			f.performClaimEffects(n, n.claims.ReadRecord(identifier.Offset(n.readOffset), r, f.local(n)))
 			if d, s, ok := granter.ParseClaimName(r.Name); ok {
 				h, e, _ := n.claims.HolderOf(r.Name)
 				n.grants.SetHolder(d, s, h, e)
 			}
-			n.read++
+			n.readOffset++
 		}
-		f.claimed(n, n.claims.SetLog(up, 0, f.local(n)))
-		f.poll(n)
+		f.performClaimEffects(n, n.claims.SetLog(up, 0, f.local(n)))
+		f.pollLog(n)
 	})
 }
 
@@ -399,7 +399,7 @@
 }
 
 func (f *fleet) checkClaims() {
-	for _, name := range f.names {
+	for _, name := range f.claimNames {
 		h := f.withAuthority(name)
 		if len(h) > 1 {
 			f.faults = append(f.faults, fmt.Sprintf("%d: authority over %s at %v", f.now, name, h))
@@ -452,10 +452,10 @@
 func (f *fleet) kill(n *node) {
 	n.dead = true
 	f.nodes = slices.DeleteFunc(f.nodes, func(m *node) bool { return m == n })
-	f.tellMembers(n.domain)
+	f.scheduleMemberUpdate(n.domain)
 }
 
-func (f *fleet) heal() {
+func (f *fleet) clearFaults() {
 	f.loss, f.repeat, f.late = 0, 0, 0
 	f.logDown = false
 	clear(f.cut)
--- a/internal/granter/fuzz_test.go
+++ b/internal/granter/fuzz_test.go
@@ -46,8 +46,8 @@
 	rateActions = append([]string{"load", "load", "load", "rush", "rush", "rush", "rates", "shares"}, claimActions...)
 )
 
-// act draws something that happens to the fleet.
-func act(t *rapid.T, f *fleet, actions []string) {
+// applyAction draws something that happens to the fleet.
+func applyAction(t *rapid.T, f *fleet, actions []string) {
 	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
 	a := rapid.SampledFrom(f.domains).Draw(t, "domain").Domain
 	b := rapid.SampledFrom(f.domains).Draw(t, "other").Domain
@@ -71,11 +71,11 @@
 	case "cutNodeLog":
 		f.cutLog[string(n.id)] = !f.cutLog[string(n.id)]
 	case "rush":
-		f.rush(t)
+		f.sendBurst(t)
 	case "pause":
-		n.pausedTo = f.now + rapid.Int64Range(50, 700).Draw(t, "pause")
+		n.pausedUntil = f.now + rapid.Int64Range(50, 700).Draw(t, "pause")
 	case "pauseLong":
-		n.pausedTo = f.now + rapid.Int64Range(700, 12_000).Draw(t, "pause")
+		n.pausedUntil = f.now + rapid.Int64Range(700, 12_000).Draw(t, "pause")
 	case "crash":
 		f.kill(n)
 		f.add(n.domain)
@@ -86,7 +86,7 @@
 	case "shares":
 		f.publish(100, f.drawShares(t))
 	case "heal":
-		f.heal()
+		f.clearFaults()
 	}
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// rush lets all buckets fill up, and then brings all that any node would take.
-func (f *fleet) rush(t *rapid.T) {
+// sendBurst lets all buckets fill up, and then brings all that any node would take.
+func (f *fleet) sendBurst(t *rapid.T) {
 	team := rapid.SampledFrom(f.teams).Draw(t, "team")
 	times := make([]int64, len(f.nodes))
 	f.setLoad(team.Name, times...)
@@ -140,7 +140,7 @@
 		t.Burst = t.Burst * identifier.Tokens(percent) / 100
 		f.teams = append(f.teams, t)
 	}
-	f.oracle.allow(old, f.teams, f.now)
+	f.oracle.allowLarger(old, f.teams, f.now)
 	for _, n := range f.nodes {
 		f.whenAwake(n, f.random.Int64N(4000), func() { f.configure(n) })
 	}
@@ -168,11 +168,11 @@
 	if sliceTerm == 0 {
 		sliceTerm = 500 * clock.Millisecond // the default
 	}
-	f.whenAwake(n, 0, func() { f.granted(n, n.grants.Leave(f.local(n))) })
+	f.whenAwake(n, 0, func() { f.performGrantEffects(n, n.grants.Leave(f.local(n))) })
 	var wait func()
 	wait = func() {
 		if o := n.grants.Outstanding(f.local(n)); o <= sliceTerm {
-			f.claimed(n, n.claims.Leave(sliceTerm, f.local(n)))
+			f.performClaimEffects(n, n.claims.Leave(sliceTerm, f.local(n)))
 		}
 		if n.claims.Left() {
 			f.kill(n)
@@ -192,13 +192,13 @@
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "domains"), 2, true)
 		f.run(2000)
 		for range rapid.IntRange(1, 20).Draw(t, "actions") {
-			act(t, f, rateActions)
+			applyAction(t, f, rateActions)
 			f.run(rapid.Int64Range(1, 2500).Draw(t, "span"))
 			if len(f.faults) > 0 {
 				t.Fatal(f.faults[0])
 			}
 		}
-		f.recover(t)
+		f.checkRecovery(t)
 	})
 }
 
@@ -208,32 +208,32 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 1, 4, true)
-		f.quiet = true
+		f.claimsOnly = true
 		f.run(2000)
 		for range rapid.IntRange(50, 250).Draw(t, "actions") {
-			act(t, f, claimActions)
+			applyAction(t, f, claimActions)
 			f.run(rapid.Int64Range(1, 2500).Draw(t, "span"))
 			if len(f.faults) > 0 {
 				t.Fatal(f.faults[0])
 			}
 		}
-		f.quiet = false
-		f.recover(t)
+		f.claimsOnly = false
+		f.checkRecovery(t)
 	})
 }
 
-// recover heals everything; then each claim must have its one holder, and a team its rate.
-func (f *fleet) recover(t *rapid.T) {
-	f.heal()
+// checkRecovery heals everything; then each claim must have its one holder, and a team its rate.
+func (f *fleet) checkRecovery(t *rapid.T) {
+	f.clearFaults()
 	for _, n := range f.nodes {
-		n.pausedTo = 0
+		n.pausedUntil = 0
 		clear(n.load)
 	}
 	f.run(16_000)
-	for _, name := range f.names {
+	for _, name := range f.claimNames {
 		assert.Check(t, len(f.withAuthority(name)) == 1, "%s is held by %v", name, f.withAuthority(name))
 	}
-	f.oracle.forget()
+	f.oracle.resetCounts()
 	f.setLoad("middle", int64(f.teams[1].Rate)/1000)
 	f.run(4000)
 	b := f.oracle["middle"]
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -31,16 +31,16 @@
 
 // Granter is the state; make one with New.
 type Granter struct {
-	options Options
-	domains []*domain
-	purses  map[identifier.Team]*purse
-	sorted  []*purse
-	banks   []*bank
-	shares  shares
-	number  uint64
-	out     []Effect
-	local   []any
-	leaving bool
+	options       Options
+	domains       []*domain
+	purses        map[identifier.Team]*purse
+	sortedPurses  []*purse
+	banks         []*bank
+	shares        shares
+	number        uint64
+	effects       []Effect
+	localMessages []any
+	leaving       bool
 }
 
 // New returns a Granter that knows of no team and no holder.
@@ -58,8 +58,8 @@
 
 // SetTeams takes the teams and shares of the preset in force. before is for a node's first preset: the least share
 // of each domain in all presets in force within the claims' long term, or nil if the shares were always the same.
-func (g *Granter) SetTeams(teams []definer.Team, now, before []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
-	g.setShares(now, before, v, at)
+func (g *Granter) SetTeams(teams []definer.Team, now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
+	g.setShares(now, leastShares, v, at)
 	fresh := make(map[identifier.Team]*purse, len(teams))
 	for _, t := range teams {
 		p := g.purses[t.Name]
@@ -70,19 +70,19 @@
 		p.burst = t.Burst
 		fresh[t.Name] = p
 	}
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if fresh[p.team] == nil {
-			g.refuseAll(p)
+			g.refuseWaiters(p)
 		}
 	}
 	g.purses = fresh
-	g.sorted = g.sorted[:0]
+	g.sortedPurses = g.sortedPurses[:0]
 	for _, p := range fresh {
-		g.sorted = append(g.sorted, p)
+		g.sortedPurses = append(g.sortedPurses, p)
 	}
-	slices.SortFunc(g.sorted, func(a, b *purse) int { return strings.Compare(string(a.team), string(b.team)) })
+	slices.SortFunc(g.sortedPurses, func(a, b *purse) int { return strings.Compare(string(a.team), string(b.team)) })
 	g.orderDomains()
-	g.rebase(at)
+	g.applyRates(at)
 	return g.finish(at)
 }
 
@@ -95,25 +95,25 @@
 	*h = holder{node: node, epoch: e}
 }
 
-// Own begins the bank of a slot, empty; an epoch that continues one's own keeps the bank as it is.
-func (g *Granter) Own(slot int, e identifier.Epoch, now clock.Time) []Effect {
+// OpenBank begins the bank of a slot, empty; an epoch that continues one's own keeps the bank as it is.
+func (g *Granter) OpenBank(slot int, e identifier.Epoch, now clock.Time) []Effect {
 	b := g.banks[slot]
 	b.epoch = e
-	if !b.owned {
-		b.owned = true
+	if !b.isOpen {
+		b.isOpen = true
 		b.accounts = map[identifier.Team]*account{}
-		b.sorted = nil
-		g.rebaseBank(b, now)
+		b.sortedAccounts = nil
+		g.applyRatesToBank(b, now)
 	}
 	return nil
 }
 
-// Disown ends the bank of a slot.
-func (g *Granter) Disown(slot int) {
+// CloseBank ends the bank of a slot.
+func (g *Granter) CloseBank(slot int) {
 	b := g.banks[slot]
-	b.owned = false
+	b.isOpen = false
 	b.accounts = map[identifier.Team]*account{}
-	b.sorted = nil
+	b.sortedAccounts = nil
 }
 
 // Leave ends lending and calls back what is lent, while purses go on getting slices. The claims can be handed over
@@ -121,7 +121,7 @@
 func (g *Granter) Leave(now clock.Time) []Effect {
 	g.leaving = true
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			a.recallAt = now
 			g.recall(a, now)
 		}
@@ -132,17 +132,17 @@
 // Outstanding is how long anything that the banks here gave away can still be used: at least a slice term, for what
 // they may grant until they stop.
 func (g *Granter) Outstanding(now clock.Time) clock.Duration {
-	longest := g.options.SliceTerm
+	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			for _, l := range a.lent {
 				for _, n := range l.loans {
-					longest = max(longest, n.until.Sub(now))
+					longestLeft = max(longestLeft, n.until.Sub(now))
 				}
 			}
 		}
 	}
-	return longest
+	return longestLeft
 }
 
 // Receive takes a message from another node.
@@ -172,14 +172,14 @@
 
 // Tick does what is due; call it every 10 ms, and at once after a Spend that gave Wait.
 func (g *Granter) Tick(now clock.Time) []Effect {
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if p.active {
 			g.tickPurse(p, now)
 		}
 	}
 	g.tickShares(now)
 	for _, b := range g.banks {
-		if b.owned {
+		if b.isOpen {
 			g.tickBank(b, now)
 		}
 	}
@@ -189,21 +189,21 @@
 // send keeps messages to this node itself in the process; the bank is often at the same node as the purse.
 func (g *Granter) send(to identifier.Node, message any) {
 	if to == g.options.Self {
-		g.local = append(g.local, message)
+		g.localMessages = append(g.localMessages, message)
 		return
 	}
-	g.out = append(g.out, Send{To: to, Message: message})
+	g.effects = append(g.effects, Send{To: to, Message: message})
 }
 
 func (g *Granter) finish(now clock.Time) []Effect {
-	for len(g.local) > 0 {
-		m := g.local[0]
-		g.local = g.local[1:]
+	for len(g.localMessages) > 0 {
+		m := g.localMessages[0]
+		g.localMessages = g.localMessages[1:]
 		g.dispatch(g.options.Self, m, now)
 	}
-	out := g.out
-	g.out = nil
-	return out
+	effects := g.effects
+	g.effects = nil
+	return effects
 }
 
 func (g *Granter) nextNumber() uint64 {
@@ -224,8 +224,8 @@
 	return g.domains[i]
 }
 
-func (g *Granter) holds(b *bank, now clock.Time) bool {
-	if !b.owned {
+func (g *Granter) hasAuthority(b *bank, now clock.Time) bool {
+	if !b.isOpen {
 		return false
 	}
 	_, ok := g.options.Authority.Holds(b.claim, now)
@@ -235,7 +235,7 @@
 // bankOf returns the bank for the team when it is kept here.
 func (g *Granter) bankOf(t identifier.Team, now clock.Time) (*bank, bool) {
 	b := g.banks[SlotOf(t, g.options.Slots)]
-	return b, g.holds(b, now)
+	return b, g.hasAuthority(b, now)
 }
 
 var _ Authority = (*claimer.Claimer)(nil)
--- a/internal/granter/lender.go
+++ b/internal/granter/lender.go
@@ -21,12 +21,12 @@
 	borrowerTerm = 600 * clock.Millisecond
 	// maxLoans bounds the loans of one lender to one borrower.
 	maxLoans = 8
-	// smallestPart is the part of the share, as a divisor, below which a further loan isn't worth a record.
-	smallestPart = 50
-	// toleratedPart is the part of the share, as a divisor, by which a loan may exceed its target unrecalled.
-	toleratedPart = 8
-	// reservePart is the part of the cap, as a divisor, that is never lent.
-	reservePart = 4
+	// minLoanDivisor is the part of the share, as a divisor, below which a further loan isn't worth a record.
+	minLoanDivisor = 50
+	// excessToleranceDivisor is the part of the share, as a divisor, by which a loan may exceed its target unrecalled.
+	excessToleranceDivisor = 8
+	// reserveDivisor is the part of the cap, as a divisor, that is never lent.
+	reserveDivisor = 4
 )
 
 type lentLoan struct {
@@ -34,10 +34,10 @@
 	cap    identifier.Tokens
 	rate   identifier.Tokens
 	tokens identifier.Tokens
-	// back is what came back so far, at most the cap of the beginning.
-	back  identifier.Tokens
-	first identifier.Tokens
-	until clock.Time
+	// returnedTokens is what came back so far, at most the cap of the beginning.
+	returnedTokens identifier.Tokens
+	initialCap     identifier.Tokens
+	until          clock.Time
 }
 
 // lent is all that a borrower has of this account.
@@ -78,7 +78,7 @@
 		l.loans = slices.DeleteFunc(l.loans, func(n lentLoan) bool { return now >= n.until })
 	}
 	a.lent = slices.DeleteFunc(a.lent, func(l *lent) bool {
-		return len(l.loans) == 0 && now >= l.askAt.Add(clientMemory)
+		return len(l.loans) == 0 && now >= l.askAt.Add(clientRetention)
 	})
 }
 
@@ -105,15 +105,15 @@
 	l.number = m.Number
 	l.wantRate = smooth(l.wantRate, m.WantRate)
 	l.askAt = now
-	a.settleLoans(l, m)
+	a.reconcileLoans(l, m)
 	if m.WantRate > 0 {
 		g.lend(b, a, l, m, now)
 	}
 }
 
-// settleLoans takes the report of what is still held. A loan that isn't listed is held no more, for the borrower
+// reconcileLoans takes the report of what is still held. A loan that isn't listed is held no more, for the borrower
 // drops a loan, or gives up a request, before it sends this; its tokens count as spent unless reported back.
-func (a *account) settleLoans(l *lent, m LoanRequest) {
+func (a *account) reconcileLoans(l *lent, m LoanRequest) {
 	kept := l.loans[:0]
 	for _, n := range l.loans {
 		i := slices.IndexFunc(m.Held, func(h HeldLoan) bool { return h.Number == n.number })
@@ -121,13 +121,13 @@
 			continue
 		}
 		h := m.Held[i]
-		back := h.Back
-		if back == Unapplied {
-			back = n.tokens
+		returnedTokens := h.Back
+		if returnedTokens == Unapplied {
+			returnedTokens = n.tokens
 		}
-		back = min(back, n.first)
-		a.bucket += max(0, back-n.back)
-		n.back = max(n.back, back)
+		returnedTokens = min(returnedTokens, n.initialCap)
+		a.bucket += max(0, returnedTokens-n.returnedTokens)
+		n.returnedTokens = max(n.returnedTokens, returnedTokens)
 		n.cap = min(n.cap, h.Cap)
 		n.rate = min(n.rate, h.Rate)
 		if n.cap > 0 || n.rate > 0 {
@@ -135,7 +135,7 @@
 		}
 	}
 	l.loans = kept
-	a.clip()
+	a.clipBucket()
 }
 
 // surplus is what the own domain leaves of its share.
@@ -160,13 +160,13 @@
 	if a.pooled {
 		return 0
 	}
-	return a.cap / reservePart
+	return a.cap / reserveDivisor
 }
 
 // idleRate lends the whole rate only when the reserve is full.
 func (a *account) idleRate() identifier.Tokens {
 	if a.bucket < a.reserve() {
-		return a.rate - a.rate/reservePart
+		return a.rate - a.rate/reserveDivisor
 	}
 	return a.rate
 }
@@ -235,9 +235,9 @@
 		rate:   max(0, min(targetRate-heldRate, freeRate)),
 		until:  until,
 	}
-	worth := n.cap > a.cap/smallestPart || n.rate > a.rate/smallestPart
-	if worth && len(l.loans) < maxLoans {
-		n.first = n.cap
+	worthLending := n.cap > a.cap/minLoanDivisor || n.rate > a.rate/minLoanDivisor
+	if worthLending && len(l.loans) < maxLoans {
+		n.initialCap = n.cap
 		n.tokens = min(max(0, a.bucket-a.reserve()), n.cap)
 		a.bucket -= n.tokens
 		l.loans = append(l.loans, n)
@@ -252,11 +252,11 @@
 
 // exceeds leaves room for small changes of demand, which aren't worth a message.
 func exceeds(held, target, share identifier.Tokens) bool {
-	return held > target+share/toleratedPart
+	return held > target+share/excessToleranceDivisor
 }
 
-// recallOwn asks for the share back when the own domain wants it.
-func (g *Granter) recallOwn(a *account, now clock.Time) {
+// recallLent asks for the share back when the own domain wants it.
+func (g *Granter) recallLent(a *account, now clock.Time) {
 	if len(a.lent) > 0 {
 		g.recall(a, now)
 	}
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -13,7 +13,7 @@
 
 // An end user of a team whose calls come in at few nodes, or move, is refused although the team is within its rate.
 // That is the ordinary day, so at least 95% of the rate must be served while all is healthy.
-func TestSkewedTrafficGetsItsRate(t *testing.T) {
+func TestSkewedTrafficIsServedUpToItsRate(t *testing.T) {
 	one := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, load) }
 	two := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, (load+1)/2, 0, (load+1)/2) }
 	nodes := func(f *fleet, team identifier.Team, load, second int64) {
@@ -47,7 +47,7 @@
 				for s := range int64(warmUp + seconds) {
 					if s == warmUp {
 						// The burst of the beginning is used up by now, so it doesn't flatter the ratio.
-						f.oracle.forget()
+						f.oracle.resetCounts()
 						sent, appends = f.sent(), f.appends
 					}
 					for _, team := range f.teams {
@@ -78,18 +78,18 @@
 func TestClaimsNeedFewAppends(t *testing.T) {
 	t.Parallel()
 	f := newFleet(1, 4, 3, false)
-	f.quiet = true
+	f.claimsOnly = true
 	f.run(20_000)
 	start := f.appends
 	f.run(720_000)
-	t.Logf("%d claims: %d appends at the start, %d in 720 s", len(f.names), start, f.appends-start)
-	assert.Check(t, start <= 2*len(f.names))
-	assert.Check(t, f.appends-start <= 2*len(f.names))
+	t.Logf("%d claims: %d appends at the start, %d in 720 s", len(f.claimNames), start, f.appends-start)
+	assert.Check(t, start <= 2*len(f.claimNames))
+	assert.Check(t, f.appends-start <= 2*len(f.claimNames))
 }
 
 // A fault costs a team some of its rate, in one domain at most, and never all of it. The floors are those of the
 // operators' page; whoever lowers one changes what users were told.
-func TestFaultsLeaveMostOfTheRate(t *testing.T) {
+func TestRateServedUnderFaults(t *testing.T) {
 	tables := map[string]struct {
 		floor float64
 		fault func(f *fleet, second int)
@@ -109,7 +109,7 @@
 		}},
 		"5% lost": {0.90, func(f *fleet, _ int) { f.loss = 50 }},
 		"holder paused past its lease": {0.95, func(f *fleet, s int) {
-			f.once(s, func() { f.holderOf("rates/alfa/0").pausedTo = f.now + 15_000 })
+			f.once(s, func() { f.holderOf("rates/alfa/0").pausedUntil = f.now + 15_000 })
 		}},
 		"log down and holder dies": {0.80, func(f *fleet, s int) {
 			f.logDown = s < 30
@@ -121,7 +121,7 @@
 			t.Parallel()
 			f := newFleet(1, 4, 3, false)
 			f.run(20_000)
-			f.oracle.forget()
+			f.oracle.resetCounts()
 			for s := range 40 {
 				c.fault(f, s)
 				for _, team := range f.teams {
--- a/internal/granter/oracle_test.go
+++ b/internal/granter/oracle_test.go
@@ -31,23 +31,23 @@
 			b = &budget{level: t.Burst * 1000}
 			o[t.Name] = b
 		}
-		b.settle(now)
+		b.refill(now)
 		b.rate = t.Rate
 		b.burst = t.Burst
 	}
 }
 
-// allow sets the larger of two presets for each team.
-func (o oracle) allow(old, fresh []definer.Team, now int64) {
+// allowLarger sets the larger of two presets for each team.
+func (o oracle) allowLarger(old, fresh []definer.Team, now int64) {
 	for i, t := range fresh {
 		b := o[t.Name]
-		b.settle(now)
+		b.refill(now)
 		b.rate = max(b.rate, old[i].Rate, t.Rate)
 		b.burst = max(b.burst, old[i].Burst, t.Burst)
 	}
 }
 
-func (o oracle) forget() {
+func (o oracle) resetCounts() {
 	for _, b := range o {
 		b.served, b.offered = 0, 0
 	}
@@ -55,7 +55,7 @@
 
 func (o oracle) spend(t identifier.Team, now int64) string {
 	b := o[t]
-	b.settle(now)
+	b.refill(now)
 	b.level -= identifier.TokensPerCall * 1000
 	b.served++
 	if b.level < 0 {
@@ -65,7 +65,7 @@
 	return ""
 }
 
-func (b *budget) settle(now int64) {
+func (b *budget) refill(now int64) {
 	b.level = min(b.burst*1000, b.level+b.rate*identifier.Tokens(now-b.at))
 	b.at = now
 }
--- a/internal/granter/purse.go
+++ b/internal/granter/purse.go
@@ -16,11 +16,11 @@
 	demandWindow = 100 * clock.Millisecond
 	// maxSlices bounds the slices that a purse has of one team.
 	maxSlices = 4
-	// shortestRetryAfter keeps refused callers from coming back within the same burst.
-	shortestRetryAfter = 50 * clock.Millisecond
+	// minRetryAfter keeps refused callers from coming back within the same burst.
+	minRetryAfter = 50 * clock.Millisecond
 	// A purse is idle after four calls' time without any, but within these bounds.
-	shortestIdle = 20 * clock.Millisecond
-	longestIdle  = 200 * clock.Millisecond
+	minIdleBound = 20 * clock.Millisecond
+	maxIdleBound = 200 * clock.Millisecond
 )
 
 type slice struct {
@@ -34,8 +34,8 @@
 	until clock.Time
 }
 
-// unreported is a slice that the bank must be told the end of.
-type unreported struct {
+// endedSlice is a slice that the bank must be told the end of.
+type endedSlice struct {
 	domain   identifier.FailureDomain
 	returned Returned
 	until    clock.Time
@@ -53,23 +53,23 @@
 	active  bool
 	slices  []slice
 	waiters []waiter
-	ended   []unreported
-
-	window    clock.Time
-	arrivals  identifier.Tokens
-	demand    identifier.Tokens
-	firstCall clock.Time
-	lastCall  clock.Time
-
-	asked *domain
-	// reported is the demand last told to a bank.
-	reported identifier.Tokens
-	askedOf  identifier.Node
-	number   uint64
-	askedAt  clock.Time
-	pending  bool
-	silences int
-	nextAsk  clock.Time
+	ended   []endedSlice
+
+	windowIndex clock.Time
+	arrivals    identifier.Tokens
+	demand      identifier.Tokens
+	firstCallAt clock.Time
+	lastCallAt  clock.Time
+
+	askedDomain *domain
+	// reportedDemand is the demand last told to a bank.
+	reportedDemand     identifier.Tokens
+	askedNode          identifier.Node
+	number             uint64
+	askedAt            clock.Time
+	pending            bool
+	unansweredRequests int
+	nextAsk            clock.Time
 }
 
 func newPurse(t identifier.Team, slot, maxWaiters int) *purse {
@@ -88,12 +88,12 @@
 	}
 	p.noteArrival(now)
 	if len(p.waiters) == 0 {
-		if paid, ok := p.take(now); ok {
+		if paid, ok := p.payFromSlices(now); ok {
 			return Decision{Verdict: Spent, Paid: paid}
 		}
 	}
-	hopeless := p.nextAsk >= now.Add(g.options.WaitBound)
-	if hopeless || len(p.waiters) == g.options.MaxWaiters {
+	noGrantInTime := p.nextAsk >= now.Add(g.options.WaitBound)
+	if noGrantInTime || len(p.waiters) == g.options.MaxWaiters {
 		return Decision{Verdict: Refused, RetryAfter: p.retryAfter(now)}
 	}
 	p.waiters = append(p.waiters, waiter{call: call, until: now.Add(g.options.WaitBound)})
@@ -101,30 +101,30 @@
 }
 
 func (p *purse) noteArrival(now clock.Time) {
-	p.roll(now)
+	p.rollDemandWindow(now)
 	if p.arrivals == 0 {
-		p.firstCall = now
+		p.firstCallAt = now
 	}
 	p.arrivals += identifier.TokensPerCall
-	p.lastCall = now
+	p.lastCallAt = now
 	p.active = true
 }
 
-// roll closes the demand window when it has passed; each idle window halves the demand.
-func (p *purse) roll(now clock.Time) {
+// rollDemandWindow closes the demand window when it has passed; each idle window halves the demand.
+func (p *purse) rollDemandWindow(now clock.Time) {
 	w := now / clock.Time(demandWindow)
-	passed := w - p.window
+	passed := w - p.windowIndex
 	if passed <= 0 {
 		return
 	}
 	p.demand = (p.demand + p.arrivals*identifier.Tokens(clock.Second/demandWindow)) / 2
 	p.demand >>= min(uint(passed-1), 32)
 	p.arrivals = 0
-	p.window = w
+	p.windowIndex = w
 }
 
-// take pays for one call out of the slices, the oldest first.
-func (p *purse) take(now clock.Time) (Paid, bool) {
+// payFromSlices pays for one call out of the slices, the oldest first.
+func (p *purse) payFromSlices(now clock.Time) (Paid, bool) {
 	for i := range p.slices {
 		s := &p.slices[i]
 		if s.left >= identifier.TokensPerCall && now < s.until {
@@ -136,15 +136,15 @@
 }
 
 func (p *purse) retryAfter(now clock.Time) clock.Duration {
-	return max(shortestRetryAfter, p.nextAsk.Sub(now))
+	return max(minRetryAfter, p.nextAsk.Sub(now))
 }
 
 func (g *Granter) tickPurse(p *purse, now clock.Time) {
-	p.roll(now)
+	p.rollDemandWindow(now)
 	g.serveWaiters(p, now)
 	p.endSlices(now, g.options.RenewBefore)
-	g.ask(p, now)
-	p.active = len(p.slices)+len(p.waiters)+len(p.ended) > 0 || p.pending || p.demand > 0 || p.arrivals > 0 || p.reported > 0
+	g.askBanks(p, now)
+	p.active = len(p.slices)+len(p.waiters)+len(p.ended) > 0 || p.pending || p.demand > 0 || p.arrivals > 0 || p.reportedDemand > 0
 }
 
 // serveWaiters resumes parked calls in their order, and refuses those whose bound has passed.
@@ -152,40 +152,40 @@
 	done := 0
 	for _, w := range p.waiters {
 		if now >= w.until {
-			g.out = append(g.out, Refuse{Call: w.call, RetryAfter: p.retryAfter(now)})
+			g.effects = append(g.effects, Refuse{Call: w.call, RetryAfter: p.retryAfter(now)})
 			done++
 			continue
 		}
-		paid, ok := p.take(now)
+		paid, ok := p.payFromSlices(now)
 		if !ok {
 			break
 		}
-		g.out = append(g.out, Resume{Call: w.call, Paid: paid})
+		g.effects = append(g.effects, Resume{Call: w.call, Paid: paid})
 		done++
 	}
 	p.waiters = p.waiters[:copy(p.waiters, p.waiters[done:])]
 }
 
-func (g *Granter) refuseAll(p *purse) {
+func (g *Granter) refuseWaiters(p *purse) {
 	for _, w := range p.waiters {
-		g.out = append(g.out, Refuse{Call: w.call, RetryAfter: clock.Second})
+		g.effects = append(g.effects, Refuse{Call: w.call, RetryAfter: clock.Second})
 	}
 	p.waiters = p.waiters[:0]
 }
 
 // endSlices gives up slices that are spent, about to expire, or idle; what is left of them goes back.
-func (p *purse) endSlices(now clock.Time, early clock.Duration) {
+func (p *purse) endSlices(now clock.Time, renewBefore clock.Duration) {
 	kept := p.slices[:0]
 	for _, s := range p.slices {
-		if s.left >= identifier.TokensPerCall && now < s.until.Add(-early) && !p.idle(now) {
+		if s.left >= identifier.TokensPerCall && now < s.until.Add(-renewBefore) && !p.idle(now) {
 			kept = append(kept, s)
 			continue
 		}
-		p.end(s.paid.Domain, Returned{Number: s.paid.Slice, Unspent: s.left}, s.until)
+		p.queueReturn(s.paid.Domain, Returned{Number: s.paid.Slice, Unspent: s.left}, s.until)
 	}
 	p.slices = kept
 }
 
-func (p *purse) end(d identifier.FailureDomain, r Returned, until clock.Time) {
-	p.ended = append(p.ended, unreported{domain: d, returned: r, until: until})
+func (p *purse) queueReturn(d identifier.FailureDomain, r Returned, until clock.Time) {
+	p.ended = append(p.ended, endedSlice{domain: d, returned: r, until: until})
 }
--- a/internal/granter/purse_test.go
+++ b/internal/granter/purse_test.go
@@ -16,12 +16,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// always is the authority of a holder whose lease never ends.
-type always bool
+// fixedAuthority is the authority of a holder whose lease never ends.
+type fixedAuthority bool
 
-func (a always) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) { return 5, bool(a) }
+func (a fixedAuthority) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) { return 5, bool(a) }
 
-func newGranter(teams int, holder identifier.Node, authority always) *granter.Granter {
+func newGranter(teams int, holder identifier.Node, authority fixedAuthority) *granter.Granter {
 	g := granter.New(granter.Options{Self: "a", Domain: "alfa", Slots: 1, Authority: authority})
 	var list []definer.Team
 	for i := range teams {
@@ -38,7 +38,7 @@
 
 // A grant that was under way for long, or comes from a holder that the log has replaced, is paid out of tokens that
 // the bank has already given to somebody else; the team would be over its rate for half a second.
-func TestGrantsCountOnlyInTime(t *testing.T) {
+func TestPurseIgnoresLateAndForeignGrants(t *testing.T) {
 	tables := map[string]struct {
 		from     identifier.Node
 		epoch    identifier.Epoch
@@ -68,9 +68,9 @@
 
 // A bank whose lease has ended may have a successor already; what it still granted would come on top.
 func TestBankGrantsOnlyWithAuthority(t *testing.T) {
-	for _, held := range []always{true, false} {
+	for _, held := range []fixedAuthority{true, false} {
 		g := newGranter(1, "a", held)
-		g.Own(0, 5, 0)
+		g.OpenBank(0, 5, 0)
 		m := granter.Ask{Team: "team0", Domain: "alfa", Number: 1, Want: 1000}
 		r := g.Receive("b", m, 1000)[0].(granter.Send).Message.(granter.Grant)
 		assert.Equal(t, r.Amount > 0, bool(held))
@@ -80,13 +80,13 @@
 
 // A lender has its share back two seconds after its answer; a borrower that counted from the answer's arrival would
 // still grant from it, and both would spend the same share.
-func TestLoansCountFromTheRequest(t *testing.T) {
+func TestLoanTermCountsFromRequest(t *testing.T) {
 	for arrival, lives := range map[clock.Time]bool{1010: true, 2449: true, 2451: false} {
 		g := newGranter(1, "a", true)
 		g.SetTeams([]definer.Team{{Name: "team0", Rate: 1000, Burst: 8000}},
 			[]definer.DomainShare{{Domain: "alfa", PerMille: 500}, {Domain: "bravo", PerMille: 500}}, nil, 2, 0)
 		g.SetHolder("bravo", 0, "b", 5)
-		g.Own(0, 5, 1000)
+		g.OpenBank(0, 5, 1000)
 		ask := granter.Ask{Team: "team0", Domain: "alfa", Number: 1, Want: 4000, Demand: 4000}
 		q := g.Receive("c", ask, 1000)[0].(granter.Send).Message.(granter.LoanRequest)
 		m := granter.Loan{Team: "team0", Domain: "bravo", Number: q.Number, Epoch: 5, Cap: 4000, Rate: 500, Tokens: 4000}
@@ -103,7 +103,7 @@
 	for _, teams := range []int{8, 1000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
 			g := newGranter(teams, "a", true)
-			g.Own(0, 5, 0)
+			g.OpenBank(0, 5, 0)
 			names := make([]identifier.Team, teams)
 			for i := range names {
 				names[i] = teamName(i)
--- a/internal/granter/shares.go
+++ b/internal/granter/shares.go
@@ -25,8 +25,8 @@
 	domains []definer.DomainShare
 }
 
-// growth is a larger share that a bank doesn't use yet.
-type growth struct {
+// shareIncrease is a larger share that a bank doesn't use yet.
+type shareIncrease struct {
 	// from is the share used meanwhile.
 	from     int
 	awaiting []identifier.FailureDomain
@@ -51,15 +51,15 @@
 // share is the part of each team's rate and burst that the bank starts from.
 func (g *Granter) share(b *bank) int {
 	s := g.shares.latest(g.options.Domain)
-	if b.growth != nil {
-		return min(s, b.growth.from)
+	if b.shareIncrease != nil {
+		return min(s, b.shareIncrease.from)
 	}
 	return s
 }
 
 // setShares starts from what each bank uses at this moment. A node that begins with this preset can't know that; it
 // takes the least share that the preset's predecessors may have left its domain with.
-func (g *Granter) setShares(now, before []definer.DomainShare, v identifier.Version, at clock.Time) {
+func (g *Granter) setShares(now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) {
 	own := g.options.Domain
 	unchanged := g.shares.known && slices.Equal(g.shares.domains, now)
 	used := make([]int, len(g.banks))
@@ -67,13 +67,13 @@
 		switch {
 		case g.shares.known:
 			used[i] = g.share(b)
-		case before != nil:
-			used[i] = shareOf(before, own)
+		case leastShares != nil:
+			used[i] = shareOf(leastShares, own)
 		default:
 			used[i] = shareOf(now, own)
 		}
 	}
-	awaiting := otherDomains(own, g.shares.domains, now, before)
+	awaiting := otherDomains(own, g.shares.domains, now, leastShares)
 	g.shares = shares{known: true, version: v, domains: slices.Clone(now)}
 	for _, d := range now {
 		g.domain(d.Domain)
@@ -82,9 +82,9 @@
 		return
 	}
 	for i, b := range g.banks {
-		b.growth = nil
+		b.shareIncrease = nil
 		if used[i] < shareOf(now, own) {
-			b.growth = &growth{from: used[i], awaiting: slices.Clone(awaiting), version: v, since: at, queryAt: at}
+			b.shareIncrease = &shareIncrease{from: used[i], awaiting: slices.Clone(awaiting), version: v, since: at, queryAt: at}
 		}
 	}
 }
@@ -105,16 +105,16 @@
 
 func (g *Granter) tickShares(now clock.Time) {
 	for _, b := range g.banks {
-		w := b.growth
+		w := b.shareIncrease
 		if w == nil {
 			continue
 		}
 		if len(w.awaiting) == 0 || now >= w.since.Add(g.options.ShareTerm) {
-			b.growth = nil
-			g.rebaseBank(b, now)
+			b.shareIncrease = nil
+			g.applyRatesToBank(b, now)
 			continue
 		}
-		if !b.owned || now < w.queryAt {
+		if !b.isOpen || now < w.queryAt {
 			continue
 		}
 		w.queryAt = now.Add(queryPeriod)
@@ -133,14 +133,14 @@
 // nothing is left of a larger share. It grows again only by a later preset, which the asker must confirm first.
 func (g *Granter) receiveQuery(from identifier.Node, m SharesQuery, now clock.Time) {
 	known := m.Slot >= 0 && m.Slot < len(g.banks) && m.Domain == g.options.Domain
-	if !known || g.shares.version < m.Version || !g.holds(g.banks[m.Slot], now) {
+	if !known || g.shares.version < m.Version || !g.hasAuthority(g.banks[m.Slot], now) {
 		return
 	}
 	b := g.banks[m.Slot]
 	if g.share(b) > m.PerMille {
 		return
 	}
-	for _, a := range b.sorted {
+	for _, a := range b.sortedAccounts {
 		g.advance(a, now)
 		if a.lentCap() > a.cap || a.lentRate() > a.rate || a.outstanding > a.limit() {
 			return
@@ -153,7 +153,7 @@
 	if m.Slot < 0 || m.Slot >= len(g.banks) {
 		return
 	}
-	w := g.banks[m.Slot].growth
+	w := g.banks[m.Slot].shareIncrease
 	if w == nil || m.Version < w.version || g.domain(m.Domain).holders[m.Slot].node != from {
 		return
 	}
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -164,7 +164,7 @@
 func fillBanks(n int) any {
 	k := teamsWith(n, fullAuthority{})
 	for slot := range reducer.RateSlots {
-		k.granter.Own(slot, 1, 1)
+		k.granter.OpenBank(slot, 1, 1)
 	}
 	const asking = 20
 	for i := range n {
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -168,7 +168,7 @@
 func (s *State) claimGained(e claimer.Gained) {
 	s.noteGained(e.Name, e.Epoch)
 	if _, slot, ok := granter.ParseClaimName(e.Name); ok {
-		s.grant(s.granter.Own(slot, e.Epoch, s.now))
+		s.grant(s.granter.OpenBank(slot, e.Epoch, s.now))
 	}
 	s.emit(Log{Message: "claim gained", Fields: []any{"claim", string(e.Name), "epoch", int64(e.Epoch)}})
 }
@@ -176,7 +176,7 @@
 func (s *State) claimLost(n claimer.Name) {
 	delete(s.gained, n)
 	if _, slot, ok := granter.ParseClaimName(n); ok {
-		s.granter.Disown(slot)
+		s.granter.CloseBank(slot)
 	} else {
 		s.owner.Release(deduplicator.Claim(n))
 	}
