--- a/internal/granter/asker.go
+++ b/internal/granter/asker.go
@@ -1,8 +1,8 @@
-// How a purse gets its slices: one request at a time, to the bank of its own domain as long as that answers, else to
-// another domain's. A request that stays unanswered is given up for good before the next is sent.
+// How a purse requests its slices: one request at a time, to the bank of its own domain as long as that bank answers,
+// otherwise to the bank of another domain. An unanswered request is abandoned for good before the next one is sent.
 //
-// Example: the bank of alfa is silent twice for 100 ms; for the next second the purse asks the bank of bravo, so the
-// team goes on with what bravo has, and then tries alfa again.
+// Example: the bank of alfa leaves two requests unanswered for 100 ms each; for the next second the purse asks the
+// bank of bravo, so the team continues with the tokens that bravo has, and then tries alfa again.
 
 package granter
 
@@ -16,16 +16,19 @@
 )
 
 const (
-	// maxUnansweredRequests is how many unanswered requests it takes to turn to another domain.
+	// maxUnansweredRequests is the number of consecutive unanswered requests after which the purse asks another
+	// domain.
 	maxUnansweredRequests = 2
 	avoidTerm             = clock.Second
-	// minBurstShareCalls is the burst share, in calls, below which a team's banks pool it in one domain.
+	// minBurstShareCalls is the share of the burst, in calls, below which a team's tokens are pooled at the bank of
+	// one domain.
 	minBurstShareCalls = 2
 )
 
-// orderDomains fixes whom each purse asks. A team whose burst comes to less than two calls in some domain can't be
-// served from shares, so all nodes ask the bank with the largest share first, and that borrows from the others. Otherwise
-// two domains with half a call each would wait for one another for ever.
+// orderDomains sets the order in which each purse asks the domains' banks. A team whose burst comes to less than two
+// calls in some domain can't be served from the separate shares, so all nodes ask the bank with the largest share
+// first, which borrows from the others. Otherwise two domains with half a call each would wait for one another
+// indefinitely.
 func (g *Granter) orderDomains() {
 	for _, p := range g.sortedPurses {
 		p.pooled = g.isPooled(p.burst)
@@ -74,7 +77,8 @@
 	return 0
 }
 
-// chooseBank returns the first domain whose holder is known and not silent of late.
+// chooseBank returns the first domain whose holder is known and has answered recently, or else the first whose holder
+// is known.
 func (p *purse) chooseBank(now clock.Time) *domain {
 	var fallback *domain
 	for _, d := range p.order {
@@ -92,7 +96,7 @@
 	return fallback
 }
 
-// askBanks sends a request when there is something to get or to give back.
+// askBanks sends a request if tokens are needed or ended slices must be returned.
 func (g *Granter) askBanks(p *purse, now clock.Time) {
 	if p.pending && now < p.askedAt.Add(g.options.AnswerBound) {
 		return
@@ -122,7 +126,7 @@
 	}
 }
 
-// abandonRequest notes the silence, and that an answer which still comes will not be used.
+// abandonRequest counts an unanswered request and records that its answer, should it still arrive, will not be used.
 func (g *Granter) abandonRequest(p *purse, now clock.Time) {
 	if !p.pending {
 		return
@@ -137,8 +141,8 @@
 	}
 }
 
-// sendAsk takes along the ended slices of the domain asked. They are reported once: what gets lost with the message
-// counts as spent when the slice expires at the bank.
+// sendAsk includes the ended slices of the domain that is asked. They are reported once: if the message is lost,
+// their tokens count as spent when the slice expires at the bank.
 func (g *Granter) sendAsk(p *purse, d *domain, want identifier.Tokens, now clock.Time) {
 	m := Ask{
 		Team: p.team, Domain: d.name, Number: g.nextNumber(), Want: want, Demand: p.currentDemand(now),
@@ -162,8 +166,8 @@
 	p.ended = slices.DeleteFunc(p.ended, func(e endedSlice) bool { return now >= e.until })
 }
 
-// currentDemand is the demand in tokens a second. At the start of a rush the calls of the running window count by their
-// distances, so that the bank learns of it within a few calls.
+// currentDemand returns the demand in tokens a second. At the start of a burst the calls of the current window count
+// by the time between them, so that the bank learns of the burst within a few calls.
 func (p *purse) currentDemand(now clock.Time) identifier.Tokens {
 	if p.idle(now) {
 		return 0
@@ -174,15 +178,15 @@
 	return max(p.demand, burstRate, identifier.TokensPerCall)
 }
 
-// idle tells that a call is missing that should have come; the bound follows the demand, so that a fast team's
-// tokens are free for another node soon after its calls have moved there.
+// idle reports whether an expected call has failed to arrive. The bound is a number of call intervals at the current
+// demand, so that a fast team's tokens become free for another node soon after its calls have moved there.
 func (p *purse) idle(now clock.Time) bool {
 	const missedCalls = 4
 	bound := missedCalls * clock.Duration(identifier.TokensPerCall) * clock.Second / clock.Duration(max(p.demand, 1))
 	return now >= p.lastCallAt.Add(min(max(bound, minIdleBound), maxIdleBound))
 }
 
-// want is what is missing of the store for the lookahead and for the calls parked, in whole calls.
+// want returns the whole calls' worth of tokens that are missing for the lookahead and for the parked calls.
 func (p *purse) want(now clock.Time, lookahead clock.Duration) identifier.Tokens {
 	var have identifier.Tokens
 	for _, s := range p.slices {
@@ -195,13 +199,13 @@
 	if parked == 0 && have >= store/2 {
 		return 0
 	}
-	// Rounding up would let a node with a rare call take a second one that another node is waiting for.
+	// Rounding up would let a node with rare calls take a second call's tokens that another node needs.
 	store -= store % identifier.TokensPerCall
 	return max(store+parked-have, 0)
 }
 
-// receiveGrant takes the answer to the latest request only, and nothing from a holder that is known to be replaced.
-// The term counts from the sending of the request, so the slice ends here before the bank counts it as spent.
+// receiveGrant accepts only the answer to the latest request, and no grant of an epoch known to be superseded. The
+// term counts from the sending of the request, so the slice ends here before the bank counts it as spent.
 func (g *Granter) receiveGrant(from identifier.Node, m Grant, now clock.Time) {
 	p := g.purses[m.Team]
 	if p == nil || !p.pending || m.Number != p.number || from != p.askedNode {
@@ -210,7 +214,8 @@
 	h := &p.askedDomain.holders[p.slot]
 	p.pending = false
 	p.unansweredRequests = 0
-	// A refusal without a pause would be followed by the next request at once, for ever when the bank is this node.
+	// Without a pause a refusal would be followed by the next request at once, in an endless loop if the bank is on
+	// this node.
 	p.nextAsk = now.Add(minRetryIn)
 	switch {
 	case m.NotHolder:
--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -1,8 +1,9 @@
-// The bank of a slot keeps one account for each of its teams. Bucket and outstanding slices together never exceed
-// the cap, so in any window the team spends at most what existed at its start, the burst, and what was refilled.
+// The bank of a slot keeps one account for each of its teams. The bucket and the outstanding slices together never
+// exceed the cap, so in any window the team spends at most the tokens that existed at its start (the burst) plus
+// those refilled during it.
 //
-// Example: with a cap of 100 calls, 60 granted and not yet ended, the bucket fills up to 40. When the 60 end with 20
-// unspent, the bucket gets the 20 and room for 40 more.
+// Example: with a cap of 100 calls and 60 granted in outstanding slices, the bucket fills up to 40. When these slices
+// end with 20 calls unspent, the 20 return to the bucket, and there is room for 40 more.
 
 package granter
 
@@ -16,46 +17,46 @@
 )
 
 const (
-	// demandTerm is how long a purse's demand counts after its last request.
+	// demandTerm is how long a purse's reported demand counts after its last request.
 	demandTerm = 600 * clock.Millisecond
-	// unmetTerm is how long an unmet request counts.
+	// unmetTerm is how long a request that was not fully met marks its purse or account as short of tokens.
 	unmetTerm = 200 * clock.Millisecond
-	// clientRetention is how long the number of a purse's last request is kept after it; messages that are delayed
-	// longer than that find their slices long expired.
+	// clientRetention is how long the number of a purse's last request is kept after that request; a message delayed
+	// longer than that refers to slices that have long expired.
 	clientRetention = 30 * clock.Second
 
-	// pooledLoanRetention is how long a pooled team's loans are kept after its last call; its calls are rare.
+	// pooledLoanRetention is how long loans for a pooled team are kept after its last call, since its calls are rare.
 	pooledLoanRetention = 30 * clock.Second
 
 	minRetryIn = 10 * clock.Millisecond
 	maxRetryIn = 250 * clock.Millisecond
 )
 
-// outstanding is a slice granted and neither ended nor expired.
+// outstanding is a granted slice that has neither been returned nor expired.
 type outstanding struct {
 	number uint64
 	amount identifier.Tokens
 	until  clock.Time
 }
 
-// client is a purse as its bank sees it.
+// client is the bank's record of one node's purse.
 type client struct {
 	node   identifier.Node
 	number uint64
 	demand identifier.Tokens
 	askAt  clock.Time
-	// unmetAt is when it last asked and got nothing.
+	// unmetAt is the time of the last request that got no tokens.
 	unmetAt clock.Time
 	slices  []outstanding
 }
 
 type account struct {
 	team identifier.Team
-	// rate and cap are the share of this domain, before loans.
+	// rate and cap are this domain's share of the team's rate and burst, before loans.
 	rate   identifier.Tokens
 	cap    identifier.Tokens
 	pooled bool
-	// pooledHere tells that all nodes ask this domain's bank for the pooled team.
+	// pooledHere is set if all nodes ask this domain's bank first for the pooled team.
 	pooledHere bool
 
 	bucket      identifier.Tokens
@@ -81,8 +82,8 @@
 	shareIncrease  *shareIncrease
 }
 
-// account returns the team's account. A new one starts empty: what an old holder granted has ended, but what was
-// spent of it lately is unknown.
+// account returns the team's account. A new account starts empty: the slices of the previous holder have ended, but
+// how much of them was spent recently is unknown.
 func (g *Granter) account(b *bank, t identifier.Team, now clock.Time) *account {
 	a := b.accounts[t]
 	if a == nil {
@@ -98,14 +99,14 @@
 	return a
 }
 
-// applyRates gives all accounts the rates, bursts and shares now in force; a team that is gone has none.
+// applyRates applies the rates, bursts and shares now in force to all accounts; a removed team has none.
 func (g *Granter) applyRates(now clock.Time) {
 	for _, b := range g.banks {
 		g.applyRatesToBank(b, now)
 	}
 }
 
-// applyRatesToBank also opens the accounts, so that they fill up before the first call.
+// applyRatesToBank also creates missing accounts, so that they fill up before the first call.
 func (g *Granter) applyRatesToBank(b *bank, now clock.Time) {
 	if !b.isOpen {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// limit is what bucket and outstanding slices may come to.
+// limit is the upper bound of the bucket and the outstanding slices together.
 func (a *account) limit() identifier.Tokens {
 	return max(0, a.cap-a.lentCap()) + a.borrowedCap()
 }
@@ -146,9 +147,9 @@
 	a.bucket = min(a.bucket, max(0, a.limit()-a.outstanding))
 }
 
-// advance brings the account to the moment. Everything that shrinks it is taken to have happened at the start of
-// the span and everything that makes room at its end; otherwise an account that nobody asked for a while would
-// refill for time in which it was full, and a window over that time would see the burst twice.
+// advance updates the account to the given time. Everything that shrinks it is assumed to have happened at the start
+// of the elapsed span and everything that makes room at its end. Otherwise an account that was not used for a while
+// would be refilled for time in which it was full, and a window over that time would contain the burst twice.
 func (g *Granter) advance(a *account, now clock.Time) {
 	a.dropBorrowed(now, g.options.SliceTerm)
 	a.clipBucket()
@@ -157,8 +158,8 @@
 	a.expireSlices(now)
 }
 
-// refill goes by a clock that may run fast, so it is slowed by the slack between any two clocks; half of it would
-// be the bound of one clock, and the rest is left for rounding to milliseconds.
+// refill is slowed down because this clock may run fast. Half of the slack between two clocks bounds the error of one
+// clock; it is rounded up to leave some room for times rounded to milliseconds.
 func (g *Granter) refill(a *account, now clock.Time) {
 	span := identifier.Tokens(now.Sub(a.advancedAt))
 	if span <= 0 {
@@ -167,7 +168,7 @@
 	a.advancedAt = now
 	const scale = 1000 * 1000
 	slowed := identifier.Tokens(1000 - (g.options.SlackPerMille+1)/2)
-	// A span in which any bucket fills up is long enough; beyond it the product could overflow.
+	// An hour fills any bucket; a longer span could overflow the product.
 	span = min(span, identifier.Tokens(clock.Hour))
 	a.fraction += a.refillRate() * slowed * span
 	a.bucket += a.fraction / scale
@@ -208,7 +209,7 @@
 	a := g.account(b, m.Team, now)
 	c := a.client(from)
 	if m.Number <= c.number {
-		return // repeated or overtaken: granting once more would not double tokens, but waste them
+		return // repeated or out of order: a second grant would not exceed the rate, but its tokens would be wasted
 	}
 	c.number = m.Number
 	c.demand = m.Demand
@@ -223,7 +224,8 @@
 	g.grant(b, a, c, m, now)
 }
 
-// returnSlice ends a slice once; a repeated or late report finds it gone.
+// returnSlice ends a slice and takes its unspent tokens back. A repeated or late report doesn't find the slice any
+// more and has no effect.
 func (a *account) returnSlice(c *client, r Returned) {
 	for i, o := range c.slices {
 		if o.number != r.Number {
@@ -263,7 +265,7 @@
 	g.send(c.node, r)
 }
 
-// retryIn spreads the purses that find the bucket empty over the time that it takes to refill.
+// retryIn spreads the retries of the purses that found the bucket empty over the time that the refill takes.
 func (a *account) retryIn(now clock.Time) clock.Duration {
 	rate := a.refillRate()
 	if rate <= 0 || a.lentCap() > 0 || a.awaitsLoan(now) {
@@ -280,7 +282,7 @@
 	return min(max(d, minRetryIn), maxRetryIn)
 }
 
-// demand is what the purses offer here, in tokens a second.
+// demand is the sum of the demand that the purses reported recently, in tokens a second.
 func (a *account) demand(now clock.Time) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, c := range a.clients {
@@ -291,7 +293,7 @@
 	return sum
 }
 
-// idle tells that the purses have nothing to ask for: they say so themselves when their calls stop.
+// idle reports whether the purses need no tokens; they report a demand of zero themselves when their calls stop.
 func (a *account) idle(now clock.Time) bool {
 	if a.pooledHere {
 		return now >= a.wantedAt.Add(pooledLoanRetention)
--- a/internal/granter/bank_test.go
+++ b/internal/granter/bank_test.go
@@ -1,5 +1,6 @@
-// What a bank gives away is gone until it has certainly ended. Each case here would let a team spend the same share
-// twice within a second or two, which a neighbour notices as a queue and the operator as a wrong bill.
+// Tokens that a bank grants or lends must stay deducted until the slice or loan has certainly ended. Each case here
+// would otherwise let a team spend the same share twice within a second or two, which delays other teams' calls and
+// makes the team's bill wrong.
 
 package granter_test
 
@@ -14,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// newBank keeps the bank of half of 8 calls a second and a burst of 8, since 0.
+// newBank returns a granter that has kept a bank with half of 8 calls a second and of a burst of 8 since time 0.
 func newBank() *granter.Granter {
 	g := newGranter(0, "a", true)
 	shares := []definer.DomainShare{{Domain: "alfa", PerMille: 500}, {Domain: "bravo", PerMille: 500}}
@@ -50,8 +51,8 @@
 	for n := range uint64(4) {
 		assert.Equal(t, askFor(g, n+1, 1000, 10_000), identifier.Tokens(1000))
 	}
-	assert.Equal(t, askFor(g, 5, 1000, 10_499), identifier.Tokens(0), "the cap of 4 is outstanding")
-	assert.Equal(t, askFor(g, 6, 1000, 12_000), identifier.Tokens(0), "no refill for the time in which it was full")
+	assert.Equal(t, askFor(g, 5, 1000, 10_499), identifier.Tokens(0), "slices for the whole cap of 4 calls are outstanding")
+	assert.Equal(t, askFor(g, 6, 1000, 12_000), identifier.Tokens(0), "no refill for time in which the account was full")
 	assert.Equal(t, askFor(g, 7, 1000, 12_300), identifier.Tokens(1000))
 }
 
@@ -65,7 +66,7 @@
 	a := g.Dump(10_000).Accounts[0]
 	assert.Check(t, a.Bucket == 1000 && a.LentCap == m.Cap && a.LentRate == m.Rate, "%+v", a)
 	for _, now := range []clock.Time{10_010, 11_900} {
-		// The borrower has given the rate back, but not the cap: what is refilled finds no room.
+		// The borrower has returned the rate but not the cap, so a refill finds no room.
 		q := granter.LoanRequest{Team: "team0", Domain: "alfa", Number: uint64(now)}
 		q.Held = []granter.HeldLoan{{Number: 1, Cap: m.Cap}}
 		g.Receive("b", q, now)
@@ -74,8 +75,8 @@
 	}
 }
 
-// The borrower may not grant from a loan in its last half second, yet the slices granted before still rely on it:
-// the lender must go on hearing of it, or it takes the share back while they can be spent.
+// The borrower may not grant from a loan in its last half second, yet slices granted before still rely on it. The
+// loan must be reported until they end; otherwise the lender takes its share back while they can still be spent.
 func TestEndedLoanIsReportedUntilItsSlicesExpire(t *testing.T) {
 	m := granter.Ask{Team: "team0", Domain: "alfa", Number: 1, Want: 9000, Demand: 9000}
 	for at, held := range map[clock.Time]int{1500: 1, 1600: 1, 2040: 1, 2060: 0} {
@@ -90,7 +91,7 @@
 	}
 }
 
-// A domain that skipped a preset may be at its newest version and still use more than the asker's preset allows.
+// A domain that skipped a preset may have read the newest version and still use more than the asker's preset allows.
 func TestSharesAreConfirmedByShareInUse(t *testing.T) {
 	for perMille, confirmed := range map[int]bool{500: true, 499: false} {
 		m := granter.SharesQuery{Domain: "alfa", Version: 1, PerMille: perMille}
--- a/internal/granter/borrower.go
+++ b/internal/granter/borrower.go
@@ -1,9 +1,9 @@
-// A bank that can't meet its purses' requests asks the banks of the other domains. It counts each loan from the
-// sending of the request that began or extended it, and stops granting from it a slice term before its end, so that
-// the slices are spent or expired before the lender has its share back.
+// A bank that can't meet its purses' requests borrows from the banks of the other domains. The borrower counts each
+// loan from the sending of the request that started or extended it, and stops granting from it a slice term before
+// its end, so that the slices are spent or expired before the lender has its share back.
 //
-// Example: alfa asks bravo at 1000; the loan runs till 2950 at alfa. From 2450 on its cap isn't granted from
-// unless an answer to a later request has extended it.
+// Example: alfa asks bravo at 1000 ms; the loan ends at 2950 ms on alfa's clock. From 2450 ms on alfa grants nothing
+// from it unless the answer to a later request has extended it.
 
 package granter
 
@@ -15,27 +15,27 @@
 )
 
 const (
-	// loanRequestsPerTerm is how often a lender is asked within a loan term; after an answer with nothing new it is asked
-	// again after soonBorrowPeriod if purses need it.
+	// loanRequestsPerTerm is how often a lender is asked within a loan term. After an answer without a new loan it is
+	// asked again after borrowRetryPeriod if purses need tokens.
 	loanRequestsPerTerm = 8
 	borrowRetryPeriod   = 20 * clock.Millisecond
-	// loanAnswerTimeout is how long purses are kept waiting for a lender's answer.
+	// loanAnswerTimeout is how long a lender's answer is expected; meanwhile purses are told to retry soon.
 	loanAnswerTimeout = 30 * clock.Millisecond
-	// returnedLoanRetention is how long a loan given back stays in the reports, in case one gets lost.
+	// returnedLoanRetention is how long a returned loan is repeated in the reports, in case one is lost.
 	returnedLoanRetention = clock.Second
 )
 
-// borrowedLoan is a loan; one whose cap and rate are 0 is only reported.
+// borrowedLoan is a loan that this bank holds; once its cap and rate are 0 it is kept only to be reported.
 type borrowedLoan struct {
 	HeldLoan
 	until clock.Time
-	// ended tells that the loan may not be granted from any more, though slices may still rely on it.
+	// ended is set when the loan may not be granted from any more, although outstanding slices may still rely on it.
 	ended bool
-	// reportedUntil ends the reports of a loan given back.
+	// reportedUntil is when a returned loan is no longer reported.
 	reportedUntil clock.Time
 }
 
-// lender is another domain's bank as the borrower sees it.
+// lender is the borrower's record of another domain's bank.
 type lender struct {
 	domain identifier.FailureDomain
 	node   identifier.Node
@@ -68,8 +68,8 @@
 	return sum
 }
 
-// A loan that ended stays in the reports for a slice term: the lender takes a loan that isn't reported for free,
-// while slices granted from it could still be spent.
+// An ended loan is reported for another slice term: the lender treats a loan that isn't reported as returned, while
+// slices granted from it could still be spent.
 func (a *account) dropBorrowed(now clock.Time, sliceTerm clock.Duration) {
 	for _, l := range a.lenders {
 		l.loans = slices.DeleteFunc(l.loans, func(n borrowedLoan) bool {
@@ -82,8 +82,8 @@
 	}
 }
 
-// lender returns the state for the present holder of a domain's bank. Loans of an earlier holder run on until
-// their ends, and are reported to nobody.
+// lender returns the state for the current holder of a domain's bank. Loans from an earlier holder last until their
+// ends and are not reported.
 func (a *account) lender(d identifier.FailureDomain, n identifier.Node) *lender {
 	for _, l := range a.lenders {
 		if l.domain == d && l.node == n {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// borrow asks every other domain's bank that is due.
+// borrow sends a loan request to the bank of every other domain that is due to be asked.
 func (g *Granter) borrow(b *bank, a *account, now clock.Time) {
 	for _, d := range g.domains {
 		h := d.holders[b.slot]
@@ -109,12 +109,13 @@
 	}
 }
 
-// missingRate is the demand beyond the own share, and at least a little of it while any request is unmet.
+// missingRate returns the demand, with a quarter of headroom, that exceeds the domain's own share; it is at least one
+// call a second.
 func (g *Granter) missingRate(a *account, now clock.Time) identifier.Tokens {
 	return max(a.demand(now)*5/4-a.rate, identifier.TokensPerCall)
 }
 
-// sendLoanRequest gives up the request before, if that is still unanswered, and says so.
+// sendLoanRequest abandons the previous request if it is still unanswered, and reports that to the lender.
 func (g *Granter) sendLoanRequest(a *account, l *lender, want identifier.Tokens, now clock.Time) {
 	if l.asked {
 		lost := HeldLoan{Number: l.number, Back: Unapplied}
@@ -169,7 +170,7 @@
 	a.clipBucket()
 }
 
-// receiveRecall gives back what exceeds the recall, as far as slices don't need it, and reports at once.
+// receiveRecall returns what exceeds the recall, as far as outstanding slices don't need it, and reports it at once.
 func (g *Granter) receiveRecall(from identifier.Node, m Recall, now clock.Time) {
 	b, ok := g.bankOf(m.Team, now)
 	if !ok {
@@ -190,7 +191,8 @@
 	}
 }
 
-// returnLoans reduces the loans of a lender towards what may be kept; tokens go along in proportion to the cap.
+// returnLoans reduces the loans from a lender towards the cap and rate that may be kept; tokens are returned in
+// proportion to the cap. It reports whether anything was returned.
 func (a *account) returnLoans(l *lender, keepCap, keepRate identifier.Tokens, now clock.Time) bool {
 	var heldCap, heldRate identifier.Tokens
 	for _, n := range l.loans {
@@ -227,7 +229,7 @@
 	return true
 }
 
-// awaitsLoan tells that a lender may answer at any moment, so that purses should ask again soon.
+// awaitsLoan reports whether a lender's answer is expected any moment, so that purses should retry soon.
 func (a *account) awaitsLoan(now clock.Time) bool {
 	for _, l := range a.lenders {
 		if l.asked && now < l.askAt.Add(loanAnswerTimeout) {
@@ -237,7 +239,7 @@
 	return false
 }
 
-// tickBorrower keeps loans running while they are needed, and gives them back when the domain's demand has ended.
+// tickBorrower extends loans while they are needed and returns them when the domain's demand has ended.
 func (g *Granter) tickBorrower(b *bank, a *account, now clock.Time) {
 	if len(a.lenders) == 0 || !g.hasAuthority(b, now) {
 		return
--- a/internal/granter/claimname.go
+++ b/internal/granter/claimname.go
@@ -1,7 +1,7 @@
-// The claim of a bank says whose bank it is; reading the name back tells a node where to send its asks when the log
-// tells of a new holder.
+// The name of a bank's claim contains its failure domain and slot. When the log names a new holder, a node parses the
+// claim's name to learn which bank's requests go to that holder.
 //
-// Example: ParseClaimName("rates/alfa/2") gives domain "alfa" and slot 2.
+// Example: ParseClaimName("rates/alfa/2") returns domain "alfa" and slot 2.
 
 package granter
 
--- a/internal/granter/dump.go
+++ b/internal/granter/dump.go
@@ -1,7 +1,8 @@
-// The dump shows where a team's tokens are, as this node knows it: what its purse has, what its banks keep, have
-// granted, lent and borrowed.
+// The dump shows where a team's tokens are, as far as this node knows: the contents of its purse and what its banks
+// hold, have granted, lent and borrowed.
 //
-// Example: an account {Team: "okhotskAgents", Rate: 50000, LentRate: 50000, Bucket: 0} has lent all that it has.
+// Example: an account {Team: "okhotskAgents", Rate: 50000, LentRate: 50000, Bucket: 0} has lent its whole rate and
+// has no tokens left.
 
 package granter
 
@@ -10,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// State is what this node knows of the rates.
+// State is this node's view of the teams' tokens.
 type State struct {
 	Purses   []PurseState
 	Accounts []AccountState
@@ -41,17 +42,17 @@
 	LentCap      identifier.Tokens
 	BorrowedRate identifier.Tokens
 	BorrowedCap  identifier.Tokens
-	// Growing tells that a larger share waits for other domains to confirm.
+	// Growing is set while a larger share waits for the confirmation of other domains.
 	Growing bool
 }
 
-// HolderState is who keeps the bank of a domain and slot, as the log has it.
+// HolderState is the holder of the bank of a domain and slot, according to the log.
 type HolderState struct {
 	Domain identifier.FailureDomain
 	Slot   int
 	Node   identifier.Node
 	Epoch  identifier.Epoch
-	// Silent tells that its answers failed to come and other banks are asked.
+	// Silent is set while other banks are asked because this holder's answers failed to arrive.
 	Silent bool
 }
 
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -1,8 +1,8 @@
-// A fleet of claimers and granters joined by effects in memory: true time in milliseconds, a clock for each node that
-// runs at its own rate, messages that are delayed, lost, repeated and reordered, a log with late and lost appends.
-// Nothing here decides anything; it only carries effects out, as the lead's composition does.
+// A simulated fleet of claimers and granters, connected by their effects: true time in milliseconds, a clock for each
+// node that runs at its own rate, messages that are delayed, lost, repeated and reordered, and a log with late and
+// lost appends. The fleet decides nothing; it only carries out effects, as the reducer does.
 //
-// Example: f := newFleet(1, 2, 2); f.run(5000) gives four nodes in two domains time to found their claims.
+// Example: f := newFleet(1, 2, 2, false); f.run(5000) gives four nodes in two domains time to found their claims.
 
 package granter_test
 
@@ -59,7 +59,7 @@
 	readOffset        int
 	pausedUntil       int64
 	dead              bool
-	// load is the calls a second that come to this node, and owed what is due of them in thousandths.
+	// load is the rate of calls at this node in calls a second; dueMilliCalls are the calls due, in thousandths.
 	load          map[identifier.Team]int64
 	dueMilliCalls map[identifier.Team]int64
 	parked        map[granter.Call]identifier.Team
@@ -79,12 +79,12 @@
 	startedNodes int
 	records      []claimer.Claim
 	logDown      bool
-	// loss, repeat and late are per mille of messages and appends.
+	// loss, repeat and late are probabilities per mille; loss and late also apply to appends.
 	loss, repeat, late int
 	// cut and cutLog name failure domains or single nodes.
 	cut    map[[2]string]bool
 	cutLog map[string]bool
-	// claimsOnly fleets have claims only, and tick seldom.
+	// claimsOnly fleets run no granters and tick less often.
 	claimsOnly   bool
 	held         map[claimer.Name]held
 	terms        claimer.Options
@@ -97,7 +97,8 @@
 	faults       []string
 }
 
-// newFleet founds domains of the given number of nodes with terms ten times shorter than the defaults when hasty.
+// newFleet starts domains of the given number of nodes, with terms about ten times shorter than the defaults if
+// shortTerms is set.
 func newFleet(seed uint64, domains, nodes int, shortTerms bool) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 7)),
@@ -176,7 +177,7 @@
 	domains []definer.DomainShare
 }
 
-// leastShares is what the configuration knows of the shares within the long term.
+// leastShares returns each domain's least share within the claims' long term, as the configuration provides it.
 func (f *fleet) leastShares() []definer.DomainShare {
 	least := slices.Clone(f.domains)
 	for _, h := range f.shareHistory {
@@ -189,7 +190,7 @@
 	return least
 }
 
-// scheduleMemberUpdate stands for gossip: the nodes of the domain learn of a change within half a second.
+// scheduleMemberUpdate stands for gossip: the nodes of the domain learn of a change of members within half a second.
 func (f *fleet) scheduleMemberUpdate(d identifier.FailureDomain) {
 	for _, n := range f.nodes {
 		f.whenAwake(n, f.random.Int64N(500), func() {
@@ -211,7 +212,7 @@
 	return clock.Time(n.clockBase + f.now*n.clockRatePerMille/1000)
 }
 
-// whenAwake runs the event at a node unless it is dead; a paused one takes it when it goes on.
+// whenAwake runs the event at a node after the delay, unless the node is dead; a paused node runs it when it resumes.
 func (f *fleet) whenAwake(n *node, delay int64, do func()) {
 	f.at(delay, func() {
 		switch {
@@ -240,7 +241,7 @@
 	})
 }
 
-// offerCalls brings the calls due since the last tick.
+// offerCalls submits the calls that became due since the last tick.
 func (f *fleet) offerCalls(n *node) {
 	waits := false
 	for _, t := range f.teams {
@@ -345,7 +346,7 @@
 	}
 }
 
-// append may take effect late or never; the appender is told nothing either way.
+// append may take effect late or never; the node that appends gets no answer in either case.
 func (f *fleet) append(n *node, r claimer.Claim) {
 	f.appends++
 	if f.chance(f.loss) || f.cutFromLog(n) {
@@ -383,7 +384,7 @@
 	})
 }
 
-// run lets the true time pass, and checks in every 5 ms of it that no name has two nodes with authority.
+// run advances true time, and checks every 5 ms that no name has two nodes with authority.
 func (f *fleet) run(span int64) {
 	end := f.now + span
 	for f.now < end {
@@ -402,7 +403,7 @@
 	for _, name := range f.claimNames {
 		h := f.withAuthority(name)
 		if len(h) > 1 {
-			f.faults = append(f.faults, fmt.Sprintf("%d: authority over %s at %v", f.now, name, h))
+			f.faults = append(f.faults, fmt.Sprintf("at %d ms: several nodes have authority over %s: %v", f.now, name, h))
 		}
 		if len(h) == 1 {
 			f.checkWaitOut(name, h[0])
@@ -410,25 +411,27 @@
 	}
 }
 
-// held is who had authority over a name last, and when.
+// held is the last node that had authority over a name, and until when.
 type held struct {
 	node  identifier.Node
 	epoch identifier.Epoch
 	until int64
 }
 
-// checkWaitOut requires that a new holder has waited out what the one before may have granted to its last moment.
-// Without it the wait would hide a successor that began too early, unless the old holder granted just then.
+// checkWaitOut requires that a new holder has waited until everything has ended that the previous holder may have
+// granted in its last moment. Without this check the oracle would miss a successor that starts too early, unless the
+// old holder granted something just then.
 func (f *fleet) checkWaitOut(name claimer.Name, n identifier.Node) {
 	last, ok := f.held[name]
 	if ok && f.terms.WaitOut > 0 && last.node != n && f.now-last.until < f.waitOut(name, last) {
-		f.faults = append(f.faults, fmt.Sprintf("%d: %s at %s only %d ms after %s", f.now, name, n, f.now-last.until, last.node))
+		f.faults = append(f.faults, fmt.Sprintf("at %d ms: %s is held by %s only %d ms after %s", f.now, name, n, f.now-last.until, last.node))
 	}
 	_, epoch, _ := f.node(n).claims.HolderOf(name)
 	f.held[name] = held{node: n, epoch: epoch, until: f.now}
 }
 
-// waitOut is what must be waited out after a holder: less after a handover, which says what is left.
+// waitOut returns how long a successor must wait after the last holder; after a handover that is what the record
+// states as outstanding.
 func (f *fleet) waitOut(name claimer.Name, last held) int64 {
 	w := int64(f.terms.WaitOut)
 	for _, r := range f.records {
@@ -439,7 +442,7 @@
 	return w * 98 / 100
 }
 
-// withAuthority lists the nodes that could act now, also a paused one that would wake up at this moment.
+// withAuthority lists the nodes that could act now, including a paused node if it resumed at this moment.
 func (f *fleet) withAuthority(name claimer.Name) (held []identifier.Node) {
 	for _, n := range f.nodes {
 		if _, ok := n.claims.Holds(name, f.local(n)); ok && !n.dead {
--- a/internal/granter/fuzz_test.go
+++ b/internal/granter/fuzz_test.go
@@ -1,8 +1,8 @@
-// What the claims and rates promise, under everything that may happen to a fleet, also together: messages lost,
-// late, repeated and overtaken, the log down or slow, appends lost or effective late, domains cut off, nodes paused
-// past their leases, crashed, replaced and leaving, clocks at different rates, rates changed.
+// Tests of the guarantees of claims and rates under combinations of faults: messages lost, late, repeated and
+// reordered, the log down or slow, appends lost or late, domains partitioned, nodes paused past their leases,
+// crashed, replaced and leaving, clocks at different rates, and changed rates.
 //
-// Example: go test ./internal/granter -run Fuzz -rapid.checks=2000 -rapid.seed=5 runs longer, from other draws.
+// Example: go test ./internal/granter -run Fuzz -rapid.checks=2000 -rapid.seed=5 runs more checks with another seed.
 
 package granter_test
 
@@ -21,8 +21,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// TestMain fixes the seed and the number of checks unless they are named, so that the verdict on a commit is the same
-// each time, and in time.
+// TestMain sets a fixed seed and number of checks unless flags give others, so that every run on a commit has the
+// same result and a bounded duration.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20261203", "rapid.checks": "40"}
@@ -40,13 +40,13 @@
 
 var (
 	claimActions = []string{
-		"weather", "log", "cut", "cutNodes", "cutNodes", "cutLog", "cutNodeLog", "cutNodeLog", "pause", "pauseLong",
+		"messageFaults", "log", "cut", "cutNodes", "cutNodes", "cutLog", "cutNodeLog", "cutNodeLog", "pause", "pauseLong",
 		"crash", "leave", "heal",
 	}
-	rateActions = append([]string{"load", "load", "load", "rush", "rush", "rush", "rates", "shares"}, claimActions...)
+	rateActions = append([]string{"load", "load", "load", "burst", "burst", "burst", "rates", "shares"}, claimActions...)
 )
 
-// applyAction draws something that happens to the fleet.
+// applyAction draws a fault or another event and applies it to the fleet.
 func applyAction(t *rapid.T, f *fleet, actions []string) {
 	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
 	a := rapid.SampledFrom(f.domains).Draw(t, "domain").Domain
@@ -55,7 +55,7 @@
 	case "load":
 		team := rapid.SampledFrom(f.teams).Draw(t, "team")
 		n.load[team.Name] = int64(team.Rate) / 1000 * rapid.SampledFrom([]int64{0, 1, 1, 3, 10}).Draw(t, "times")
-	case "weather":
+	case "messageFaults":
 		f.loss = rapid.SampledFrom([]int{0, 30, 200}).Draw(t, "loss")
 		f.repeat = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "repeat")
 		f.late = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "late")
@@ -70,7 +70,7 @@
 		f.cutLog[string(a)] = !f.cutLog[string(a)]
 	case "cutNodeLog":
 		f.cutLog[string(n.id)] = !f.cutLog[string(n.id)]
-	case "rush":
+	case "burst":
 		f.sendBurst(t)
 	case "pause":
 		n.pausedUntil = f.now + rapid.Int64Range(50, 700).Draw(t, "pause")
@@ -98,17 +98,17 @@
 	}
 }
 
-// sendBurst lets all buckets fill up, and then brings all that any node would take.
+// sendBurst waits for the buckets to fill up, and then offers up to twenty times the rate of the team at each node.
 func (f *fleet) sendBurst(t *rapid.T) {
 	team := rapid.SampledFrom(f.teams).Draw(t, "team")
 	times := make([]int64, len(f.nodes))
 	f.setLoad(team.Name, times...)
 	f.run(rapid.Int64Range(0, 1500).Draw(t, "rest"))
 	for i := range times {
-		times[i] = int64(team.Rate) / 100 * rapid.Int64Range(0, 2).Draw(t, "rush")
+		times[i] = int64(team.Rate) / 100 * rapid.Int64Range(0, 2).Draw(t, "burst")
 	}
 	f.setLoad(team.Name, times...)
-	f.run(rapid.Int64Range(20, 600).Draw(t, "rushing"))
+	f.run(rapid.Int64Range(20, 600).Draw(t, "burstSpan"))
 }
 
 func (f *fleet) drawShares(t *rapid.T) []definer.DomainShare {
@@ -125,8 +125,9 @@
 	return domains
 }
 
-// publish changes all rates and bursts to the percentage of the first ones. The nodes hear of it within 4 s, those
-// that are paused when they go on; till the last one has, and the loans of before have ended, either may be used.
+// publish changes all rates and bursts to the given percentage of the base ones. The nodes read it within 4 s, paused
+// nodes when they resume. Until the last node has read it and earlier loans have ended, the old or the new rates may
+// be used.
 func (f *fleet) publish(percent int, domains []definer.DomainShare) {
 	const loansEnd = 1000
 	f.version++
@@ -162,7 +163,7 @@
 	settle()
 }
 
-// leave stops a node in the planned way: it hands its claims over, and goes when it has read that it holds none.
+// leave stops a node as planned: it hands its claims over, and exits once it has read that it holds none.
 func (f *fleet) leave(n *node) {
 	sliceTerm := f.grantTerms.SliceTerm
 	if sliceTerm == 0 {
@@ -184,8 +185,9 @@
 	f.add(n.domain)
 }
 
-// Two nodes that act for one claim run an order twice and double a team's rate; a team over its rate takes the slots
-// that other teams bought. Nobody notices before a bill or a queue tells. Afterwards all must go on by itself.
+// Two nodes that act for one claim could run a request twice or double a team's rate, and a team over its rate takes
+// capacity that other teams paid for. Neither fault shows in the nodes' own state, so the oracle checks for it. After
+// the faults the fleet must recover by itself.
 func TestFuzzFleet(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -202,8 +204,8 @@
 	})
 }
 
-// The same for claims alone, which allows many more faults in the same time: an order would be run by two nodes, or
-// by one before the other's last run has ended.
+// The same faults for claims alone, which allows many more faults in the same time. A fault here would let two nodes
+// run a request, or a successor run it before the predecessor's last run has ended.
 func TestFuzzClaims(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -222,7 +224,7 @@
 	})
 }
 
-// checkRecovery heals everything; then each claim must have its one holder, and a team its rate.
+// checkRecovery ends all faults; then each claim must have exactly one holder, and a team must get its rate.
 func (f *fleet) checkRecovery(t *rapid.T) {
 	f.clearFaults()
 	for _, n := range f.nodes {
@@ -231,12 +233,12 @@
 	}
 	f.run(16_000)
 	for _, name := range f.claimNames {
-		assert.Check(t, len(f.withAuthority(name)) == 1, "%s is held by %v", name, f.withAuthority(name))
+		assert.Check(t, len(f.withAuthority(name)) == 1, "%s must have one node with authority, got %v", name, f.withAuthority(name))
 	}
 	f.oracle.resetCounts()
 	f.setLoad("middle", int64(f.teams[1].Rate)/1000)
 	f.run(4000)
 	b := f.oracle["middle"]
-	assert.Check(t, b.served*10 >= b.offered*9-10, "served %d of %d", b.served, b.offered)
+	assert.Check(t, b.served*10 >= b.offered*9-10, "served %d of %d offered calls, expected at least nine tenths", b.served, b.offered)
 	assert.Check(t, len(f.faults) == 0, fmt.Sprint(f.faults))
 }
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,8 +1,9 @@
-// One Granter is the purse of its node for all teams, and the bank of each slot whose claim the node holds. The
-// purse is in purse.go and asker.go, the bank in bank.go, lender.go and borrower.go, shares in shares.go.
+// A Granter holds the purses of its node for all teams, and the bank of each slot whose claim the node holds. The
+// purse is in purse.go and asker.go, the bank in bank.go, lender.go and borrower.go, the domains' shares in
+// shares.go.
 //
-// Example: Spend("okhotskAgents", 1, 50) on an empty purse gives Wait; Tick(50) sends an Ask to the bank; Receive
-// of its Grant gives Resume{Call: 1}.
+// Example: Spend("okhotskAgents", 1, 50) on an empty purse returns Wait; Tick(50) sends an Ask to the bank; receiving
+// its Grant returns Resume{Call: 1}.
 
 package granter
 
@@ -16,11 +17,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// holder is the node that keeps the bank of one domain and slot, as the log has it.
+// holder is the node that keeps the bank of one domain and slot, according to the log.
 type holder struct {
 	node  identifier.Node
 	epoch identifier.Epoch
-	// avoidUntil is set after silence, so that other domains' banks are asked meanwhile.
+	// avoidUntil is set after unanswered requests or a NotHolder answer; until then the banks of other domains are
+	// asked.
 	avoidUntil clock.Time
 }
 
@@ -29,7 +31,7 @@
 	holders []holder
 }
 
-// Granter is the state; make one with New.
+// Granter is the state of the purses and banks of one node; create it with New.
 type Granter struct {
 	options       Options
 	domains       []*domain
@@ -43,7 +45,7 @@
 	leaving       bool
 }
 
-// New returns a Granter that knows of no team and no holder.
+// New returns a Granter without teams and without known holders of banks.
 func New(o Options) *Granter {
 	o.setDefaults()
 	g := &Granter{options: o, purses: map[identifier.Team]*purse{}}
@@ -56,8 +58,8 @@
 	return g
 }
 
-// SetTeams takes the teams and shares of the preset in force. before is for a node's first preset: the least share
-// of each domain in all presets in force within the claims' long term, or nil if the shares were always the same.
+// SetTeams applies the teams and shares of the preset in force. leastShares is for a node's first preset: the least
+// share of each domain in all presets in force within the claims' long term, or nil if the shares never changed.
 func (g *Granter) SetTeams(teams []definer.Team, now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
 	g.setShares(now, leastShares, v, at)
 	fresh := make(map[identifier.Team]*purse, len(teams))
@@ -86,7 +88,8 @@
 	return g.finish(at)
 }
 
-// SetHolder tells who holds the bank of a slot in a domain, as the claimer has it; an empty node is nobody.
+// SetHolder sets the holder of the bank of a slot in a domain, as reported by the claimer; an empty node means that
+// there is no holder.
 func (g *Granter) SetHolder(d identifier.FailureDomain, slot int, node identifier.Node, e identifier.Epoch) {
 	h := &g.domain(d).holders[slot]
 	if e < h.epoch || h.node == node && h.epoch == e {
@@ -95,7 +98,8 @@
 	*h = holder{node: node, epoch: e}
 }
 
-// OpenBank begins the bank of a slot, empty; an epoch that continues one's own keeps the bank as it is.
+// OpenBank starts the bank of a slot with empty accounts; if the bank is open already, the new epoch continues the
+// node's own and the accounts are kept.
 func (g *Granter) OpenBank(slot int, e identifier.Epoch, now clock.Time) []Effect {
 	b := g.banks[slot]
 	b.epoch = e
@@ -108,7 +112,7 @@
 	return nil
 }
 
-// CloseBank ends the bank of a slot.
+// CloseBank closes the bank of a slot and discards its accounts.
 func (g *Granter) CloseBank(slot int) {
 	b := g.banks[slot]
 	b.isOpen = false
@@ -116,8 +120,8 @@
 	b.sortedAccounts = nil
 }
 
-// Leave ends lending and calls back what is lent, while purses go on getting slices. The claims can be handed over
-// when Outstanding has fallen to a slice term, so that the successors have little to wait out.
+// Leave stops lending and recalls all loans, while purses continue to get slices. The claims can be handed over once
+// Outstanding has fallen to the slice term, so that the successors wait only briefly before they grant.
 func (g *Granter) Leave(now clock.Time) []Effect {
 	g.leaving = true
 	for _, b := range g.banks {
@@ -129,8 +133,8 @@
 	return g.finish(now)
 }
 
-// Outstanding is how long anything that the banks here gave away can still be used: at least a slice term, for what
-// they may grant until they stop.
+// Outstanding returns how long anything that this node's banks granted or lent can still be used. It is at least a
+// slice term, which covers slices granted until the banks stop.
 func (g *Granter) Outstanding(now clock.Time) clock.Duration {
 	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
@@ -145,7 +149,7 @@
 	return longestLeft
 }
 
-// Receive takes a message from another node.
+// Receive handles a message from another node.
 func (g *Granter) Receive(from identifier.Node, message any, now clock.Time) []Effect {
 	g.dispatch(from, message, now)
 	return g.finish(now)
@@ -170,7 +174,7 @@
 	}
 }
 
-// Tick does what is due; call it every 10 ms, and at once after a Spend that gave Wait.
+// Tick performs all due work; call it every 10 ms, and immediately after a Spend that returned Wait.
 func (g *Granter) Tick(now clock.Time) []Effect {
 	for _, p := range g.sortedPurses {
 		if p.active {
@@ -186,7 +190,7 @@
 	return g.finish(now)
 }
 
-// send keeps messages to this node itself in the process; the bank is often at the same node as the purse.
+// send queues messages to this node within the process, since the bank is often on the same node as the purse.
 func (g *Granter) send(to identifier.Node, message any) {
 	if to == g.options.Self {
 		g.localMessages = append(g.localMessages, message)
@@ -211,7 +215,7 @@
 	return g.number
 }
 
-// domain returns the state of a domain and keeps the domains sorted by name.
+// domain returns the state of a domain, creating it if needed; domains are kept sorted by name.
 func (g *Granter) domain(n identifier.FailureDomain) *domain {
 	i, ok := slices.BinarySearchFunc(g.domains, n, func(d *domain, n identifier.FailureDomain) int {
 		return strings.Compare(string(d.name), string(n))
@@ -232,7 +236,7 @@
 	return ok
 }
 
-// bankOf returns the bank for the team when it is kept here.
+// bankOf returns the team's bank at this node, and whether the node has authority over it.
 func (g *Granter) bankOf(t identifier.Team, now clock.Time) (*bank, bool) {
 	b := g.banks[SlotOf(t, g.options.Slots)]
 	return b, g.hasAuthority(b, now)
--- a/internal/granter/lender.go
+++ b/internal/granter/lender.go
@@ -1,9 +1,9 @@
 // A bank lends what its own domain doesn't use, so that a team whose traffic is all in one domain gets its whole
-// rate. Rate, cap and tokens leave the lender's account before the answer is sent, and come back when the loan has
-// ended by the lender's clock or the borrower has reported that it holds less.
+// rate. Rate, cap and tokens are deducted from the lender's account before the answer is sent. They return when the
+// loan has ended by the lender's clock or when the borrower has reported that it holds less.
 //
-// Example: bravo has no calls of the team and lends alfa all of its 50 calls a second. When a call comes in at
-// bravo, it recalls what exceeds its surplus; alfa reports at once that it holds less, with the tokens left.
+// Example: bravo has no calls of the team and lends alfa all of its 50 calls a second. When a call arrives at bravo,
+// it recalls what exceeds its surplus; alfa reports at once that it holds less, with the tokens left.
 
 package granter
 
@@ -17,15 +17,17 @@
 
 const (
 	recallPeriod = 50 * clock.Millisecond
-	// borrowerTerm is how long a borrower counts as asking after its last request.
+	// borrowerTerm is how long a borrower is included in the division of the surplus after its last request.
 	borrowerTerm = 600 * clock.Millisecond
-	// maxLoans bounds the loans of one lender to one borrower.
+	// maxLoans bounds the number of loans of one lender to one borrower.
 	maxLoans = 8
-	// minLoanDivisor is the part of the share, as a divisor, below which a further loan isn't worth a record.
+	// minLoanDivisor sets the smallest further loan: one whose cap and rate are no larger than the shares divided by
+	// it is not worth a record.
 	minLoanDivisor = 50
-	// excessToleranceDivisor is the part of the share, as a divisor, by which a loan may exceed its target unrecalled.
+	// excessToleranceDivisor sets the tolerance: a loan may exceed its target by the share divided by it without
+	// being recalled.
 	excessToleranceDivisor = 8
-	// reserveDivisor is the part of the cap, as a divisor, that is never lent.
+	// reserveDivisor sets the reserve: the cap divided by it is never lent.
 	reserveDivisor = 4
 )
 
@@ -34,13 +36,13 @@
 	cap    identifier.Tokens
 	rate   identifier.Tokens
 	tokens identifier.Tokens
-	// returnedTokens is what came back so far, at most the cap of the beginning.
+	// returnedTokens is the sum of the tokens returned so far, at most initialCap.
 	returnedTokens identifier.Tokens
 	initialCap     identifier.Tokens
 	until          clock.Time
 }
 
-// lent is all that a borrower has of this account.
+// lent is the lender's record of one borrower and its loans.
 type lent struct {
 	node     identifier.Node
 	number   uint64
@@ -111,8 +113,9 @@
 	}
 }
 
-// reconcileLoans takes the report of what is still held. A loan that isn't listed is held no more, for the borrower
-// drops a loan, or gives up a request, before it sends this; its tokens count as spent unless reported back.
+// reconcileLoans applies the borrower's report of the loans that it still holds. A loan that isn't listed has ended,
+// since the borrower drops a loan or abandons a request before it sends the report; its tokens count as spent unless
+// they were reported as returned.
 func (a *account) reconcileLoans(l *lent, m LoanRequest) {
 	kept := l.loans[:0]
 	for _, n := range l.loans {
@@ -138,7 +141,7 @@
 	a.clipBucket()
 }
 
-// surplus is what the own domain leaves of its share.
+// surplus is the part of the share that the bank's own domain doesn't need.
 func (g *Granter) surplus(a *account, now clock.Time) (capacity, rate identifier.Tokens) {
 	if g.leaving {
 		return 0, 0
@@ -154,8 +157,8 @@
 	return capacity, rate
 }
 
-// reserve is the part of the cap that an idle bank keeps for the first calls after a move of the traffic; they
-// would wait for a recall otherwise. Pooled teams keep none, for their calls come to one bank anyway.
+// reserve is the part of the cap that an idle bank keeps for the first calls when traffic moves to its domain;
+// without it they would wait for a recall. Pooled teams need none, since all their calls are paid for by one bank.
 func (a *account) reserve() identifier.Tokens {
 	if a.pooled {
 		return 0
@@ -163,7 +166,7 @@
 	return a.cap / reserveDivisor
 }
 
-// idleRate lends the whole rate only when the reserve is full.
+// idleRate returns the rate that an idle bank may lend: the whole rate only while the reserve is full.
 func (a *account) idleRate() identifier.Tokens {
 	if a.bucket < a.reserve() {
 		return a.rate - a.rate/reserveDivisor
@@ -171,7 +174,8 @@
 	return a.rate
 }
 
-// target divides the surplus among the borrowers that ask, by what they miss.
+// target returns the borrower's part of the surplus, which is divided among the recent borrowers in proportion to the
+// rates that they asked for.
 func (g *Granter) target(a *account, l *lent, now clock.Time) (capacity, rate identifier.Tokens) {
 	capacity, rate = g.surplus(a, now)
 	var sum identifier.Tokens
@@ -186,7 +190,7 @@
 	return scale(capacity, l.wantRate, sum), scale(rate, l.wantRate, sum)
 }
 
-// smooth follows the demand slowly, so that its noise doesn't send loans to and fro.
+// smooth applies exponential smoothing, so that noise in the demand doesn't move loans back and forth.
 func smooth(old, v identifier.Tokens) identifier.Tokens {
 	if old == 0 || v == 0 {
 		return v
@@ -194,7 +198,7 @@
 	return (3*old + v) / 4
 }
 
-// scale returns v×part÷whole without overflow for parts of any size.
+// scale returns v×part÷whole; it reduces the precision of large parts to avoid overflow.
 func scale(v, part, whole identifier.Tokens) identifier.Tokens {
 	const bound = 1 << 20
 	for whole > bound {
@@ -225,7 +229,8 @@
 	freeCap := max(0, min(a.cap-a.outstanding, surplusCap)-a.lentCap())
 	freeRate := max(0, surplusRate-a.lentRate())
 	if m.Unmet {
-		// Whoever lacks tokens now gets all that is free: what nobody asks for at this moment would be lost.
+		// A borrower with unmet requests gets everything that is free, since tokens that no other bank asks for now
+		// would remain unused.
 		targetCap = max(targetCap, heldCap+freeCap)
 		targetRate = max(targetRate, heldRate+freeRate)
 	}
@@ -250,12 +255,13 @@
 	}
 }
 
-// exceeds leaves room for small changes of demand, which aren't worth a message.
+// exceeds reports whether a loan exceeds its target by more than the tolerance; smaller changes of demand aren't
+// worth a message.
 func exceeds(held, target, share identifier.Tokens) bool {
 	return held > target+share/excessToleranceDivisor
 }
 
-// recallLent asks for the share back when the own domain wants it.
+// recallLent recalls loans when the bank's own domain needs its share.
 func (g *Granter) recallLent(a *account, now clock.Time) {
 	if len(a.lent) > 0 {
 		g.recall(a, now)
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -1,4 +1,4 @@
-// Little of a team's rate may be lost on the way. The figures that these tests print are those of the design note.
+// These tests measure how much of a team's rate is served, and log the figures.
 
 package granter_test
 
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// An end user of a team whose calls come in at few nodes, or move, is refused although the team is within its rate.
-// That is the ordinary day, so at least 95% of the rate must be served while all is healthy.
+// If a team's calls arrive at few nodes, or move between nodes, its callers may be refused although the team is
+// within its rate. Such traffic is normal, so at least 95% of the rate must be served while everything is healthy.
 func TestSkewedTrafficIsServedUpToItsRate(t *testing.T) {
 	one := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, load) }
 	two := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, (load+1)/2, 0, (load+1)/2) }
@@ -46,7 +46,7 @@
 				var sent, appends int
 				for s := range int64(warmUp + seconds) {
 					if s == warmUp {
-						// The burst of the beginning is used up by now, so it doesn't flatter the ratio.
+						// The initial burst is used up by now and doesn't distort the ratio.
 						f.oracle.resetCounts()
 						sent, appends = f.sent(), f.appends
 					}
@@ -59,7 +59,7 @@
 					b := f.oracle[team.Name]
 					entitled := min(b.offered, int(team.Rate)*seconds/1000)
 					if entitled == 0 {
-						continue // too few calls for a part of one at each node
+						continue // the load is below one call a second at each node
 					}
 					ratio := float64(b.served) / float64(entitled)
 					t.Logf("%s load %d%% %s: served ÷ entitled %.3f", name, percent, team.Name, ratio)
@@ -73,8 +73,8 @@
 	}
 }
 
-// The platform's log takes several hundred appends a second for everything; claims that needed more than a trickle
-// would hold up operators' changes.
+// The platform's log accepts several hundred appends a second in all; claims that needed many of them would delay
+// operators' changes.
 func TestClaimsNeedFewAppends(t *testing.T) {
 	t.Parallel()
 	f := newFleet(1, 4, 3, false)
@@ -87,8 +87,8 @@
 	assert.Check(t, f.appends-start <= 2*len(f.claimNames))
 }
 
-// A fault costs a team some of its rate, in one domain at most, and never all of it. The floors are those of the
-// operators' page; whoever lowers one changes what users were told.
+// A fault may cost a team a part of its rate, but never all of it. The lower bounds are documented to operators;
+// lowering one changes what users were promised.
 func TestRateServedUnderFaults(t *testing.T) {
 	tables := map[string]struct {
 		floor float64
@@ -144,7 +144,7 @@
 	}
 }
 
-// once does something in the third second only.
+// once runs do in the third second only.
 func (f *fleet) once(second int, do func()) {
 	if second == 2 {
 		do()
--- a/internal/granter/messages.go
+++ b/internal/granter/messages.go
@@ -1,9 +1,9 @@
-// What passes between granters. A right to call exists in one place at a time: whoever gives deducts first, and
-// whoever takes counts the term from the sending of its own request. Each node numbers its requests and takes only
-// the answer to its latest, so late, repeated and crossed answers add nothing.
+// The messages between granters. A right to call exists in one place at a time: the giver deducts it before sending,
+// and the receiver counts the term from the sending of its own request. Each node numbers its requests and accepts
+// only the answer to the latest, so late, repeated and reordered answers add nothing.
 //
 // Example: Ask{Number: 7, Want: 3000} is answered by Grant{Number: 7, Amount: 2000}. If the answer is lost, Ask 8
-// says Returned{Number: 7, Unspent: Unapplied}, and the bank takes the two calls back.
+// contains Returned{Number: 7, Unspent: Unapplied}, and the bank takes the tokens of the two calls back.
 
 package granter
 
@@ -12,7 +12,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Unapplied is an amount that says that the answer with this number was not and will not be used.
+// Unapplied as an amount means that the answer with this number was not used and will not be used.
 const Unapplied identifier.Tokens = -1
 
 // Ask is a purse's request for a slice; one with Want 0 only returns slices and is not answered.
@@ -22,12 +22,12 @@
 	Domain identifier.FailureDomain
 	Number uint64
 	Want   identifier.Tokens
-	// Demand is what the team offers at this node, in tokens a second.
+	// Demand is the team's demand at this node, in tokens a second.
 	Demand   identifier.Tokens
 	Returned []Returned
 }
 
-// Returned ends a slice: the purse has stopped spending it.
+// Returned reports that the purse has stopped spending a slice, and the tokens left of it.
 type Returned struct {
 	Number  uint64
 	Unspent identifier.Tokens
@@ -40,25 +40,25 @@
 	Number uint64
 	Epoch  identifier.Epoch
 	Amount identifier.Tokens
-	// RetryIn is when the purse should ask again if it got nothing.
+	// RetryIn is how long the purse should wait before the next request if it got less than it asked for.
 	RetryIn clock.Duration
-	// NotHolder tells that the node asked has no authority.
+	// NotHolder is set if the node that was asked has no authority over the bank.
 	NotHolder bool
 }
 
-// LoanRequest is a bank's request for rate and burst of another domain's bank; it also reports what is held.
+// LoanRequest is a bank's request for rate and burst from another domain's bank; it also reports the loans held.
 type LoanRequest struct {
 	Team   identifier.Team
 	Domain identifier.FailureDomain
 	Number uint64
 	// WantRate is the rate missing, in tokens a second; 0 asks for nothing and is not answered.
 	WantRate identifier.Tokens
-	// Unmet tells that purses found too little just now.
+	// Unmet is set if requests of purses could not be fully met just now.
 	Unmet bool
 	Held  []HeldLoan
 }
 
-// HeldLoan is what the borrower still has of a loan; Back is what it has given back of its tokens in all.
+// HeldLoan is the part of a loan that the borrower still holds; Back is the sum of the tokens that it has returned.
 type HeldLoan struct {
 	Number uint64
 	Cap    identifier.Tokens
@@ -66,7 +66,7 @@
 	Back   identifier.Tokens
 }
 
-// Loan answers a LoanRequest: the loans held are extended or not, and a further one may begin.
+// Loan answers a LoanRequest: it may extend the loans held, and may start a further one.
 type Loan struct {
 	Team     identifier.Team
 	Domain   identifier.FailureDomain
@@ -78,7 +78,7 @@
 	Tokens   identifier.Tokens
 }
 
-// Recall asks a borrower to keep no more than this of all loans from the sender.
+// Recall asks a borrower to hold no more than this cap and rate in all its loans from the sender.
 type Recall struct {
 	Team   identifier.Team
 	Domain identifier.FailureDomain
@@ -86,7 +86,7 @@
 	Rate   identifier.Tokens
 }
 
-// SharesQuery asks another domain's holder whether it uses no more than its share in this version.
+// SharesQuery asks another domain's holder to confirm that it uses no more than the given share.
 type SharesQuery struct {
 	Slot    int
 	Domain  identifier.FailureDomain
@@ -95,14 +95,14 @@
 	PerMille int
 }
 
-// SharesConfirm answers a SharesQuery with yes.
+// SharesConfirm confirms a SharesQuery; there is no negative answer.
 type SharesConfirm struct {
 	Slot    int
 	Domain  identifier.FailureDomain
 	Version identifier.Version
 }
 
-// Paid says which slice paid for a call.
+// Paid identifies the slice that paid for a call.
 type Paid struct {
 	Holder identifier.Node
 	Domain identifier.FailureDomain
@@ -115,40 +115,40 @@
 
 // The verdicts on a call.
 const (
-	// Spent lets the call go on.
+	// Spent means that a token was spent and the call may proceed.
 	Spent Verdict = iota + 1
-	// Wait parks the call until a Resume or a Refuse effect names it.
+	// Wait means that the call is parked until a Resume or Refuse effect names it.
 	Wait
-	// Refused turns the call away.
+	// Refused means that the call is rejected.
 	Refused
 )
 
-// Decision answers Spend.
+// Decision is the result of Spend.
 type Decision struct {
 	Verdict    Verdict
 	Paid       Paid
 	RetryAfter clock.Duration
 }
 
-// Call names a parked call.
+// Call identifies a parked call.
 type Call uint64
 
-// Effect is something for the caller to carry out.
+// Effect is an action that the caller of this package must carry out.
 type Effect interface{ effect() }
 
-// Send passes a message to another node.
+// Send asks the caller to send a message to another node.
 type Send struct {
 	To      identifier.Node
 	Message any
 }
 
-// Resume lets a parked call go on.
+// Resume lets a parked call proceed.
 type Resume struct {
 	Call Call
 	Paid Paid
 }
 
-// Refuse turns a parked call away.
+// Refuse rejects a parked call.
 type Refuse struct {
 	Call       Call
 	RetryAfter clock.Duration
--- a/internal/granter/options.go
+++ b/internal/granter/options.go
@@ -1,8 +1,9 @@
-// The terms and bounds of the rates. Slices are short, so that little is lost with a node and a successor needs to
-// wait little; loans are longer than slices, since a loan must outlast the slices granted from it.
+// The terms and bounds of slices and loans. Slices are short, so that little is lost when a node fails and a
+// successor waits only briefly; loans are longer, since a loan must outlast the slices granted from it.
 //
-// Example: with a slice term of 500 ms and a loan term of 2 s a borrower grants from a loan for 1.45 s unless it
-// is extended, and a successor of a bank waits 3 s for all that the old holder may have given away.
+// Example: with a slice term of 500 ms and a loan term of 2 s a borrower grants from a loan for 1.45 s unless it is
+// extended, and a successor of a bank waits 3 s until everything that the previous holder may have granted or lent
+// has ended.
 
 package granter
 
@@ -16,32 +17,32 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Authority tells whether this node may act for a claim at the moment of asking.
+// Authority reports whether this node may act for a claim at the given time, and under which epoch.
 type Authority interface {
 	Holds(n claimer.Name, now clock.Time) (identifier.Epoch, bool)
 }
 
-// Options fixes what a Granter is for; a zero term takes its default.
+// Options configures a Granter; a zero term or bound takes its default.
 type Options struct {
 	Self   identifier.Node
 	Domain identifier.FailureDomain
-	// Slots is the number of rate claims of each domain, the same everywhere.
+	// Slots is the number of rate claims of each domain; it must be the same at all nodes.
 	Slots     int
 	Authority Authority
 	// SliceTerm is how long a slice may be outstanding.
 	SliceTerm clock.Duration
-	// LoanTerm is how long a loan may be outstanding unless extended.
+	// LoanTerm is how long a loan may be outstanding unless it is extended.
 	LoanTerm clock.Duration
 	// WaitBound is the longest that a call is parked.
 	WaitBound clock.Duration
-	// Lookahead is the demand that a purse keeps in store.
+	// Lookahead is the time whose expected demand a purse keeps in tokens.
 	Lookahead clock.Duration
-	// RenewBefore is how long before its end a purse returns a slice for a new one.
+	// RenewBefore is how long before its end a purse returns a slice and requests a new one.
 	RenewBefore clock.Duration
-	// AnswerBound is how long a purse waits for a grant before it asks anew.
+	// AnswerBound is how long a purse waits for a grant before it asks again.
 	AnswerBound clock.Duration
-	// ShareTerm is when a grown share comes into force without confirmation by the domains whose shares shrank:
-	// after the claimer's long term their holders have stopped or read of the change.
+	// ShareTerm is how long an increased share waits for confirmation by the other domains. After the claimer's long
+	// term their holders have stopped or have read of the change.
 	ShareTerm clock.Duration
 	// SlackPerMille bounds how much faster one node's clock may run than another's.
 	SlackPerMille int
@@ -73,7 +74,7 @@
 	return d - d*clock.Duration(o.SlackPerMille)/1000
 }
 
-// ClaimName is the claim whose holder keeps the bank of a slot in a failure domain.
+// ClaimName returns the name of the claim whose holder keeps the bank of a slot in a failure domain.
 func ClaimName(d identifier.FailureDomain, slot int) claimer.Name {
 	return claimer.Name(fmt.Sprintf("rates/%s/%d", d, slot))
 }
--- a/internal/granter/oracle_test.go
+++ b/internal/granter/oracle_test.go
@@ -1,7 +1,8 @@
-// The oracle is one token bucket for each team in true time, with the whole rate and burst: if the calls ever find it
-// empty, some window had more than burst plus rate times its length.
+// The oracle keeps one token bucket for each team in true time, with the whole rate and burst. If a call finds it
+// empty, some window had more calls than the burst plus the rate times its length.
 //
-// Example: rate 50 a second and burst 50: 51 calls within a millisecond after a long rest are a fault.
+// Example: with a rate of 50 a second and a burst of 50, 51 calls within a millisecond after a long idle time are a
+// fault.
 
 package granter_test
 
@@ -23,7 +24,7 @@
 
 type oracle map[identifier.Team]*budget
 
-// publish sets what is allowed from now on; while two presets are in force that is the larger of both.
+// publish sets the rates and bursts allowed from now on.
 func (o oracle) publish(teams []definer.Team, now int64) {
 	for _, t := range teams {
 		b := o[t.Name]
@@ -37,7 +38,7 @@
 	}
 }
 
-// allowLarger sets the larger of two presets for each team.
+// allowLarger allows the larger rate and burst of two presets for each team, while nodes may use either.
 func (o oracle) allowLarger(old, fresh []definer.Team, now int64) {
 	for i, t := range fresh {
 		b := o[t.Name]
@@ -60,7 +61,7 @@
 	b.served++
 	if b.level < 0 {
 		b.level = 0
-		return fmt.Sprintf("%d: team %s spent more than its rate and burst", now, t)
+		return fmt.Sprintf("at %d ms: team %s spent more than its rate and burst", now, t)
 	}
 	return ""
 }
--- a/internal/granter/purse.go
+++ b/internal/granter/purse.go
@@ -1,8 +1,9 @@
-// The purse decides on each call at the entry, so it costs a map look-up and an addition. It judges a slice by the
-// node's own clock at the moment of spending: a process that was paused finds its slices ended.
+// The purse decides on every call at its entry node, so a decision costs only a map lookup and an addition. It checks
+// the end of a slice against the node's clock at the moment of spending, so a process that was paused doesn't spend
+// expired slices.
 //
-// Example: a slice of 2000 tokens that ends at 487 pays for two calls till then; a third call waits, and is
-// resumed when the next slice comes or refused after 100 ms.
+// Example: a slice of 2000 tokens that ends at 487 pays for two calls until then; a third call waits, and is resumed
+// when the next slice arrives or refused after 100 ms.
 
 package granter
 
@@ -12,13 +13,13 @@
 )
 
 const (
-	// demandWindow is the span over which arrivals are counted.
+	// demandWindow is the length of a window in which arrivals are counted.
 	demandWindow = 100 * clock.Millisecond
-	// maxSlices bounds the slices that a purse has of one team.
+	// maxSlices bounds the slices that a purse holds at a time.
 	maxSlices = 4
-	// minRetryAfter keeps refused callers from coming back within the same burst.
+	// minRetryAfter keeps refused callers from retrying within the same burst.
 	minRetryAfter = 50 * clock.Millisecond
-	// A purse is idle after four calls' time without any, but within these bounds.
+	// A purse is idle after four call intervals without a call, within these bounds.
 	minIdleBound = 20 * clock.Millisecond
 	maxIdleBound = 200 * clock.Millisecond
 )
@@ -34,7 +35,7 @@
 	until clock.Time
 }
 
-// endedSlice is a slice that the bank must be told the end of.
+// endedSlice is a slice whose end has not been reported to its bank yet.
 type endedSlice struct {
 	domain   identifier.FailureDomain
 	returned Returned
@@ -46,7 +47,7 @@
 	slot  int
 	rate  identifier.Tokens
 	burst identifier.Tokens
-	// order has the domains whose banks are asked, best first.
+	// order lists the domains whose banks are asked, most preferred first.
 	order  []*domain
 	pooled bool
 
@@ -62,7 +63,7 @@
 	lastCallAt  clock.Time
 
 	askedDomain *domain
-	// reportedDemand is the demand last told to a bank.
+	// reportedDemand is the demand that was last reported to a bank.
 	reportedDemand     identifier.Tokens
 	askedNode          identifier.Node
 	number             uint64
@@ -80,7 +81,7 @@
 	}
 }
 
-// Spend decides on one call of the team; a call that must wait is known by the given number.
+// Spend decides on one call of the team. If the call must wait, later effects name it by the given number.
 func (g *Granter) Spend(t identifier.Team, call Call, now clock.Time) Decision {
 	p := g.purses[t]
 	if p == nil {
@@ -110,7 +111,7 @@
 	p.active = true
 }
 
-// rollDemandWindow closes the demand window when it has passed; each idle window halves the demand.
+// rollDemandWindow closes the demand window once it has passed; each window without calls halves the demand.
 func (p *purse) rollDemandWindow(now clock.Time) {
 	w := now / clock.Time(demandWindow)
 	passed := w - p.windowIndex
@@ -123,7 +124,7 @@
 	p.windowIndex = w
 }
 
-// payFromSlices pays for one call out of the slices, the oldest first.
+// payFromSlices pays for one call from the oldest slice that has tokens left and has not ended.
 func (p *purse) payFromSlices(now clock.Time) (Paid, bool) {
 	for i := range p.slices {
 		s := &p.slices[i]
@@ -147,7 +148,7 @@
 	p.active = len(p.slices)+len(p.waiters)+len(p.ended) > 0 || p.pending || p.demand > 0 || p.arrivals > 0 || p.reportedDemand > 0
 }
 
-// serveWaiters resumes parked calls in their order, and refuses those whose bound has passed.
+// serveWaiters resumes parked calls in order of arrival, and refuses those whose wait bound has passed.
 func (g *Granter) serveWaiters(p *purse, now clock.Time) {
 	done := 0
 	for _, w := range p.waiters {
@@ -173,7 +174,7 @@
 	p.waiters = p.waiters[:0]
 }
 
-// endSlices gives up slices that are spent, about to expire, or idle; what is left of them goes back.
+// endSlices ends slices that are spent, about to expire, or idle; their remaining tokens are returned to the bank.
 func (p *purse) endSlices(now clock.Time, renewBefore clock.Duration) {
 	kept := p.slices[:0]
 	for _, s := range p.slices {
--- a/internal/granter/purse_test.go
+++ b/internal/granter/purse_test.go
@@ -1,5 +1,5 @@
-// What a fleet in memory seldom brings about at the right millisecond is tried here directly: the moments from which
-// terms count, grants of replaced holders, and the price of a decision.
+// Cases that the simulated fleet seldom produces at the exact millisecond: the times from which terms count, grants
+// from replaced holders, and the cost of a decision.
 
 package granter_test
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// fixedAuthority is the authority of a holder whose lease never ends.
+// fixedAuthority is an authority that never changes; true means that the claim is held.
 type fixedAuthority bool
 
 func (a fixedAuthority) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) { return 5, bool(a) }
@@ -36,8 +36,8 @@
 	return identifier.Team(fmt.Sprintf("team%d", i))
 }
 
-// A grant that was under way for long, or comes from a holder that the log has replaced, is paid out of tokens that
-// the bank has already given to somebody else; the team would be over its rate for half a second.
+// A grant that was delayed for long, or that comes from a holder that the log has replaced, consists of tokens that
+// the bank has already granted to another purse; the team would exceed its rate for half a second.
 func TestPurseIgnoresLateAndForeignGrants(t *testing.T) {
 	tables := map[string]struct {
 		from     identifier.Node
@@ -66,7 +66,7 @@
 	}
 }
 
-// A bank whose lease has ended may have a successor already; what it still granted would come on top.
+// A bank whose lease has ended may already have a successor; what it still granted would exceed the rate.
 func TestBankGrantsOnlyWithAuthority(t *testing.T) {
 	for _, held := range []fixedAuthority{true, false} {
 		g := newGranter(1, "a", held)
@@ -78,8 +78,8 @@
 	}
 }
 
-// A lender has its share back two seconds after its answer; a borrower that counted from the answer's arrival would
-// still grant from it, and both would spend the same share.
+// A lender has its share back two seconds after its answer. A borrower that counted from the arrival of the answer
+// would still grant from the loan, and both would spend the same share.
 func TestLoanTermCountsFromRequest(t *testing.T) {
 	for arrival, lives := range map[clock.Time]bool{1010: true, 2449: true, 2451: false} {
 		g := newGranter(1, "a", true)
@@ -98,7 +98,7 @@
 	}
 }
 
-// The decision stands before every call, so it must cost little, and the same with many teams.
+// The decision precedes every call, so it must be cheap, and its cost must not grow with the number of teams.
 func BenchmarkSpend(b *testing.B) {
 	for _, teams := range []int{8, 1000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
--- a/internal/granter/shares.go
+++ b/internal/granter/shares.go
@@ -1,10 +1,11 @@
-// A preset reaches the nodes at different moments. While the domains' shares keep their proportion that does no
-// harm: each domain is at its share of the old or of the new rate. When proportions change, a domain that already
-// has its larger share would add to one that still has its old one, so a share grows only after every other domain
-// has confirmed that it uses no more than its new one, or after its holder has certainly stopped.
+// A preset reaches the nodes at different times. As long as the domains' shares keep their proportion this is safe:
+// each domain uses its share of the old or of the new rate. When proportions change, a domain that already uses its
+// larger share would exceed the total together with one that still uses its old share. So a share grows only after
+// every other domain has confirmed that it uses no more than its new share, or after that domain's holder must have
+// stopped.
 //
 // Example: alfa goes from 250 to 500 per mille and bravo from 500 to 250. The holders at alfa ask the holders at
-// bravo every 250 ms; these answer when they are at 250 and nothing lent out of the 500 is left.
+// bravo every 250 ms; these confirm once they use 250 per mille and no part of the former 500 is lent or outstanding.
 
 package granter
 
@@ -18,16 +19,16 @@
 
 const queryPeriod = 250 * clock.Millisecond
 
-// shares is what the preset in force says about the domains.
+// shares are the domains' shares in the preset in force.
 type shares struct {
 	known   bool
 	version identifier.Version
 	domains []definer.DomainShare
 }
 
-// shareIncrease is a larger share that a bank doesn't use yet.
+// shareIncrease is an increase of the share that a bank doesn't use yet.
 type shareIncrease struct {
-	// from is the share used meanwhile.
+	// from is the share used until the increase takes effect.
 	from     int
 	awaiting []identifier.FailureDomain
 	version  identifier.Version
@@ -48,7 +49,7 @@
 	return shareOf(s.domains, n)
 }
 
-// share is the part of each team's rate and burst that the bank starts from.
+// share returns the per mille of each team's rate and burst that the bank uses before loans.
 func (g *Granter) share(b *bank) int {
 	s := g.shares.latest(g.options.Domain)
 	if b.shareIncrease != nil {
@@ -57,8 +58,8 @@
 	return s
 }
 
-// setShares starts from what each bank uses at this moment. A node that begins with this preset can't know that; it
-// takes the least share that the preset's predecessors may have left its domain with.
+// setShares starts from the share that each bank uses at this time. A node that starts with this preset can't know
+// that share, so it assumes the least share that earlier presets may have left for its domain.
 func (g *Granter) setShares(now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) {
 	own := g.options.Domain
 	unchanged := g.shares.known && slices.Equal(g.shares.domains, now)
@@ -89,8 +90,8 @@
 	}
 }
 
-// otherDomains lists all that may use a share. A domain whose share grows must confirm as well: it may still be at
-// a preset in between, of which this node hasn't heard.
+// otherDomains lists all other domains that may use a share. A domain whose share grows must confirm as well: it may
+// still use the share of an intermediate preset that this node hasn't read.
 func otherDomains(own identifier.FailureDomain, lists ...[]definer.DomainShare) []identifier.FailureDomain {
 	var others []identifier.FailureDomain
 	for _, l := range lists {
@@ -128,9 +129,10 @@
 	}
 }
 
-// receiveQuery confirms only as a holder with authority: its successors have then read the change too, since their
-// records come after it on the log. And it confirms only when it uses no more than the asker's preset allows, and
-// nothing is left of a larger share. It grows again only by a later preset, which the asker must confirm first.
+// receiveQuery confirms only as a holder with authority: its successors will have read the change too, since their
+// records follow it on the log. It confirms only if it uses no more than the asker's preset allows and nothing
+// remains lent or outstanding from a larger share. Its share grows again only by a later preset, which the asker must
+// confirm first.
 func (g *Granter) receiveQuery(from identifier.Node, m SharesQuery, now clock.Time) {
 	known := m.Slot >= 0 && m.Slot < len(g.banks) && m.Domain == g.options.Domain
 	if !known || g.shares.version < m.Version || !g.hasAuthority(g.banks[m.Slot], now) {
