--- a/internal/claimer/candidate.go
+++ b/internal/claimer/candidate.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	rankDelay   = 3 * clock.Second
-	jitterBound = 500 * clock.Millisecond
-	rankBound   = 10
+	rankDelay = 3 * clock.Second
+	maxJitter = 500 * clock.Millisecond
+	maxRank   = 10
 )
 
 // score is the weight of a node for a name in rendezvous hashing; the highest wins.
@@ -29,23 +29,23 @@
 // pickWitness returns the best member as the holder's witness: not this node, and the one to avoid only if there is
 // no other.
 func (c *Claimer) pickWitness(l *claim, holder, avoid identifier.Node) identifier.Node {
-	var best, last identifier.Node
+	var best, fallback identifier.Node
 	for _, m := range c.members {
 		switch {
 		case m == c.options.Self || m == holder:
 		case m == avoid:
-			last = m
+			fallback = m
 		case best == "" || score(l.name, m) > score(l.name, best):
 			best = m
 		}
 	}
 	if best == "" {
-		return last
+		return fallback
 	}
 	return best
 }
 
-func (c *Claimer) pickHeir(l *claim) identifier.Node {
+func (c *Claimer) pickSuccessor(l *claim) identifier.Node {
 	if l.witness != "" && slices.Contains(c.members, l.witness) {
 		return l.witness
 	}
@@ -61,7 +61,7 @@
 			before++
 		}
 	}
-	return min(before, rankBound)
+	return min(before, maxRank)
 }
 
 // candidateDelay is drawn once for each name, which keeps the order of draws fixed.
@@ -102,6 +102,6 @@
 
 // maySeize tells whether even a holder cut off from everybody else has stopped by itself, and it is this node's turn.
 func (c *Claimer) maySeize(l *claim, now clock.Time) bool {
-	stopped := max(l.readAt, c.logUpAt).Add(c.options.LongTerm + c.options.Margin)
-	return now >= stopped && now >= stopped.Add(c.candidateDelay(l))
+	holderStoppedAt := max(l.readAt, c.logUpAt).Add(c.options.LongTerm + c.options.Margin)
+	return now >= holderStoppedAt && now >= holderStoppedAt.Add(c.candidateDelay(l))
 }
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -14,8 +14,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// ask is a promise request under way to one witness.
-type ask struct {
+// promiseState is a promise request under way to one witness.
+type promiseState struct {
 	witness identifier.Node
 	epoch   identifier.Epoch
 	number  uint64
@@ -37,40 +37,40 @@
 	watched bool
 
 	// As judged from the log.
-	known      bool
-	sure       bool
-	epoch      identifier.Epoch
-	holder     identifier.Node
-	witness    identifier.Node
-	lastOffset identifier.Offset
-	seenOffset identifier.Offset
-	readAt     clock.Time
-	epochAt    clock.Time
+	known          bool
+	verified       bool
+	epoch          identifier.Epoch
+	holder         identifier.Node
+	witness        identifier.Node
+	lastOffset     identifier.Offset
+	lastReadOffset identifier.Offset
+	readAt         clock.Time
+	epochReadAt    clock.Time
 
 	// As holder.
 	recordUntil clock.Time
 	actFrom     clock.Time
 	renewAt     clock.Time
-	promise     ask
-	// patienceUntil is when a silent witness is given up, heirUntil when a silent heir is no longer waited for.
-	patienceUntil clock.Time
-	heir          ask
-	heirUntil     clock.Time
-	gained        identifier.Epoch
-	released      bool
-	// next is the witness named by an own continuation that is not yet read back.
-	next       ask
-	nextSentAt clock.Time
+	promise     promiseState
+	// witnessTimeoutAt is when a silent witness is given up, heirUntil when a silent heir is no longer waited for.
+	witnessTimeoutAt   clock.Time
+	successor          promiseState
+	successorTimeoutAt clock.Time
+	gainedEpoch        identifier.Epoch
+	released           bool
+	// nextPromise is the witness named by an own continuation that is not yet read back.
+	nextPromise        promiseState
+	continuationSentAt clock.Time
 
 	// As the appender of records.
-	attempts []attempt
-	appendAt clock.Time
+	attempts     []attempt
+	nextAppendAt clock.Time
 
 	// As witness.
-	promisedUntil clock.Time
-	takeoverEpoch identifier.Epoch
-	noticeEpoch   identifier.Epoch
-	noticeAt      clock.Time
+	promisedUntil       clock.Time
+	takeoverEpoch       identifier.Epoch
+	handoverNoticeEpoch identifier.Epoch
+	handoverNoticeAt    clock.Time
 
 	// As candidate.
 	candidateAt clock.Time
@@ -101,7 +101,7 @@
 		c.add(n, false)
 	}
 	for _, l := range c.claims {
-		l.jitter = clock.Duration(o.Rand.Int64N(int64(jitterBound)))
+		l.jitter = clock.Duration(o.Rand.Int64N(int64(maxJitter)))
 	}
 	return c
 }
@@ -112,7 +112,7 @@
 	if l := c.byName[n]; l != nil {
 		return l
 	}
-	l := &claim{name: n, watched: watched, lastOffset: -1, seenOffset: -1, candidateAt: clock.Never}
+	l := &claim{name: n, watched: watched, lastOffset: -1, lastReadOffset: -1, candidateAt: clock.Never}
 	c.byName[n] = l
 	i, _ := slices.BinarySearchFunc(c.claims, n, func(l *claim, n Name) int {
 		return strings.Compare(string(l.name), string(n))
@@ -169,10 +169,10 @@
 	var effects []Effect
 	c.logStart = start
 	for _, l := range c.claims {
-		l.sure = false
+		l.verified = false
 		l.known = false
 		if l.holder == c.options.Self {
-			effects = c.lose(l, effects)
+			effects = c.loseClaim(l, effects)
 		}
 		l.holder = ""
 		l.witness = ""
@@ -194,7 +194,7 @@
 
 // Tick does what is due; call it several times in each second.
 func (c *Claimer) Tick(now clock.Time) []Effect {
-	c.noticePause(now)
+	c.detectPause(now)
 	var effects []Effect
 	for _, l := range c.claims {
 		switch {
@@ -211,7 +211,7 @@
 // A paused process doesn't know what it missed. Its leases are judged by the clock anyway; but where a machine
 // was suspended and its clock stood still a little, the gap between ticks is the only sign, and a promise made
 // before it must not count.
-func (c *Claimer) noticePause(now clock.Time) {
+func (c *Claimer) detectPause(now clock.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
 	if gap <= c.options.PauseBound {
@@ -220,9 +220,9 @@
 	for _, l := range c.claims {
 		l.promise.until = 0
 		l.promise.number = 0
-		l.next.until = 0
-		l.next.number = 0
-		l.patienceUntil = now.Add(c.options.PromiseTerm / 2)
+		l.nextPromise.until = 0
+		l.nextPromise.number = 0
+		l.witnessTimeoutAt = now.Add(c.options.PromiseTerm / 2)
 	}
 }
 
@@ -237,10 +237,10 @@
 		l.attempts = slices.Delete(l.attempts, 0, 1)
 	}
 	l.attempts = append(l.attempts, attempt{number: c.attempt, sentAt: now})
-	l.appendAt = now.Add(c.options.AppendRetry)
+	l.nextAppendAt = now.Add(c.options.AppendRetry)
 	return append(effects, Append{Record: r})
 }
 
 func (c *Claimer) mayAppend(l *claim, now clock.Time) bool {
-	return c.logUp && now >= l.appendAt
+	return c.logUp && now >= l.nextAppendAt
 }
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -22,7 +22,7 @@
 
 // Two operators' screens, or two nodes, that name different holders for one claim: each reader must fold the same
 // records to the same holder, whatever was appended late, twice, or by a node that had missed something.
-func TestReadersJudgeByTheOrderOfTheLog(t *testing.T) {
+func TestRecordsTakeEffectInLogOrder(t *testing.T) {
 	found := Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "y", By: "x"}
 	second := Claim{Name: "n", Kind: Takeover, Epoch: 2, Holder: "y", Witness: "z", By: "y"}
 	tables := map[string]struct {
@@ -61,7 +61,7 @@
 
 // The answer of a busy witness comes late. Its promise may be over soon by then, and the witness will act on the
 // claim; a holder that counted from the answer would act beside it.
-func TestPromiseCountsFromItsRequest(t *testing.T) {
+func TestPromiseTermCountsFromRequest(t *testing.T) {
 	for answered, held := range map[clock.Time]bool{2000: true, 9000: false} {
 		c := newClaimer("a")
 		var record Claim
@@ -85,13 +85,13 @@
 
 // A node that begins to read in the middle of the log takes the loser of an epoch for the winner, until the winner
 // renews. It must not act, or promise wrongly, on what it is not sure of.
-func TestUnsureReaderActsOnNothing(t *testing.T) {
+func TestUnverifiedReaderHasNoAuthority(t *testing.T) {
 	c := newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
-	take := c.Tick(20_000)[0].(Append).Record
+	takeover := c.Tick(20_000)[0].(Append).Record
 	c.SkipRecords(50, 20_100)
-	assert.Equal(t, len(c.ReadRecord(50, take, 20_200)), 0)
-	c.Receive(take.Witness, Promise{Name: "n", Epoch: 2, Number: 1, Given: true}, 20_300)
+	assert.Equal(t, len(c.ReadRecord(50, takeover, 20_200)), 0)
+	c.Receive(takeover.Witness, Promise{Name: "n", Epoch: 2, Number: 1, Given: true}, 20_300)
 	_, ok := c.Holds("n", 24_000)
 	assert.Check(t, !ok)
 	c.ReadRecord(51, Claim{Name: "n", Kind: Renew, Epoch: 2, Holder: "x", Witness: "b", By: "x"}, 24_100)
@@ -99,12 +99,12 @@
 	assert.Equal(t, holder, identifier.Node("x"))
 }
 
-// holding returns a claimer at a that took n over and has a promise counted from 9100.
-func holding(t *testing.T) (c *Claimer, witness identifier.Node, number uint64) {
+// newHolder returns a claimer at a that took n over and has a promise counted from 9100.
+func newHolder(t *testing.T) (c *Claimer, witness identifier.Node, number uint64) {
 	c = newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
-	take := c.Tick(9000)[0].(Append).Record
-	q := c.ReadRecord(1, take, 9100)[0].(Send)
+	takeover := c.Tick(9000)[0].(Append).Record
+	q := c.ReadRecord(1, takeover, 9100)[0].(Send)
 	number = q.Message.(PromiseRequest).Number
 	c.Receive(q.To, Promise{Name: "n", Epoch: 2, Number: number, Given: true}, 9110)
 	_, ok := c.Holds("n", 13_000)
@@ -114,38 +114,38 @@
 
 // The witness is slow, so the holder names another one, but its record is slow as well. The new witness may read the
 // record first and take over eight seconds later, while the old witness answers again; two nodes would act.
-func TestPromisesOfTheOldWitnessEndWithTheContinuation(t *testing.T) {
-	c, witness, old := holding(t)
-	var named clock.Time
+func TestOldWitnessPromisesEndAfterContinuation(t *testing.T) {
+	c, witness, firstNumber := newHolder(t)
+	var continuationSentAt clock.Time
 	for now := clock.Time(13_000); now < 30_000; now += 100 {
 		for _, e := range c.Tick(now) {
 			s, ok := e.(Send)
 			switch {
-			case !ok && named == 0 && e.(Append).Record.Kind == Continuation:
-				named = now
+			case !ok && continuationSentAt == 0 && e.(Append).Record.Kind == Continuation:
+				continuationSentAt = now
 			case ok && s.To == witness && now > 13_500:
 				c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: s.Message.(PromiseRequest).Number, Given: true}, now)
 			}
 		}
-		c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: old, Given: true}, now)
+		c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: firstNumber, Given: true}, now)
 		_, ok := c.Holds("n", now)
-		assert.Equal(t, ok, named == 0 || now < named+7800, "at %d, named at %d", now, named)
+		assert.Equal(t, ok, continuationSentAt == 0 || now < continuationSentAt+7800, "at %d, named at %d", now, continuationSentAt)
 	}
-	assert.Check(t, named > 0)
+	assert.Check(t, continuationSentAt > 0)
 }
 
 // A late answer to an earlier request must not count from a later one.
-func TestOnlyTheLatestRequestIsAnswered(t *testing.T) {
-	c, witness, old := holding(t)
+func TestPromiseForEarlierRequestIsIgnored(t *testing.T) {
+	c, witness, firstNumber := newHolder(t)
 	c.Tick(14_000)
-	c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: old, Given: true}, 14_010)
+	c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: firstNumber, Given: true}, 14_010)
 	_, ok := c.Holds("n", 17_000)
 	assert.Check(t, !ok)
 }
 
 // An heir that read the handover late would count its long term from a later moment than the nodes that may seize
 // the claim; without a notice from before the record it has to append one of its own.
-func TestHeirCountsFromItsNotice(t *testing.T) {
+func TestSuccessorTermCountsFromHandoverNotice(t *testing.T) {
 	for _, noticed := range []bool{true, false} {
 		c := newClaimer("a")
 		c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
--- a/internal/claimer/holder.go
+++ b/internal/claimer/holder.go
@@ -27,28 +27,28 @@
 // leases ended without having been told.
 func (c *Claimer) authority(l *claim, now clock.Time) bool {
 	switch {
-	case l.holder != c.options.Self || l.released || !l.sure:
+	case l.holder != c.options.Self || l.released || !l.verified:
 		return false
 	case now < l.actFrom || now >= l.recordUntil:
 		return false
 	case l.witness != "" && now >= l.promise.until:
 		return false
 	}
-	return !l.nextMayHaveTakenOver(c, now)
+	return !l.nextWitnessMayHaveTakenOver(c, now)
 }
 
 // While an own continuation is under way its witness may have read it, and have waited out the promise term from
 // then on. It cannot have read it before it was sent; after that only its own promise keeps it still. Without
 // this check a holder that reads the log late would act on the old witness's promises beside its successor.
-func (l *claim) nextMayHaveTakenOver(c *Claimer, now clock.Time) bool {
-	if l.next.witness == "" || now < l.next.until {
+func (l *claim) nextWitnessMayHaveTakenOver(c *Claimer, now clock.Time) bool {
+	if l.nextPromise.witness == "" || now < l.nextPromise.until {
 		return false
 	}
-	return now >= l.nextSentAt.Add(c.options.shorten(c.options.PromiseTerm))
+	return now >= l.continuationSentAt.Add(c.options.shorten(c.options.PromiseTerm))
 }
 
 func (c *Claimer) tickHolder(l *claim, now clock.Time, effects []Effect) []Effect {
-	if !l.sure {
+	if !l.verified {
 		return effects
 	}
 	if c.leaving {
@@ -56,16 +56,16 @@
 	}
 	effects = c.askPromise(l, &l.promise, false, now, effects)
 	effects = c.continueClaim(l, now, effects)
-	effects = c.askPromise(l, &l.next, false, now, effects)
+	effects = c.askPromise(l, &l.nextPromise, false, now, effects)
 	effects = c.renew(l, now, effects)
-	if l.gained != l.epoch && c.authority(l, now) {
-		l.gained = l.epoch
+	if l.gainedEpoch != l.epoch && c.authority(l, now) {
+		l.gainedEpoch = l.epoch
 		effects = append(effects, Gained{Name: l.name, Epoch: l.epoch})
 	}
 	return effects
 }
 
-func (c *Claimer) askPromise(l *claim, a *ask, leaving bool, now clock.Time, effects []Effect) []Effect {
+func (c *Claimer) askPromise(l *claim, a *promiseState, leaving bool, now clock.Time, effects []Effect) []Effect {
 	if a.witness == "" || a.number != 0 && now < a.sentAt.Add(c.options.PromiseTerm/promisesPerTerm) {
 		return effects
 	}
@@ -83,7 +83,7 @@
 	if l == nil || l.holder != c.options.Self {
 		return nil
 	}
-	for _, a := range []*ask{&l.promise, &l.next, &l.heir} {
+	for _, a := range []*promiseState{&l.promise, &l.nextPromise, &l.successor} {
 		if a.witness != from || a.epoch != p.Epoch || a.number != p.Number || a.answered == p.Number {
 			continue
 		}
@@ -93,7 +93,7 @@
 		}
 		a.until = a.sentAt.Add(c.options.shorten(c.options.PromiseTerm))
 		if a == &l.promise {
-			l.patienceUntil = a.until.Add(-c.options.PromiseTerm / 2)
+			l.witnessTimeoutAt = a.until.Add(-c.options.PromiseTerm / 2)
 		}
 	}
 	return c.tickHolder(l, now, nil)
@@ -106,19 +106,19 @@
 	if !c.mayAppend(l, now) {
 		return effects
 	}
-	underWay := l.next.epoch == l.epoch+1
-	if !underWay {
+	continuationPending := l.nextPromise.epoch == l.epoch+1
+	if !continuationPending {
 		w := c.pickWitness(l, c.options.Self, l.witness)
-		silent := l.witness != "" && now >= l.patienceUntil
+		silent := l.witness != "" && now >= l.witnessTimeoutAt
 		missing := l.witness == "" && w != ""
 		left := w != "" && w != l.witness && !slices.Contains(c.members, l.witness)
 		if !silent && !missing && !left {
 			return effects
 		}
-		l.next = ask{witness: w, epoch: l.epoch + 1}
-		l.nextSentAt = now
+		l.nextPromise = promiseState{witness: w, epoch: l.epoch + 1}
+		l.continuationSentAt = now
 	}
-	r := Claim{Kind: Continuation, Epoch: l.epoch + 1, Holder: c.options.Self, Witness: l.next.witness}
+	r := Claim{Kind: Continuation, Epoch: l.epoch + 1, Holder: c.options.Self, Witness: l.nextPromise.witness}
 	return c.appendRecord(l, r, now, effects)
 }
 
@@ -163,53 +163,53 @@
 // tickLeaving first lets the heir know, and goes on acting meanwhile. The heir's long term then counts from that
 // notice, which is certainly earlier than the record; an heir without notice must first append a record of its own.
 func (c *Claimer) tickLeaving(l *claim, now clock.Time, effects []Effect) []Effect {
-	if l.heir.witness == "" {
-		l.heir = ask{witness: c.pickHeir(l), epoch: l.epoch}
-		l.heirUntil = now.Add(c.options.AppendRetry)
+	if l.successor.witness == "" {
+		l.successor = promiseState{witness: c.pickSuccessor(l), epoch: l.epoch}
+		l.successorTimeoutAt = now.Add(c.options.AppendRetry)
 	}
-	if l.heir.witness == "" || !c.logUp {
+	if l.successor.witness == "" || !c.logUp {
 		return effects
 	}
 	if !l.released {
 		effects = c.askPromise(l, &l.promise, false, now, effects)
 		effects = c.renew(l, now, effects)
-		effects = c.askPromise(l, &l.heir, true, now, effects)
-		if l.heir.answered == 0 && now < l.heirUntil {
+		effects = c.askPromise(l, &l.successor, true, now, effects)
+		if l.successor.answered == 0 && now < l.successorTimeoutAt {
 			return effects
 		}
 		l.released = true
-		l.appendAt = 0
+		l.nextAppendAt = 0
 	}
-	if l.gained != 0 {
-		l.gained = 0
+	if l.gainedEpoch != 0 {
+		l.gainedEpoch = 0
 		effects = append(effects, Lost{Name: l.name})
 	}
 	if !c.mayAppend(l, now) {
 		return effects
 	}
 	r := Claim{
-		Kind: Handover, Epoch: l.epoch + 1, Holder: l.heir.witness,
-		Witness: c.pickWitness(l, l.heir.witness, ""), Outstanding: c.outstandingOf(l) + max(0, l.actFrom.Sub(now)),
+		Kind: Handover, Epoch: l.epoch + 1, Holder: l.successor.witness,
+		Witness: c.pickWitness(l, l.successor.witness, ""), Outstanding: c.outstandingOf(l) + max(0, l.actFrom.Sub(now)),
 	}
 	return c.appendRecord(l, r, now, effects)
 }
 
 func (c *Claimer) outstandingOf(l *claim) clock.Duration {
-	if c.options.isInstant(l.name) {
+	if c.options.skipsWaitOut(l.name) {
 		return 0
 	}
 	return c.outstanding
 }
 
-// HeirOf returns the node that a claim of this node goes to when this node leaves, as far as is known now.
-func (c *Claimer) HeirOf(n Name) (identifier.Node, bool) {
+// SuccessorOf returns the node that a claim of this node goes to when this node leaves, as far as is known now.
+func (c *Claimer) SuccessorOf(n Name) (identifier.Node, bool) {
 	l := c.byName[n]
 	if l == nil || l.holder != c.options.Self {
 		return "", false
 	}
-	if l.heir.witness != "" {
-		return l.heir.witness, true
+	if l.successor.witness != "" {
+		return l.successor.witness, true
 	}
-	heir := c.pickHeir(l)
-	return heir, heir != ""
+	successor := c.pickSuccessor(l)
+	return successor, successor != ""
 }
--- a/internal/claimer/options.go
+++ b/internal/claimer/options.go
@@ -25,9 +25,9 @@
 	LongTerm clock.Duration
 	// WaitOut is the longest that anything granted by an old holder can still be used.
 	WaitOut clock.Duration
-	// Instant tells which names stand for nothing that outlives its holder's authority, so that a successor may act
+	// SkipsWaitOut tells which names stand for nothing that outlives its holder's authority, so that a successor may act
 	// at once; nil means none.
-	Instant func(Name) bool
+	SkipsWaitOut func(Name) bool
 	// Margin is added to every wait for somebody else's term.
 	Margin clock.Duration
 	// AppendRetry is how long a record may stay unread before it is appended anew.
@@ -56,7 +56,7 @@
 	}
 }
 
-func (o *Options) isInstant(n Name) bool { return o.Instant != nil && o.Instant(n) }
+func (o *Options) skipsWaitOut(n Name) bool { return o.SkipsWaitOut != nil && o.SkipsWaitOut(n) }
 
 // shorten returns the part of a term that has certainly not ended on anybody else's clock.
 func (o *Options) shorten(d clock.Duration) clock.Duration {
--- a/internal/claimer/judge.go
+++ b/internal/claimer/reader.go
@@ -11,13 +11,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// judge tells whether the record takes effect after what was read before it.
-func (l *claim) judge(r Claim) bool {
+// isEffective tells whether the record takes effect after what was read before it.
+func (l *claim) isEffective(r Claim) bool {
 	if !l.known {
 		return true
 	}
 	if r.Kind == Renew {
-		return l.judgeRenewal(r)
+		return l.isRenewalEffective(r)
 	}
 	if r.Kind == Found {
 		return l.lastOffset < r.Start && r.Epoch > l.epoch
@@ -39,11 +39,11 @@
 
 // A reader whose log began in the middle may have taken a losing record for the winner. Only a node that has read
 // its own victory renews, so a renewal of the same or a newer epoch puts such a reader right.
-func (l *claim) judgeRenewal(r Claim) bool {
+func (l *claim) isRenewalEffective(r Claim) bool {
 	if r.Epoch == l.epoch && r.Holder == l.holder {
 		return true
 	}
-	return r.Epoch > l.epoch || r.Epoch == l.epoch && !l.sure
+	return r.Epoch > l.epoch || r.Epoch == l.epoch && !l.verified
 }
 
 // ReadRecord takes the next record of the log; records come in the order of their offsets, perhaps repeated.
@@ -52,23 +52,23 @@
 	if l == nil {
 		l = c.add(r.Name, true)
 	}
-	if offset <= l.seenOffset {
+	if offset <= l.lastReadOffset {
 		return nil
 	}
-	l.seenOffset = offset
-	if !l.judge(r) {
-		return c.settleLoss(l, r)
+	l.lastReadOffset = offset
+	if !l.isEffective(r) {
+		return c.dropLostContinuation(l, r)
 	}
-	return c.apply(l, offset, r, now)
+	return c.applyRecord(l, offset, r, now)
 }
 
-func (c *Claimer) apply(l *claim, offset identifier.Offset, r Claim, now clock.Time) []Effect {
+func (c *Claimer) applyRecord(l *claim, offset identifier.Offset, r Claim, now clock.Time) []Effect {
 	var effects []Effect
 	self := c.options.Self
-	was := l.known && l.holder == self
+	wasHolder := l.known && l.holder == self
 	changed := !l.known || r.Epoch != l.epoch || r.Holder != l.holder
-	if c.makesSure(l, r) {
-		l.sure = true
+	if c.verifiesChain(l, r) {
+		l.verified = true
 	}
 	l.known = true
 	l.epoch = r.Epoch
@@ -77,16 +77,16 @@
 	l.lastOffset = offset
 	l.readAt = now
 	l.candidateAt = clock.Never
-	if was && r.Holder != self {
-		effects = c.lose(l, effects)
+	if wasHolder && r.Holder != self {
+		effects = c.loseClaim(l, effects)
 	}
 	if changed {
-		l.epochAt = now
-		l.appendAt = 0
-		c.enterEpoch(l, r, was, now)
+		l.epochReadAt = now
+		l.nextAppendAt = 0
+		c.startEpoch(l, r, wasHolder, now)
 	}
 	if r.Holder == self {
-		c.noteOwnRecord(l, r)
+		c.extendRecordLease(l, r)
 		return c.tickHolder(l, now, effects)
 	}
 	return effects
@@ -95,29 +95,29 @@
 // A reader is sure of a chain of records that it has read from a safe beginning: a founding before which it would
 // have seen any other record, or a renewal, by which a node confirms its own victory. Without this a node whose
 // reading skipped its rival's record would take its own losing record for the winner.
-func (c *Claimer) makesSure(l *claim, r Claim) bool {
+func (c *Claimer) verifiesChain(l *claim, r Claim) bool {
 	if r.Kind == Renew {
 		return true
 	}
 	return r.Kind == Found && (l.known || c.logStart <= r.Start)
 }
 
-// enterEpoch resets what belonged to the epoch before.
-func (c *Claimer) enterEpoch(l *claim, r Claim, was bool, now clock.Time) {
+// startEpoch resets what belonged to the epoch before.
+func (c *Claimer) startEpoch(l *claim, r Claim, wasHolder bool, now clock.Time) {
 	if r.Holder != c.options.Self {
-		l.promise = ask{}
-		l.next = ask{}
+		l.promise = promiseState{}
+		l.nextPromise = promiseState{}
 		return
 	}
-	l.patienceUntil = now.Add(c.options.PromiseTerm / 2)
-	l.promise = ask{witness: r.Witness, epoch: r.Epoch}
-	if l.next.witness == r.Witness && l.next.epoch == r.Epoch {
-		l.promise = l.next
+	l.witnessTimeoutAt = now.Add(c.options.PromiseTerm / 2)
+	l.promise = promiseState{witness: r.Witness, epoch: r.Epoch}
+	if l.nextPromise.witness == r.Witness && l.nextPromise.epoch == r.Epoch {
+		l.promise = l.nextPromise
 	}
-	l.next = ask{}
-	l.heir = ask{}
+	l.nextPromise = promiseState{}
+	l.successor = promiseState{}
 	l.released = l.released && c.leaving
-	if !was {
+	if !wasHolder {
 		l.actFrom = now.Add(c.waitOut(r))
 		l.recordUntil = 0
 	}
@@ -129,7 +129,7 @@
 		return r.Outstanding
 	case r.Kind == Found && r.Start == 0:
 		return 0 // the log has never forgotten anything, so nobody ever held the name
-	case c.options.isInstant(r.Name):
+	case c.options.skipsWaitOut(r.Name):
 		return c.options.Margin
 	}
 	return c.options.WaitOut + c.options.Margin
@@ -137,10 +137,10 @@
 
 // A record counts from its sending, not from its reading: the long term of everybody else starts when they read
 // it, which is later.
-func (c *Claimer) noteOwnRecord(l *claim, r Claim) {
+func (c *Claimer) extendRecordLease(l *claim, r Claim) {
 	sentAt, ok := l.sentAt(r, c.options.Self)
-	if r.Kind == Handover && l.noticeEpoch == r.Epoch-1 {
-		sentAt, ok = l.noticeAt, true
+	if r.Kind == Handover && l.handoverNoticeEpoch == r.Epoch-1 {
+		sentAt, ok = l.handoverNoticeAt, true
 	}
 	if !ok {
 		return
@@ -161,22 +161,22 @@
 	return 0, false
 }
 
-// settleLoss forgets an own continuation that lost against another record of its epoch; that record has been
+// dropLostContinuation forgets an own continuation that lost against another record of its epoch; that record has been
 // applied before, so there is nothing else to do.
-func (c *Claimer) settleLoss(l *claim, r Claim) []Effect {
-	if r.By == c.options.Self && r.Epoch == l.next.epoch && r.Epoch <= l.epoch {
-		l.next = ask{}
+func (c *Claimer) dropLostContinuation(l *claim, r Claim) []Effect {
+	if r.By == c.options.Self && r.Epoch == l.nextPromise.epoch && r.Epoch <= l.epoch {
+		l.nextPromise = promiseState{}
 	}
 	return nil
 }
 
-func (c *Claimer) lose(l *claim, effects []Effect) []Effect {
-	l.promise = ask{}
-	l.next = ask{}
+func (c *Claimer) loseClaim(l *claim, effects []Effect) []Effect {
+	l.promise = promiseState{}
+	l.nextPromise = promiseState{}
 	l.recordUntil = 0
-	if l.gained == 0 {
+	if l.gainedEpoch == 0 {
 		return effects
 	}
-	l.gained = 0
+	l.gainedEpoch = 0
 	return append(effects, Lost{Name: l.name})
 }
--- a/internal/claimer/witness.go
+++ b/internal/claimer/witness.go
@@ -17,9 +17,9 @@
 	if given {
 		l.promisedUntil = max(l.promisedUntil, now.Add(c.options.PromiseTerm))
 	}
-	if given && r.Leaving && l.noticeEpoch != r.Epoch {
-		l.noticeEpoch = r.Epoch
-		l.noticeAt = now
+	if given && r.Leaving && l.handoverNoticeEpoch != r.Epoch {
+		l.handoverNoticeEpoch = r.Epoch
+		l.handoverNoticeAt = now
 	}
 	p := Promise{Name: r.Name, Epoch: r.Epoch, Number: r.Number, Given: given}
 	return []Effect{Send{To: from, Message: p}}
@@ -38,8 +38,8 @@
 
 func (c *Claimer) tickWitness(l *claim, now clock.Time, effects []Effect) []Effect {
 	// A holder that has just named this node acts on the time since it sent the record, which is before epochAt.
-	still := max(l.promisedUntil, l.epochAt.Add(c.options.PromiseTerm))
-	if c.leaving || now <= still.Add(c.options.Margin) || !c.mayAppend(l, now) {
+	takeoverFrom := max(l.promisedUntil, l.epochReadAt.Add(c.options.PromiseTerm))
+	if c.leaving || now <= takeoverFrom.Add(c.options.Margin) || !c.mayAppend(l, now) {
 		return effects
 	}
 	l.takeoverEpoch = l.epoch + 1
--- a/internal/reducer/leave.go
+++ b/internal/reducer/leave.go
@@ -63,7 +63,7 @@
 // only, so they are sent again where the claim went on to another epoch, or another heir, since.
 func (s *State) handOver(n claimer.Name) {
 	name := deduplicator.Claim(n)
-	heir, known := s.claimer.HeirOf(n)
+	heir, known := s.claimer.SuccessorOf(n)
 	h, held := s.hold(name)
 	if !held || !known {
 		return
--- a/internal/reducer/new.go
+++ b/internal/reducer/new.go
@@ -67,11 +67,11 @@
 		Rand:  o.stream(streamGossiper),
 	})
 	s.claimer = claimer.New(claimer.Options{
-		Self:    o.Self,
-		Domain:  o.Domain,
-		Names:   claimNames(o.Domain),
-		Rand:    o.stream(streamClaimer),
-		Instant: isIDClaim,
+		Self:         o.Self,
+		Domain:       o.Domain,
+		Names:        claimNames(o.Domain),
+		Rand:         o.stream(streamClaimer),
+		SkipsWaitOut: isIDClaim,
 	})
 	s.granter = granter.New(granter.Options{Self: o.Self, Domain: o.Domain, Slots: RateSlots, Authority: s.claimer})
 	s.asker = deduplicator.NewAsker(deduplicator.AskerOptions{Node: o.Self})
