--- a/internal/claimer/candidate.go
+++ b/internal/claimer/candidate.go
@@ -1,8 +1,8 @@
-// Who claims a name that nobody holds. All candidates wait according to their place in a rendezvous order, so that
-// a fleet that starts at once appends one record for each name and not thousands.
+// Candidates for a claim without a holder. Each candidate waits according to its place in a rendezvous-hashing order,
+// so that a fleet that starts all at once appends one record for each name and not thousands.
 //
 // Example: of members a, b, c the order for "rates/alfa/2" is b, a, c: b claims at once, a after 3 s, c after 6 s,
-// and each only if it has read no record till then.
+// each with some jitter and only if it has read no record of the claim until then.
 
 package claimer
 
@@ -21,13 +21,13 @@
 	maxRank   = 10
 )
 
-// score is the weight of a node for a name in rendezvous hashing; the highest wins.
+// score returns the weight of a node for a name in rendezvous hashing; the highest weight wins.
 func score(n Name, m identifier.Node) uint64 {
 	return xxh3.HashStringSeed(string(m), xxh3.HashString(string(n)))
 }
 
-// pickWitness returns the best member as the holder's witness: not this node, and the one to avoid only if there is
-// no other.
+// pickWitness returns the member with the highest score as the holder's witness. It never returns this node or the
+// holder, and returns the node to avoid only if there is no other.
 func (c *Claimer) pickWitness(l *claim, holder, avoid identifier.Node) identifier.Node {
 	var best, fallback identifier.Node
 	for _, m := range c.members {
@@ -52,7 +52,8 @@
 	return c.pickWitness(l, c.options.Self, "")
 }
 
-// rank counts the members that come before this node; a node that isn't a member comes last.
+// rank returns the number of members that precede this node, at most maxRank; a node that isn't a member comes after
+// all members.
 func (c *Claimer) rank(n Name) int {
 	own := score(n, c.options.Self)
 	before := 0
@@ -64,7 +65,8 @@
 	return min(before, maxRank)
 }
 
-// candidateDelay is drawn once for each name, which keeps the order of draws fixed.
+// candidateDelay returns how long this node waits before it claims the name. The jitter is drawn once for each name,
+// at the start, so that the sequence of random draws is reproducible.
 func (c *Claimer) candidateDelay(l *claim) clock.Duration {
 	return clock.Duration(c.rank(l.name))*rankDelay + l.jitter
 }
@@ -87,7 +89,7 @@
 	case !l.known && now >= l.candidateAt:
 		r.Kind = Found
 		r.Start = c.logStart
-		// Every forgotten record has an epoch of at most its offset plus one.
+		// Every record that the log has dropped has an epoch of at most its offset plus one.
 		r.Epoch = identifier.Epoch(c.logStart) + 1
 	case l.known && l.holder != c.options.Self && c.maySeize(l, now):
 		r.Kind = Seizure
@@ -95,12 +97,14 @@
 	default:
 		return effects
 	}
-	// Only now: ranking all members for each claim at each tick took 88% of the reducers' time at 80 nodes a domain.
+	// The witness is picked only when a record is due. Ranking all members for each claim at each tick took 88% of
+	// the reducers' processor time with 80 nodes in a domain.
 	r.Witness = c.pickWitness(l, c.options.Self, l.holder)
 	return c.appendRecord(l, r, now, effects)
 }
 
-// maySeize tells whether even a holder cut off from everybody else has stopped by itself, and it is this node's turn.
+// maySeize reports whether even a holder that is cut off from all other nodes has stopped by itself, and this node's
+// candidate delay after that has passed.
 func (c *Claimer) maySeize(l *claim, now clock.Time) bool {
 	holderStoppedAt := max(l.readAt, c.logUpAt).Add(c.options.LongTerm + c.options.Margin)
 	return now >= holderStoppedAt && now >= holderStoppedAt.Add(c.candidateDelay(l))
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -1,8 +1,9 @@
-// One Claimer judges all names at its node: as reader of the log, as holder, as witness and as candidate. The
-// four parts are in judge.go, holder.go, witness.go and candidate.go; this file has the state and the events.
+// A Claimer handles all claims at its node: as reader of the log, as holder, as witness and as candidate. These four
+// parts are in reader.go, holder.go, witness.go and candidate.go; this file contains the state and the event
+// handlers.
 //
-// Example: New at node a, SetLog(true, 0, 0), SetMembers([a b], 0) and some ticks give Append{Claim{Kind: Found}};
-// ReadRecord of that record gives a PromiseRequest to b, and Receive of b's Promise gives Gained.
+// Example: New at node a, SetLog(true, 0, 0), SetMembers([a b], 0) and some ticks return Append{Claim{Kind: Found}};
+// ReadRecord of that record returns a PromiseRequest to b, and Receive of b's Promise returns Gained.
 
 package claimer
 
@@ -14,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// promiseState is a promise request under way to one witness.
+// promiseState is the state of the promise requests to one witness.
 type promiseState struct {
 	witness identifier.Node
 	epoch   identifier.Epoch
@@ -22,7 +23,7 @@
 	sentAt  clock.Time
 	// answered is the number of the last request that was answered.
 	answered uint64
-	// until is the end of the best promise received.
+	// until is the latest end of a promise received.
 	until clock.Time
 }
 
@@ -31,17 +32,19 @@
 	sentAt clock.Time
 }
 
-// claim is all that this node knows of one name.
+// claim is the state of one name at this node.
 type claim struct {
 	name    Name
 	watched bool
 
-	// As judged from the log.
-	known          bool
-	verified       bool
-	epoch          identifier.Epoch
-	holder         identifier.Node
-	witness        identifier.Node
+	// According to the log.
+	known    bool
+	verified bool
+	epoch    identifier.Epoch
+	holder   identifier.Node
+	witness  identifier.Node
+	// lastOffset is the offset of the last record that took effect, lastReadOffset that of the last record read; readAt
+	// and epochReadAt are when the last effective record and the first one of the epoch were read.
 	lastOffset     identifier.Offset
 	lastReadOffset identifier.Offset
 	readAt         clock.Time
@@ -52,17 +55,19 @@
 	actFrom     clock.Time
 	renewAt     clock.Time
 	promise     promiseState
-	// witnessTimeoutAt is when a silent witness is given up, heirUntil when a silent heir is no longer waited for.
+	// witnessTimeoutAt is when a witness that doesn't answer is replaced, successorTimeoutAt when a successor's
+	// answer is no longer waited for.
 	witnessTimeoutAt   clock.Time
 	successor          promiseState
 	successorTimeoutAt clock.Time
 	gainedEpoch        identifier.Epoch
-	released           bool
-	// nextPromise is the witness named by an own continuation that is not yet read back.
+	// released is set once this holder has stopped acting in order to hand the claim over.
+	released bool
+	// nextPromise is for the witness named by a Continuation of this node that it has not yet read back.
 	nextPromise        promiseState
 	continuationSentAt clock.Time
 
-	// As the appender of records.
+	// As a node that appends records.
 	attempts     []attempt
 	nextAppendAt clock.Time
 
@@ -77,7 +82,7 @@
 	jitter      clock.Duration
 }
 
-// Claimer is the state; make one with New.
+// Claimer is the state of all claims at one node; create it with New.
 type Claimer struct {
 	options     Options
 	claims      []*claim
@@ -93,7 +98,7 @@
 	number      uint64
 }
 
-// New returns a Claimer that knows of no record and no member.
+// New returns a Claimer that has read no record and knows no members.
 func New(o Options) *Claimer {
 	o.setDefaults()
 	c := &Claimer{options: o, byName: map[Name]*claim{}}
@@ -106,8 +111,8 @@
 	return c
 }
 
-// A name that nobody told this node of may turn up on the log, since which failure domains there are is only known
-// from the preset; such a claim is watched, so that its holder can be asked.
+// Names that are not configured at this node can appear on the log, since the failure domains are only known from the
+// preset. Such a claim is watched: this node is no candidate, but knows its holder and can send requests to it.
 func (c *Claimer) add(n Name, watched bool) *claim {
 	if l := c.byName[n]; l != nil {
 		return l
@@ -121,7 +126,7 @@
 	return l
 }
 
-// Holds tells whether this node may act for the name at this moment, and under which epoch.
+// Holds reports whether this node may act for the name at this time, and under which epoch.
 func (c *Claimer) Holds(n Name, now clock.Time) (identifier.Epoch, bool) {
 	l := c.byName[n]
 	if l == nil || !c.authority(l, now) {
@@ -130,7 +135,7 @@
 	return l.epoch, true
 }
 
-// HolderOf returns the holder as the log has it, which need not have authority at this moment.
+// HolderOf returns the holder and epoch according to the log; the holder need not have authority at this time.
 func (c *Claimer) HolderOf(n Name) (identifier.Node, identifier.Epoch, bool) {
 	l := c.byName[n]
 	if l == nil || !l.known {
@@ -139,7 +144,7 @@
 	return l.holder, l.epoch, true
 }
 
-// SetMembers takes the live members of the own domain, sorted and including this node.
+// SetMembers sets the live members of this node's domain, sorted and including this node.
 func (c *Claimer) SetMembers(m []identifier.Node, now clock.Time) []Effect {
 	c.members = slices.Clone(m)
 	for _, l := range c.claims {
@@ -148,8 +153,8 @@
 	return nil
 }
 
-// SetLog tells whether the log can be read to its end and appended to, and the first offset it still had when
-// this process began to read it.
+// SetLog reports whether the log can be read to its end and appended to, and the first offset that it still contained
+// when this process began to read.
 func (c *Claimer) SetLog(up bool, start identifier.Offset, now clock.Time) []Effect {
 	if up == c.logUp {
 		return nil
@@ -163,8 +168,8 @@
 	return nil
 }
 
-// SkipRecords tells that the log has forgotten records which this node had not read: what it knows may be
-// outdated, so it acts under none of it, and takes the next renewal for the truth.
+// SkipRecords reports that the log has dropped records which this node had not read. Its state may be outdated, so it
+// gives up authority over all claims, and accepts the next renewal of each as correct.
 func (c *Claimer) SkipRecords(start identifier.Offset, now clock.Time) []Effect {
 	var effects []Effect
 	c.logStart = start
@@ -181,7 +186,7 @@
 	return effects
 }
 
-// Receive takes a PromiseRequest or a Promise from another node.
+// Receive handles a PromiseRequest or a Promise from another node.
 func (c *Claimer) Receive(from identifier.Node, message any, now clock.Time) []Effect {
 	switch m := message.(type) {
 	case PromiseRequest:
@@ -192,7 +197,7 @@
 	return nil
 }
 
-// Tick does what is due; call it several times in each second.
+// Tick performs all due work; call it several times a second.
 func (c *Claimer) Tick(now clock.Time) []Effect {
 	c.detectPause(now)
 	var effects []Effect
@@ -208,9 +213,9 @@
 	return effects
 }
 
-// A paused process doesn't know what it missed. Its leases are judged by the clock anyway; but where a machine
-// was suspended and its clock stood still a little, the gap between ticks is the only sign, and a promise made
-// before it must not count.
+// detectPause discards promises after a pause of the process. Leases are checked against the clock in any case; but
+// if the machine was suspended and its clock stood still for part of that time, the gap between ticks is the only
+// sign, and a promise received before it must not count.
 func (c *Claimer) detectPause(now clock.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
@@ -226,7 +231,7 @@
 	}
 }
 
-// appendRecord gives the record its attempt number and notes when it was sent.
+// appendRecord assigns the record an attempt number and stores when it was sent.
 func (c *Claimer) appendRecord(l *claim, r Claim, now clock.Time, effects []Effect) []Effect {
 	const attemptsKept = 16
 	c.attempt++
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -1,5 +1,5 @@
-// The rules by which all readers judge the records of a claim alike, and the moments from which leases count. The
-// claims under faults are fuzzed together with the rates, in package granter.
+// Tests of the rules by which all readers agree on the holder of a claim, and of the times from which leases count.
+// Claims under faults are fuzzed together with the rates, in package granter.
 
 package claimer
 
@@ -20,8 +20,9 @@
 	return c
 }
 
-// Two operators' screens, or two nodes, that name different holders for one claim: each reader must fold the same
-// records to the same holder, whatever was appended late, twice, or by a node that had missed something.
+// If readers disagreed, two nodes could act for one claim, and operators would see different holders. All readers
+// must derive the same holder from the same records, whatever was appended late, twice, or by a node that had missed
+// records.
 func TestRecordsTakeEffectInLogOrder(t *testing.T) {
 	found := Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "y", By: "x"}
 	second := Claim{Name: "n", Kind: Takeover, Epoch: 2, Holder: "y", Witness: "z", By: "y"}
@@ -50,7 +51,7 @@
 			for i, record := range c.records {
 				record.Name = "n"
 				r.ReadRecord(identifier.Offset(i), record, 0)
-				r.ReadRecord(0, second, 0) // repeated by a peer's tail
+				r.ReadRecord(0, second, 0) // repeated in the log tail sent by a peer
 			}
 			holder, epoch, _ := r.HolderOf("n")
 			assert.Equal(t, holder, c.holder)
@@ -59,8 +60,8 @@
 	}
 }
 
-// The answer of a busy witness comes late. Its promise may be over soon by then, and the witness will act on the
-// claim; a holder that counted from the answer would act beside it.
+// A busy witness answers late. Its promise may end soon after, and then the witness takes the claim over; a holder
+// that counted from the answer would act at the same time.
 func TestPromiseTermCountsFromRequest(t *testing.T) {
 	for answered, held := range map[clock.Time]bool{2000: true, 9000: false} {
 		c := newClaimer("a")
@@ -77,14 +78,14 @@
 		_, ok := c.Holds("n", answered)
 		assert.Equal(t, ok, held)
 		_, ok = c.Holds("n", 8799)
-		assert.Check(t, ok, "7.8 s from the request at 1 s")
+		assert.Check(t, ok, "the promise lasts 7.8 s from the request at 1 s")
 		_, ok = c.Holds("n", 8800)
 		assert.Check(t, !ok)
 	}
 }
 
-// A node that begins to read in the middle of the log takes the loser of an epoch for the winner, until the winner
-// renews. It must not act, or promise wrongly, on what it is not sure of.
+// A node that starts to read in the middle of the log may apply a record that lost its epoch, until the winner
+// renews. It must not act on, or promise wrongly from, a chain of records that it hasn't verified.
 func TestUnverifiedReaderHasNoAuthority(t *testing.T) {
 	c := newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
@@ -99,7 +100,7 @@
 	assert.Equal(t, holder, identifier.Node("x"))
 }
 
-// newHolder returns a claimer at a that took n over and has a promise counted from 9100.
+// newHolder returns a claimer at a that took n over and has a promise that counts from 9100.
 func newHolder(t *testing.T) (c *Claimer, witness identifier.Node, number uint64) {
 	c = newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
@@ -108,12 +109,12 @@
 	number = q.Message.(PromiseRequest).Number
 	c.Receive(q.To, Promise{Name: "n", Epoch: 2, Number: number, Given: true}, 9110)
 	_, ok := c.Holds("n", 13_000)
-	assert.Check(t, ok, "after the wait-out")
+	assert.Check(t, ok, "the holder has authority after the wait-out")
 	return c, q.To, number
 }
 
-// The witness is slow, so the holder names another one, but its record is slow as well. The new witness may read the
-// record first and take over eight seconds later, while the old witness answers again; two nodes would act.
+// The holder replaces a slow witness, but its Continuation is delayed as well. The new witness may read the record
+// first and take over eight seconds later, while the old witness answers again; both nodes would act.
 func TestOldWitnessPromisesEndAfterContinuation(t *testing.T) {
 	c, witness, firstNumber := newHolder(t)
 	var continuationSentAt clock.Time
@@ -129,12 +130,12 @@
 		}
 		c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: firstNumber, Given: true}, now)
 		_, ok := c.Holds("n", now)
-		assert.Equal(t, ok, continuationSentAt == 0 || now < continuationSentAt+7800, "at %d, named at %d", now, continuationSentAt)
+		assert.Equal(t, ok, continuationSentAt == 0 || now < continuationSentAt+7800, "at %d ms; continuation sent at %d ms", now, continuationSentAt)
 	}
 	assert.Check(t, continuationSentAt > 0)
 }
 
-// A late answer to an earlier request must not count from a later one.
+// A late answer to an earlier request must not extend the lease as if it answered a later one.
 func TestPromiseForEarlierRequestIsIgnored(t *testing.T) {
 	c, witness, firstNumber := newHolder(t)
 	c.Tick(14_000)
@@ -143,8 +144,8 @@
 	assert.Check(t, !ok)
 }
 
-// An heir that read the handover late would count its long term from a later moment than the nodes that may seize
-// the claim; without a notice from before the record it has to append one of its own.
+// A successor that reads the handover late would count its long term from a later time than the nodes that may seize
+// the claim. Without a notice that precedes the record it has to append a record of its own.
 func TestSuccessorTermCountsFromHandoverNotice(t *testing.T) {
 	for _, noticed := range []bool{true, false} {
 		c := newClaimer("a")
--- a/internal/claimer/dump.go
+++ b/internal/claimer/dump.go
@@ -1,7 +1,8 @@
-// The dump is what an operator reads when a claim seems stuck: who holds it, by which record, and when the
-// promises end.
+// The dump shows an operator the state of claims, for instance when one seems stuck: its holder, the record behind
+// it, and when the promises end.
 //
-// Example: a state {Name: "ids/3", Epoch: 2, Holder: "b", PromiseUntil: 27800} at 27 s has 0.8 s to go.
+// Example: a state {Name: "ids/3", Epoch: 2, Holder: "b", PromiseUntil: 27800} at 27 s means that the promise lasts
+// for another 0.8 s.
 
 package claimer
 
@@ -10,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// State is what this node knows of one claim.
+// State is this node's view of one claim.
 type State struct {
 	Name    Name
 	Known   bool
@@ -18,7 +19,7 @@
 	Holder  identifier.Node
 	Witness identifier.Node
 	Offset  identifier.Offset
-	// Authority tells that this node may act for the name now.
+	// Authority is set if this node may act for the name now.
 	Authority bool
 	// PromiseUntil, RecordUntil and ActFrom bound the authority of this node as the holder.
 	PromiseUntil clock.Time
--- a/internal/claimer/holder.go
+++ b/internal/claimer/holder.go
@@ -1,8 +1,9 @@
-// A holder has authority only while nobody else can have it. Two leases bound it: the witness's promise, renewed
-// every few seconds without the log, and the long term since its last record, renewed every few minutes.
+// A holder has authority only while no other node can have it. Two leases bound it: the witness's promise, renewed
+// every few seconds without the log, and the long term since the holder's last record, renewed every few minutes.
 //
-// Example: a holds epoch 4 with witness b. At 20 s it asks b, which answers; until 27.8 s a may act. If b dies, a
-// appends a Continuation to epoch 5 with witness c at 24 s, and c promises before the record is even read back.
+// Example: a holds epoch 4 with witness b. At 20 s it sends b a request and b answers; a may act until 27.8 s. If b
+// fails, a appends a Continuation to epoch 5 with witness c at 24 s, and c may promise before the record is read
+// back.
 
 package claimer
 
@@ -13,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// How the terms are divided up.
+// Requests sent in one promise term, and renewals in one long term.
 const (
 	promisesPerTerm = 4
 	renewalsPerTerm = 10
@@ -23,8 +24,8 @@
 	return c.options.LongTerm / renewalsPerTerm
 }
 
-// authority judges by the moment of use: a paused process that goes on in the middle of something must find its
-// leases ended without having been told.
+// authority checks the leases at the moment of use, so that a process that was paused in the middle of an operation
+// finds them expired without any event.
 func (c *Claimer) authority(l *claim, now clock.Time) bool {
 	switch {
 	case l.holder != c.options.Self || l.released || !l.verified:
@@ -37,9 +38,10 @@
 	return !l.nextWitnessMayHaveTakenOver(c, now)
 }
 
-// While an own continuation is under way its witness may have read it, and have waited out the promise term from
-// then on. It cannot have read it before it was sent; after that only its own promise keeps it still. Without
-// this check a holder that reads the log late would act on the old witness's promises beside its successor.
+// nextWitnessMayHaveTakenOver reports whether the witness named by this node's unconfirmed Continuation may already
+// have taken over. That witness may have read the record and waited for the promise term since then. It can't have
+// read the record before it was sent; later only its own promise prevents a takeover. Without this check a holder
+// that reads the log late would act on the old witness's promises at the same time as its successor.
 func (l *claim) nextWitnessMayHaveTakenOver(c *Claimer, now clock.Time) bool {
 	if l.nextPromise.witness == "" || now < l.nextPromise.until {
 		return false
@@ -76,8 +78,8 @@
 	return append(effects, Send{To: a.witness, Message: r})
 }
 
-// A promise counts from the sending of the very request that it answers; an answer to an older request would
-// count from the wrong moment, so it is dropped.
+// receivePromise accepts only the answer to the latest request, since a promise counts from the sending of the
+// request that it answers; an answer to an older request would count from a time too late.
 func (c *Claimer) receivePromise(from identifier.Node, p Promise, now clock.Time) []Effect {
 	l := c.byName[p.Name]
 	if l == nil || l.holder != c.options.Self {
@@ -99,9 +101,10 @@
 	return c.tickHolder(l, now, nil)
 }
 
-// continueClaim names a new witness when the old one has been silent for half of the promise term, or has left: in a
-// rolling restart the next planned stop would come before the term's half, and its claims would have no heir at hand.
-// It names no third one before the log has shown what became of the second: each witness named may take over.
+// continueClaim names a new witness if the current one hasn't promised for half of the promise term, or is no longer
+// a member. It doesn't wait for the timeout of a witness that has left: in a rolling restart the next planned stop
+// may come earlier, and the claim would have no successor ready. It names no third witness until the log has shown
+// whether the second is in effect, since each named witness may take over.
 func (c *Claimer) continueClaim(l *claim, now clock.Time, effects []Effect) []Effect {
 	if !c.mayAppend(l, now) {
 		return effects
@@ -131,8 +134,8 @@
 	return c.appendRecord(l, r, now, effects)
 }
 
-// Leave hands all claims over; outstanding is how long anything granted here can still be used. It ends when
-// Left tells so.
+// Leave starts the handover of all claims; outstanding is how long anything granted by this node can still be used.
+// The handover is complete when Left returns true.
 func (c *Claimer) Leave(outstanding clock.Duration, now clock.Time) []Effect {
 	if c.leaving {
 		return nil
@@ -150,7 +153,7 @@
 	return effects
 }
 
-// Left tells that this node has left and holds nothing, as far as it has read.
+// Left reports whether this node is leaving and holds no claim, according to the records that it has read.
 func (c *Claimer) Left() bool {
 	for _, l := range c.claims {
 		if l.known && l.holder == c.options.Self {
@@ -160,8 +163,9 @@
 	return c.leaving
 }
 
-// tickLeaving first lets the heir know, and goes on acting meanwhile. The heir's long term then counts from that
-// notice, which is certainly earlier than the record; an heir without notice must first append a record of its own.
+// tickLeaving first notifies the successor, and the holder keeps its authority meanwhile. The successor's long term
+// then counts from that notice, which precedes the record; a successor without notice must first append a record of
+// its own.
 func (c *Claimer) tickLeaving(l *claim, now clock.Time, effects []Effect) []Effect {
 	if l.successor.witness == "" {
 		l.successor = promiseState{witness: c.pickSuccessor(l), epoch: l.epoch}
@@ -201,7 +205,7 @@
 	return c.outstanding
 }
 
-// SuccessorOf returns the node that a claim of this node goes to when this node leaves, as far as is known now.
+// SuccessorOf returns the node that would get a claim of this node if this node left now.
 func (c *Claimer) SuccessorOf(n Name) (identifier.Node, bool) {
 	l := c.byName[n]
 	if l == nil || l.holder != c.options.Self {
--- a/internal/claimer/messages.go
+++ b/internal/claimer/messages.go
@@ -1,8 +1,9 @@
-// What passes between claimers and onto the log. A record carries who appended it and an attempt number, since
-// the answer to an append can be lost: only reading one's own attempt back tells that it took effect.
+// Messages between claimers, and records on the log. A record contains the node that appended it and an attempt
+// number, since the answer to an append can be lost: only reading its own attempt back shows a node that the append
+// took effect.
 //
-// Example: node a founds Claim{Name: "ids/3", Kind: Found, Epoch: 1, Holder: a, Witness: b}; when a falls silent,
-// b appends Claim{Name: "ids/3", Kind: Takeover, Epoch: 2, Holder: b, Witness: c}.
+// Example: node a appends Claim{Name: "ids/3", Kind: Found, Epoch: 1, Holder: a, Witness: b}; when a stops renewing
+// b's promise, b appends Claim{Name: "ids/3", Kind: Takeover, Epoch: 2, Holder: b, Witness: c}.
 
 package claimer
 
@@ -11,25 +12,26 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Name names something that one node at a time may act for, such as "rates/alfa/2" or "ids/7".
+// Name is the name of a claim, for which one node at a time may act, such as "rates/alfa/2" or "ids/7".
 type Name string
 
-// Kind tells by which right a record was appended.
+// Kind is the right by which a record was appended.
 type Kind uint8
 
 // The rights to append a record.
 const (
-	// Found claims a name of which the log has no record.
+	// Found claims a name of which the appending node has read no record.
 	Found Kind = iota + 1
-	// Renew repeats the current epoch, so that neither the log nor other nodes forget it.
+	// Renew repeats the current epoch, so that the log doesn't drop its last record and other nodes don't seize the
+	// claim.
 	Renew
-	// Takeover is the witness's, after its promise to the holder has ended.
+	// Takeover is appended by the witness after its promise to the holder has expired.
 	Takeover
-	// Continuation is the holder's, with a new witness.
+	// Continuation is appended by the holder to name a new witness.
 	Continuation
-	// Handover is the holder's when it leaves: it names its successor.
+	// Handover is appended by a leaving holder and names its successor.
 	Handover
-	// Seizure is any node's, after the long term without a record.
+	// Seizure is appended by any candidate after the long term without a record.
 	Seizure
 )
 
@@ -50,14 +52,14 @@
 	Epoch   identifier.Epoch
 	Holder  identifier.Node
 	Witness identifier.Node
-	// By is the node that appended the record, Attempt its count of appends.
+	// By is the node that appended the record, and Attempt is that node's number of the append.
 	By      identifier.Node
 	Attempt uint64
-	// After is, in a seizure, the offset of the last record of the name that By had read.
+	// In a Seizure, After is the offset of the last effective record of the name that By had read.
 	After identifier.Offset
-	// Start is, in a founding, the first offset that By could read.
+	// In a Found record, Start is the first offset that By could read.
 	Start identifier.Offset
-	// Outstanding is, in a handover, how long anything granted by the old holder can still be used.
+	// In a Handover, Outstanding is how long anything granted by the old holder can still be used.
 	Outstanding clock.Duration
 }
 
@@ -66,7 +68,7 @@
 	Name   Name
 	Epoch  identifier.Epoch
 	Number uint64
-	// Leaving gives notice that the holder is about to hand over to the node it asks.
+	// Leaving notifies the receiver that the holder is about to hand the claim over to it.
 	Leaving bool
 }
 
@@ -75,29 +77,29 @@
 	Name   Name
 	Epoch  identifier.Epoch
 	Number uint64
-	// Given is false when the witness has read of a newer epoch, or has already set out to take over.
+	// Given is false if the witness has read a newer epoch, or has already tried to append a Takeover.
 	Given bool
 }
 
-// Effect is something for the caller to carry out.
+// Effect is an action that the caller of this package must carry out.
 type Effect interface{ effect() }
 
-// Append puts a record on the platform's log.
+// Append asks the caller to append a record to the platform's log.
 type Append struct{ Record Claim }
 
-// Send passes a PromiseRequest or a Promise to another node.
+// Send asks the caller to send a PromiseRequest or a Promise to another node.
 type Send struct {
 	To      identifier.Node
 	Message any
 }
 
-// Gained tells that this node may act under an epoch; a continuation is told as a further Gained.
+// Gained reports that this node may act under an epoch; a Continuation is reported as a further Gained.
 type Gained struct {
 	Name  Name
 	Epoch identifier.Epoch
 }
 
-// Lost tells that another node holds the claim now, or that this node has stopped in order to hand it over.
+// Lost reports that another node holds the claim now, or that this node has stopped acting in order to hand it over.
 type Lost struct{ Name Name }
 
 func (Append) effect() {}
--- a/internal/claimer/reader.go
+++ b/internal/claimer/reader.go
@@ -1,8 +1,8 @@
-// Every reader folds the records of a name in the order of the log by the same rules, so all agree on the holder
-// of each epoch without asking one another.
+// Every reader applies the records of a name in log order by the same rules, so all agree on the holder of each epoch
+// without further messages.
 //
 // Example: after Claim{Epoch: 4, Holder: a, Witness: b} the records Takeover{Epoch: 5, By: b} and then
-// Continuation{Epoch: 5, By: a} make b the holder of epoch 5; a reads that, in this order, and stops.
+// Continuation{Epoch: 5, By: a} make b the holder of epoch 5; a reads them in this order and stops.
 
 package claimer
 
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// isEffective tells whether the record takes effect after what was read before it.
+// isEffective reports whether the record takes effect after the records read before it.
 func (l *claim) isEffective(r Claim) bool {
 	if !l.known {
 		return true
@@ -31,14 +31,15 @@
 	case Continuation, Handover:
 		return r.By == l.holder
 	case Seizure:
-		// A renewal that landed before the seizure defeats it, even where the seizing node read it late.
+		// A renewal that precedes the seizure on the log defeats it, even if the seizing node read the renewal later.
 		return r.After == l.lastOffset
 	}
 	return false
 }
 
-// A reader whose log began in the middle may have taken a losing record for the winner. Only a node that has read
-// its own victory renews, so a renewal of the same or a newer epoch puts such a reader right.
+// isRenewalEffective also lets a renewal correct a reader that started in the middle of the log and may have applied
+// a record that lost its epoch. Only a node that has read that its own record took effect renews, so a renewal of the
+// same or a newer epoch is correct.
 func (l *claim) isRenewalEffective(r Claim) bool {
 	if r.Epoch == l.epoch && r.Holder == l.holder {
 		return true
@@ -46,7 +47,8 @@
 	return r.Epoch > l.epoch || r.Epoch == l.epoch && !l.verified
 }
 
-// ReadRecord takes the next record of the log; records come in the order of their offsets, perhaps repeated.
+// ReadRecord handles the next record of the log. Records come in order of their offsets; repeated records are
+// ignored.
 func (c *Claimer) ReadRecord(offset identifier.Offset, r Claim, now clock.Time) []Effect {
 	l := c.byName[r.Name]
 	if l == nil {
@@ -92,9 +94,9 @@
 	return effects
 }
 
-// A reader is sure of a chain of records that it has read from a safe beginning: a founding before which it would
-// have seen any other record, or a renewal, by which a node confirms its own victory. Without this a node whose
-// reading skipped its rival's record would take its own losing record for the winner.
+// verifiesChain reports whether the record is a safe start of a chain of records: a Found record before which the
+// reader would have seen any other record of the name, or a renewal, by which a node confirms that its record took
+// effect. Without this check a node that skipped its rival's record would apply its own losing record.
 func (c *Claimer) verifiesChain(l *claim, r Claim) bool {
 	if r.Kind == Renew {
 		return true
@@ -102,7 +104,7 @@
 	return r.Kind == Found && (l.known || c.logStart <= r.Start)
 }
 
-// startEpoch resets what belonged to the epoch before.
+// startEpoch resets the state that belongs to the previous epoch.
 func (c *Claimer) startEpoch(l *claim, r Claim, wasHolder bool, now clock.Time) {
 	if r.Holder != c.options.Self {
 		l.promise = promiseState{}
@@ -128,15 +130,15 @@
 	case r.Kind == Handover:
 		return r.Outstanding
 	case r.Kind == Found && r.Start == 0:
-		return 0 // the log has never forgotten anything, so nobody ever held the name
+		return 0 // the log is complete, so the name never had a holder
 	case c.options.skipsWaitOut(r.Name):
 		return c.options.Margin
 	}
 	return c.options.WaitOut + c.options.Margin
 }
 
-// A record counts from its sending, not from its reading: the long term of everybody else starts when they read
-// it, which is later.
+// extendRecordLease extends the holder's long term. It counts from the sending of the record, since the long term of
+// the other nodes starts when they read it, which is later.
 func (c *Claimer) extendRecordLease(l *claim, r Claim) {
 	sentAt, ok := l.sentAt(r, c.options.Self)
 	if r.Kind == Handover && l.handoverNoticeEpoch == r.Epoch-1 {
@@ -161,8 +163,8 @@
 	return 0, false
 }
 
-// dropLostContinuation forgets an own continuation that lost against another record of its epoch; that record has been
-// applied before, so there is nothing else to do.
+// dropLostContinuation discards this node's Continuation if another record of its epoch took effect first; that
+// record has been applied already.
 func (c *Claimer) dropLostContinuation(l *claim, r Claim) []Effect {
 	if r.By == c.options.Self && r.Epoch == l.nextPromise.epoch && r.Epoch <= l.epoch {
 		l.nextPromise = promiseState{}
--- a/internal/claimer/witness.go
+++ b/internal/claimer/witness.go
@@ -1,8 +1,8 @@
 // A witness promises not to take a claim over for a term, and takes it over when the holder has let the promise
-// run out. It needs no record for that, so the ordinary heartbeat costs the log nothing.
+// expire. This needs no record, so regular heartbeats don't load the log.
 //
-// Example: b promised a at 20.0 s. Nothing comes after that, so at 28.2 s b appends the Takeover; from then on it
-// refuses a's requests, since the record may take effect at any later time, even when the append seemed to fail.
+// Example: b promised a at 20.0 s. No further request arrives, so at 28.2 s b appends the Takeover; from then on it
+// refuses a's requests, since the record may take effect at any later time, even if the append seemed to fail.
 
 package claimer
 
@@ -25,7 +25,7 @@
 	return []Effect{Send{To: from, Message: p}}
 }
 
-// A promise may be given for an epoch that this node hasn't read yet: keeping still is always safe.
+// A promise may be given for an epoch that this node hasn't read yet, since not taking over is always safe.
 func (c *Claimer) mayPromise(l *claim, from identifier.Node, r PromiseRequest) bool {
 	if l.takeoverEpoch > r.Epoch {
 		return false
@@ -37,7 +37,8 @@
 }
 
 func (c *Claimer) tickWitness(l *claim, now clock.Time, effects []Effect) []Effect {
-	// A holder that has just named this node acts on the time since it sent the record, which is before epochAt.
+	// A holder that has just named this node as its witness acts on the time since it sent the record, which is
+	// before epochReadAt.
 	takeoverFrom := max(l.promisedUntil, l.epochReadAt.Add(c.options.PromiseTerm))
 	if c.leaving || now <= takeoverFrom.Add(c.options.Margin) || !c.mayAppend(l, now) {
 		return effects
