--- a/internal/deduplicator/asker.go
+++ b/internal/deduplicator/asker.go
@@ -17,8 +17,8 @@
 // AskerOptions are the parameters of an Asker; the zero value of each number means its default.
 type AskerOptions struct {
 	Node identifier.Node
-	// Patience is how long a call waits for a verdict at most.
-	Patience clock.Duration
+	// VerdictTimeout is how long a call waits for a verdict at most.
+	VerdictTimeout clock.Duration
 	// ReportTerm is how long a report is repeated.
 	ReportTerm clock.Duration
 	// MaxReportBytes bounds the bodies in reports that are still to be repeated.
@@ -27,26 +27,26 @@
 
 // Defaults of AskerOptions, and the rhythm of asking.
 const (
-	DefaultPatience       = 5 * clock.Second
+	DefaultVerdictTimeout = 5 * clock.Second
 	DefaultReportTerm     = 10 * clock.Minute
 	DefaultMaxReportBytes = 32 << 20
 
-	askInterval      = 200 * clock.Millisecond
-	inProgressPause  = 500 * clock.Millisecond
-	movedPause       = 50 * clock.Millisecond
-	reportInterval   = 200 * clock.Millisecond
-	maxReportPause   = 5 * clock.Second
-	unreachableRetry = clock.Second
-	fullRetry        = 30 * clock.Second
+	askInterval             = 200 * clock.Millisecond
+	inProgressRetryInterval = 500 * clock.Millisecond
+	movedRetryInterval      = 50 * clock.Millisecond
+	reportInterval          = 200 * clock.Millisecond
+	maxReportInterval       = 5 * clock.Second
+	unreachableRetryAfter   = clock.Second
+	fullRetryAfter          = 30 * clock.Second
 )
 
 type parked struct {
-	call    CallID
-	request BeginRequest
-	giveUp  clock.Time
-	next    clock.Time
-	// last is the last verdict that didn't end the wait.
-	last Verdict
+	call      CallID
+	request   BeginRequest
+	timeoutAt clock.Time
+	nextAskAt clock.Time
+	// lastVerdict is the last verdict that didn't end the wait.
+	lastVerdict Verdict
 }
 
 // Asker is the reducer of the entry.
@@ -56,14 +56,14 @@
 	// waiting holds the parked calls in the order in which they came.
 	waiting []*parked
 	// running holds the calls that have a permit.
-	running map[CallID]BeginRequest
-	reports []*report
-	bytes   int
+	running     map[CallID]BeginRequest
+	reports     []*report
+	reportBytes int
 }
 
 // NewAsker returns an Asker without calls.
 func NewAsker(o AskerOptions) *Asker {
-	o.Patience = orDefault(o.Patience, DefaultPatience)
+	o.VerdictTimeout = orDefault(o.VerdictTimeout, DefaultVerdictTimeout)
 	o.ReportTerm = orDefault(o.ReportTerm, DefaultReportTerm)
 	o.MaxReportBytes = orDefault(o.MaxReportBytes, DefaultMaxReportBytes)
 	return &Asker{options: o, running: map[CallID]BeginRequest{}}
@@ -78,8 +78,8 @@
 			Claim: ClaimOf(team, id), Team: team, ID: id.Text, Fingerprint: f,
 			Attempt: Attempt{Node: a.options.Node, Number: a.number}, Asked: wall,
 		},
-		giveUp: min(deadline, now.Add(a.options.Patience)),
-		next:   now.Add(askInterval),
+		timeoutAt: min(deadline, now.Add(a.options.VerdictTimeout)),
+		nextAskAt: now.Add(askInterval),
 	}
 	a.waiting = append(a.waiting, p)
 	return []Effect{Send{Claim: p.request.Claim, Message: p.request}}
@@ -91,7 +91,7 @@
 	case BeginAnswer:
 		return a.receiveAnswer(m, now)
 	case ReportAnswer:
-		a.reported(m.Attempt)
+		a.acknowledgeReport(m.Attempt)
 	}
 	return nil
 }
@@ -105,11 +105,11 @@
 	p := a.waiting[i]
 	switch m.Verdict {
 	case InProgress:
-		p.last = InProgress
-		p.next = now.Add(inProgressPause)
+		p.lastVerdict = InProgress
+		p.nextAskAt = now.Add(inProgressRetryInterval)
 		return nil
 	case Moving, NotOwner:
-		p.next = now.Add(movedPause)
+		p.nextAskAt = now.Add(movedRetryInterval)
 		return nil
 	}
 	a.waiting = slices.Delete(a.waiting, i, i+1)
@@ -129,9 +129,9 @@
 	r := Refuse{Call: call, Verdict: v}
 	switch v {
 	case Full:
-		r.RetryAfter = fullRetry
+		r.RetryAfter = fullRetryAfter
 	case InProgress, 0:
-		r.RetryAfter = unreachableRetry
+		r.RetryAfter = unreachableRetryAfter
 	}
 	return r
 }
@@ -176,13 +176,13 @@
 	var effects []Effect
 	kept := a.waiting[:0]
 	for _, p := range a.waiting {
-		if now >= p.giveUp {
-			effects = append(effects, refusal(p.call, p.last))
+		if now >= p.timeoutAt {
+			effects = append(effects, refusal(p.call, p.lastVerdict))
 			effects = append(effects, a.abandon(p.request, now)...)
 			continue
 		}
-		if now >= p.next {
-			p.next = now.Add(askInterval)
+		if now >= p.nextAskAt {
+			p.nextAskAt = now.Add(askInterval)
 			effects = append(effects, Send{Claim: p.request.Claim, Message: p.request})
 		}
 		kept = append(kept, p)
--- a/internal/deduplicator/fuzz_test.go
+++ b/internal/deduplicator/fuzz_test.go
@@ -18,25 +18,25 @@
 	ids []deduplicator.ID
 }
 
-func (f *fuzz) machine(t *rapid.T) *machine {
-	return f.w.machines[rapid.IntRange(0, len(f.w.machines)-1).Draw(t, "machine")]
+func (f *fuzz) node(t *rapid.T) *node {
+	return f.w.nodes[rapid.IntRange(0, len(f.w.nodes)-1).Draw(t, "machine")]
 }
 
-func (f *fuzz) holding(t *rapid.T) *holding {
+func (f *fuzz) claimState(t *rapid.T) *claimState {
 	if len(f.ids) == 0 {
 		t.Skip("no ids")
 	}
 	id := rapid.SampledFrom(f.ids).Draw(t, "id")
-	return f.w.holding(deduplicator.ClaimOf("team", id))
+	return f.w.claimState(deduplicator.ClaimOf("team", id))
 }
 
-func (f *fuzz) takeReady(t *rapid.T) deduplicator.CallID {
-	if len(f.w.ready) == 0 {
+func (f *fuzz) takePermit(t *rapid.T) deduplicator.CallID {
+	if len(f.w.permits) == 0 {
 		t.Skip("no permit")
 	}
-	i := rapid.IntRange(0, len(f.w.ready)-1).Draw(t, "permit")
-	id := f.w.ready[i]
-	f.w.ready = slices.Delete(f.w.ready, i, i+1)
+	i := rapid.IntRange(0, len(f.w.permits)-1).Draw(t, "permit")
+	id := f.w.permits[i]
+	f.w.permits = slices.Delete(f.w.permits, i, i+1)
 	return id
 }
 
@@ -44,7 +44,7 @@
 	if len(f.ids) == 0 {
 		t.Skip("no ids")
 	}
-	f.w.call(f.machine(t), rapid.SampledFrom(f.ids).Draw(t, "id"), fingerprint)
+	f.w.call(f.node(t), rapid.SampledFrom(f.ids).Draw(t, "id"), fingerprint)
 }
 
 func (f *fuzz) actions() map[string]func(*rapid.T) {
@@ -54,44 +54,44 @@
 			ahead := clock.Duration(rapid.IntRange(-3000, 3000).Draw(t, "ahead"))
 			id := w.newID(ahead, rapid.IntRange(0, 2).Draw(t, "kind"))
 			f.ids = append(f.ids, id)
-			w.call(f.machine(t), id, 1)
+			w.call(f.node(t), id, 1)
 		},
 		"retry":       func(t *rapid.T) { f.retry(t, 1) },
 		"retry again": func(t *rapid.T) { f.retry(t, 1) },
 		"other body":  func(t *rapid.T) { f.retry(t, 2) },
 		"run": func(t *rapid.T) {
-			id := f.takeReady(t)
+			id := f.takePermit(t)
 			w.run(id)
 			if rapid.Bool().Draw(t, "ends") {
 				w.finish(id, rapid.IntRange(0, 4).Draw(t, "unknown") == 0)
 			}
 		},
 		"nothing sent": func(t *rapid.T) {
-			id := f.takeReady(t)
+			id := f.takePermit(t)
 			e := w.calls[id].entry
-			w.perform(e, e.asker.Abandon(id, w.now))
+			w.performEffects(e, e.asker.Abandon(id, w.now))
 		},
-		"take over": func(t *rapid.T) { w.take(f.holding(t), f.machine(t)) },
+		"take over": func(t *rapid.T) { w.takeOver(f.claimState(t), f.node(t)) },
 		"hand over": func(t *rapid.T) {
-			h := f.holding(t)
-			if next := f.machine(t); next != h.holder {
+			h := f.claimState(t)
+			if next := f.node(t); next != h.holder {
 				h.next = next
 				w.export(h)
 			}
 		},
 		"replace": func(t *rapid.T) {
-			i := rapid.IntRange(0, len(w.machines)-1).Draw(t, "machine")
-			old := w.machines[i]
-			w.machines[i] = w.start()
+			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "machine")
+			old := w.nodes[i]
+			w.nodes[i] = w.start()
 			for _, c := range append(deduplicator.Claims(""), deduplicator.Claims("north")...) {
 				if h := w.claims[c]; h != nil && h.holder == old {
-					w.take(h, f.machine(t))
+					w.takeOver(h, f.node(t))
 				}
 			}
-			w.ready = slices.DeleteFunc(w.ready, func(c deduplicator.CallID) bool { return w.calls[c].entry == old })
+			w.permits = slices.DeleteFunc(w.permits, func(c deduplicator.CallID) bool { return w.calls[c].entry == old })
 		},
 		"clock": func(t *rapid.T) {
-			f.machine(t).skew = clock.Duration(rapid.IntRange(-250, 250).Draw(t, "skew"))
+			f.node(t).skew = clock.Duration(rapid.IntRange(-250, 250).Draw(t, "skew"))
 		},
 		"loss":      func(t *rapid.T) { w.loss = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "loss") },
 		"wait":      func(t *rapid.T) { w.wait(clock.Duration(rapid.IntRange(1, 1000).Draw(t, "span"))) },
@@ -102,22 +102,22 @@
 
 func (f *fuzz) check(t *rapid.T) {
 	assert.Equal(t, f.w.fault, "")
-	for _, m := range f.w.machines {
+	for _, m := range f.w.nodes {
 		// A handover may bring more than the bound, as nothing that ran may be forgotten.
-		assert.Assert(t, f.w.max > 100 || m.owner.Records() <= f.w.max*len(f.w.machines)*2)
+		assert.Assert(t, f.w.recordBound > 100 || m.owner.Records() <= f.w.recordBound*len(f.w.nodes)*2)
 	}
 }
 
-// heal ends the faults: a fresh id must then run, its retry must get the outcome, and a planned handover must
+// checkRecovery ends the faults: a fresh id must then run, its retry must get the outcome, and a planned handover must
 // leave nothing unknown.
-func (f *fuzz) heal(t *rapid.T) {
+func (f *fuzz) checkRecovery(t *rapid.T) {
 	w := f.w
 	w.loss = 0
 	w.wait(2*window + 25*clock.Second)
 	for _, kind := range []int{0, 1, 2} {
 		id := w.newID(0, kind)
-		h := w.holding(deduplicator.ClaimOf("team", id))
-		w.take(h, w.machines[0])
+		h := w.claimState(deduplicator.ClaimOf("team", id))
+		w.takeOver(h, w.nodes[0])
 		// An opaque id has to wait until nothing that an earlier holder allowed is in the window.
 		w.wait(2 * clock.Second)
 		if kind == 2 {
@@ -125,19 +125,19 @@
 		} else {
 			id = w.newIDFor(h.hold.Claim, kind)
 		}
-		first := w.call(w.machines[1], id, 1)
+		first := w.call(w.nodes[1], id, 1)
 		w.wait(clock.Second)
 		assert.Equal(t, w.verdicts[first], "permit", "kind %d", kind)
-		w.ready = slices.DeleteFunc(w.ready, func(c deduplicator.CallID) bool { return c == first })
+		w.permits = slices.DeleteFunc(w.permits, func(c deduplicator.CallID) bool { return c == first })
 		w.run(first)
 		w.finish(first, false)
 		// A report may go to a node that isn't the owner, more than once.
 		w.wait(4 * clock.Second)
-		h.next = w.machines[1]
+		h.next = w.nodes[1]
 		w.export(h)
 		w.wait(clock.Second)
-		assert.Equal(t, h.holder, w.machines[1])
-		again := w.call(w.machines[2], id, 1)
+		assert.Equal(t, h.holder, w.nodes[1])
+		again := w.call(w.nodes[2], id, 1)
 		w.wait(4 * clock.Second)
 		assert.Equal(t, w.verdicts[again], "replay", "kind %d", kind)
 	}
@@ -159,18 +159,18 @@
 		bound := rapid.SampledFrom([]int{4, 1000}).Draw(t, "bound")
 		f := &fuzz{w: newWorld(rapid.Uint64().Draw(t, "seed"), 4, bound)}
 		t.Repeat(f.actions())
-		f.heal(t)
+		f.checkRecovery(t)
 	})
 }
 
 // An owner at its bound would have to forget an id to take a new one; the forgotten booking would run again.
-func TestBoundRefusesNewIDs(t *testing.T) {
+func TestFullOwnerRefusesNewIDs(t *testing.T) {
 	w := newWorld(1, 1, 2)
-	o := w.machines[0].owner
+	o := w.nodes[0].owner
 	begin := func(id deduplicator.ID, attempt uint64) deduplicator.Verdict {
-		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, First: true}
+		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
 		a := deduplicator.Attempt{Node: "n1", Number: attempt}
-		wall := w.wall(w.machines[0])
+		wall := w.wall(w.nodes[0])
 		return o.Begin(h, "team", id, 1, a, wall, w.now, wall).Verdict
 	}
 	ids := []deduplicator.ID{w.newID(0, 0), w.newID(0, 0), w.newID(0, 0)}
@@ -189,17 +189,17 @@
 	for name, ahead := range map[string]clock.Duration{"callers ahead": deduplicator.DefaultCallerSkew, "on time": 0} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, 2, 10)
-			w.machines[0].skew, w.machines[1].skew = 250, -250
+			w.nodes[0].skew, w.nodes[1].skew = 250, -250
 			id := w.newID(250+ahead, 0)
-			h := w.holding(deduplicator.ClaimOf("team", id))
-			first := w.call(w.machines[0], id, 1)
-			request := w.mail[0]
-			w.mail = nil
+			h := w.claimState(deduplicator.ClaimOf("team", id))
+			first := w.call(w.nodes[0], id, 1)
+			request := w.messages[0]
+			w.messages = nil
 			w.deliver(request)
-			w.take(h, w.machines[1])
+			w.takeOver(h, w.nodes[1])
 			w.wait(200)
 			assert.Equal(t, w.verdicts[first], "permit")
-			again := w.call(w.machines[1], id, 1)
+			again := w.call(w.nodes[1], id, 1)
 			w.wait(clock.Second)
 			assert.Equal(t, w.verdicts[again], "outcomeUnknown")
 		})
@@ -211,19 +211,19 @@
 func TestHandoverOfOlderEpochIsNotUsed(t *testing.T) {
 	w := newWorld(1, 3, 10)
 	id := w.newID(0, 0)
-	h := w.holding(deduplicator.ClaimOf("team", id))
+	h := w.claimState(deduplicator.ClaimOf("team", id))
 	for _, part := range h.holder.owner.Export(h.hold, w.now) {
-		_, complete := w.machines[1].owner.Import(part, w.now)
+		_, complete := w.nodes[1].owner.Import(part, w.now)
 		assert.Assert(t, complete)
 	}
-	w.take(h, w.machines[2])
+	w.takeOver(h, w.nodes[2])
 	w.wait(3 * clock.Second)
 	id = w.newIDFor(h.hold.Claim, 0)
-	first := w.call(w.machines[0], id, 1)
+	first := w.call(w.nodes[0], id, 1)
 	w.wait(clock.Second)
 	assert.Equal(t, w.verdicts[first], "permit")
-	w.take(h, w.machines[1])
-	again := w.call(w.machines[0], id, 1)
+	w.takeOver(h, w.nodes[1])
+	again := w.call(w.nodes[0], id, 1)
 	w.wait(clock.Second)
 	assert.Equal(t, w.verdicts[again], "outcomeUnknown")
 }
@@ -258,7 +258,7 @@
 	for _, teams := range []int{8, 1000} {
 		b.Run(fmt.Sprintf("%d teams", teams), func(b *testing.B) {
 			o := deduplicator.NewOwner(deduplicator.OwnerOptions{MaxRecords: 1 << 30})
-			h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, First: true}
+			h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
 			names := make([]identifier.Team, teams)
 			for i := range names {
 				names[i] = identifier.Team(fmt.Sprintf("team-%d", i))
@@ -280,47 +280,47 @@
 func TestAbandonedIDRunsAgain(t *testing.T) {
 	w := newWorld(1, 2, 10)
 	id := w.newID(0, 0)
-	first := w.call(w.machines[0], id, 1)
+	first := w.call(w.nodes[0], id, 1)
 	w.wait(clock.Second)
 	assert.Equal(t, w.verdicts[first], "permit")
-	w.perform(w.machines[0], w.machines[0].asker.Abandon(first, w.now))
+	w.performEffects(w.nodes[0], w.nodes[0].asker.Abandon(first, w.now))
 	w.wait(clock.Second)
-	again := w.call(w.machines[1], id, 1)
+	again := w.call(w.nodes[1], id, 1)
 	w.wait(clock.Second)
 	assert.Equal(t, w.verdicts[again], "permit")
 }
 
 // An attempt is held up on its way; the caller's retry elsewhere is refused as not run, as there is no room.
 // When there is room again the first attempt arrives, and running it would make that refusal untrue.
-func TestDelayedAttemptStaysOutAfterNotRun(t *testing.T) {
+func TestDelayedAttemptIsRefusedAfterNotRun(t *testing.T) {
 	w := newWorld(1, 1, 1)
-	o := w.machines[0].owner
+	o := w.nodes[0].owner
 	begin := func(id deduplicator.ID, attempt uint64, asked clock.Wall) deduplicator.Judgement {
-		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, First: true}
+		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
 		a := deduplicator.Attempt{Node: "n1", Number: attempt}
-		return o.Begin(h, "team", id, 1, a, asked, w.now, w.wall(w.machines[0]))
+		return o.Begin(h, "team", id, 1, a, asked, w.now, w.wall(w.nodes[0]))
 	}
-	asked := w.wall(w.machines[0])
+	asked := w.wall(w.nodes[0])
 	old := w.newID(-window+2*clock.Second, 0)
 	id := w.newID(0, 0)
 	assert.Equal(t, begin(old, 1, asked).Verdict, deduplicator.Run)
 	w.now += 1000
-	refused := begin(id, 3, w.wall(w.machines[0]))
+	refused := begin(id, 3, w.wall(w.nodes[0]))
 	assert.Assert(t, refused.Verdict == deduplicator.Full && refused.NotRun)
 	w.now += 2000
 	delayed := begin(id, 2, asked)
 	assert.Assert(t, delayed.Verdict == deduplicator.Full && !delayed.NotRun)
-	assert.Equal(t, begin(id, 4, w.wall(w.machines[0])).Verdict, deduplicator.Run)
+	assert.Equal(t, begin(id, 4, w.wall(w.nodes[0])).Verdict, deduplicator.Run)
 }
 
 // An id's record is dropped as too old, and then the owner's clock is set back a little. The id looks young
 // again, and running it would place the order a second time.
-func TestClockSetBackFreesNoID(t *testing.T) {
+func TestClockSetBackKeepsIDExpired(t *testing.T) {
 	w := newWorld(1, 1, 10)
-	o := w.machines[0].owner
+	o := w.nodes[0].owner
 	id := w.newID(0, 0)
 	begin := func(attempt uint64, wall clock.Wall) deduplicator.Verdict {
-		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, First: true}
+		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
 		a := deduplicator.Attempt{Node: "n1", Number: attempt}
 		return o.Begin(h, "team", id, 1, a, wall, w.now, wall).Verdict
 	}
--- a/internal/deduplicator/handover.go
+++ b/internal/deduplicator/handover.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// handoverBytes is about the size of one part.
-	handoverBytes   = 128 << 10
-	handoverRecords = 1000
-	// stagedTerm is how long parts wait for the claim to arrive.
-	stagedTerm = clock.Minute
+	// partBytes is about the size of one part.
+	partBytes      = 128 << 10
+	maxPartRecords = 1000
+	// stagedTimeout is how long parts wait for the claim to arrive.
+	stagedTimeout = clock.Minute
 )
 
 type staged struct {
@@ -43,17 +43,17 @@
 	})
 	part := Handover{
 		Claim: s.claim, Epoch: s.epoch,
-		UnknownUpTo: s.unknownUpTo, OpaqueUntil: s.opaqueUntil, High: s.high, RefusedAt: s.refusedAt,
+		UnknownUpTo: s.unknownUpTo, OpaqueUntil: s.opaqueUntil, LatestWall: s.latestWall, RefusedAt: s.refusedAt,
 	}
 	var parts []Handover
 	bytes := 0
 	for _, r := range records {
-		if len(part.Records) == handoverRecords || bytes > handoverBytes {
+		if len(part.Records) == maxPartRecords || bytes > partBytes {
 			parts = append(parts, part)
 			part.Records = nil
 			bytes = 0
 		}
-		part.Records = append(part.Records, handoverOf(r, now))
+		part.Records = append(part.Records, handoverRecordOf(r, now))
 		if r.outcome != nil {
 			bytes += len(r.outcome.Body)
 		}
@@ -66,10 +66,10 @@
 	return parts
 }
 
-func handoverOf(r *record, now clock.Time) HandoverRecord {
+func handoverRecordOf(r *record, now clock.Time) HandoverRecord {
 	return HandoverRecord{
 		Team: r.key.team, ID: r.key.id, Fingerprint: r.fingerprint, Attempt: r.attempt, State: r.state,
-		Age: now.Sub(r.began), Expires: r.expires, Outcome: r.outcome,
+		Age: now.Sub(r.beganAt), Expires: r.expires, Outcome: r.outcome,
 	}
 }
 
@@ -86,7 +86,7 @@
 	if g.epoch != m.Epoch || g.count != m.Parts {
 		return HandoverAnswer{}, false
 	}
-	if _, again := g.parts[m.Part]; !again {
+	if _, duplicate := g.parts[m.Part]; !duplicate {
 		g.parts[m.Part] = m
 	}
 	g.arrived = now
@@ -94,20 +94,20 @@
 }
 
 // adoptStaged takes a complete handover of the epoch just before; any other one lacks what happened between.
-func (o *Owner) adoptStaged(s *slot, begin identifier.Epoch) bool {
+func (o *Owner) adoptStaged(s *slot, beginEpoch identifier.Epoch) bool {
 	g := o.staged[s.claim]
-	if g == nil || g.epoch+1 > begin {
+	if g == nil || g.epoch+1 > beginEpoch {
 		return false
 	}
 	delete(o.staged, s.claim)
-	if g.epoch+1 != begin || len(g.parts) != g.count {
+	if g.epoch+1 != beginEpoch || len(g.parts) != g.count {
 		return false
 	}
 	for i := range g.count {
 		part := g.parts[i]
 		s.unknownUpTo = part.UnknownUpTo
 		s.opaqueUntil = part.OpaqueUntil
-		s.high = max(s.high, part.High)
+		s.latestWall = max(s.latestWall, part.LatestWall)
 		s.refusedAt = part.RefusedAt
 		for _, r := range part.Records {
 			o.adoptRecord(s, r, g.arrived)
@@ -121,9 +121,9 @@
 	r := &record{
 		key:  recordKey{team: h.Team, id: h.ID},
 		slot: s, fingerprint: h.Fingerprint, attempt: h.Attempt, state: h.State,
-		began: arrived.Add(-h.Age), expires: h.Expires, outcome: h.Outcome,
+		beganAt: arrived.Add(-h.Age), expires: h.Expires, outcome: h.Outcome,
 	}
-	o.add(r)
+	o.addRecord(r)
 	if r.outcome != nil {
 		o.keepBody(r)
 	}
@@ -131,7 +131,7 @@
 
 func (o *Owner) dropStaged(now clock.Time) {
 	for c, g := range o.staged {
-		if now.Sub(g.arrived) > stagedTerm {
+		if now.Sub(g.arrived) > stagedTimeout {
 			delete(o.staged, c)
 		}
 	}
--- a/internal/deduplicator/hold_test.go
+++ b/internal/deduplicator/hold_test.go
@@ -13,7 +13,7 @@
 // An owner that names a new witness goes on in the next epoch. If it forgot what it had allowed, a booking sent again
 // during an ordinary rolling restart would be made twice; and if it kept it over an epoch of another node, an id that
 // the other one allowed would run again.
-func TestHoldGoesOnOverEpochs(t *testing.T) {
+func TestHoldContinuesOverEpochs(t *testing.T) {
 	const text = "0193865f-1c00-7000-8000-00000000000a"
 	id, err := deduplicator.ParseID(text)
 	assert.NilError(t, err)
@@ -22,9 +22,9 @@
 		next deduplicator.Hold
 		want deduplicator.Verdict
 	}{
-		"next epoch of the same hold": {deduplicator.Hold{Epoch: 5, From: 4}, deduplicator.InProgress},
-		"two epochs on":               {deduplicator.Hold{Epoch: 6, From: 4}, deduplicator.InProgress},
-		"another's epoch in between":  {deduplicator.Hold{Epoch: 6, From: 6}, deduplicator.Unknown},
+		"next epoch of the same hold": {deduplicator.Hold{Epoch: 5, SinceEpoch: 4}, deduplicator.InProgress},
+		"two epochs on":               {deduplicator.Hold{Epoch: 6, SinceEpoch: 4}, deduplicator.InProgress},
+		"another's epoch in between":  {deduplicator.Hold{Epoch: 6, SinceEpoch: 6}, deduplicator.Unknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,10 +34,10 @@
 				a := deduplicator.Attempt{Node: node, Number: 1}
 				return o.Begin(h, "captains", id, 1, a, asked, now, asked.Add(clock.Duration(now))).Verdict
 			}
-			first := deduplicator.Hold{Epoch: 4, From: 4, Gained: asked.Add(-clock.Minute)}
+			first := deduplicator.Hold{Epoch: 4, SinceEpoch: 4, Gained: asked.Add(-clock.Minute)}
 			assert.Equal(t, begin(first, "a", 0), deduplicator.Run)
 			c.next.Gained = first.Gained
-			if c.next.From != first.From {
+			if c.next.SinceEpoch != first.SinceEpoch {
 				c.next.Gained = asked.Add(clock.Second)
 			}
 			assert.Equal(t, begin(c.next, "b", 1000), c.want)
--- a/internal/deduplicator/identity.go
+++ b/internal/deduplicator/identity.go
@@ -67,19 +67,19 @@
 	}
 	home, rest, found := strings.Cut(text, ":")
 	if found && home != "" {
-		if at, ok := timeOf(rest); ok {
+		if at, ok := timeOfUUIDv7(rest); ok {
 			t := home + ":" + strings.ToLower(rest)
 			return ID{Text: identifier.Idempotency(t), Home: identifier.FailureDomain(home), Time: at, Timed: true}, nil
 		}
 	}
 	// A caller that writes the same UUID in another case on a retry means the same request.
-	if at, ok := timeOf(text); ok {
+	if at, ok := timeOfUUIDv7(text); ok {
 		return ID{Text: identifier.Idempotency(strings.ToLower(text)), Time: at, Timed: true}, nil
 	}
 	return ID{Text: identifier.Idempotency(text)}, nil
 }
 
-func timeOf(text string) (clock.Wall, bool) {
+func timeOfUUIDv7(text string) (clock.Wall, bool) {
 	if len(text) != uuidLength {
 		return 0, false
 	}
--- a/internal/deduplicator/messages.go
+++ b/internal/deduplicator/messages.go
@@ -87,7 +87,7 @@
 	// UnknownUpTo, OpaqueUntil and High are the bounds of the sender's own knowledge.
 	UnknownUpTo clock.Wall
 	OpaqueUntil clock.Wall
-	High        clock.Wall
+	LatestWall  clock.Wall
 	RefusedAt   clock.Wall
 }
 
--- a/internal/deduplicator/owner.go
+++ b/internal/deduplicator/owner.go
@@ -30,8 +30,8 @@
 	CallerSkew clock.Duration
 	// NodeSkew is the largest difference between the wall clocks of two nodes.
 	NodeSkew clock.Duration
-	// Patience is how long an entry lets an attempt wait, as in AskerOptions.
-	Patience clock.Duration
+	// VerdictTimeout is how long an entry lets an attempt wait, as in AskerOptions.
+	VerdictTimeout clock.Duration
 	// MaxRecords bounds the ids remembered; at the bound new ids are refused.
 	MaxRecords int
 	// MaxBodyBytes bounds the bodies remembered; at the bound the oldest bodies are dropped.
@@ -59,7 +59,7 @@
 	fingerprint Fingerprint
 	attempt     Attempt
 	state       RecordState
-	began       clock.Time
+	beganAt     clock.Time
 	expires     clock.Wall
 	outcome     *Outcome
 }
@@ -73,9 +73,9 @@
 	unknownUpTo clock.Wall
 	// opaqueUntil is when opaque ids that an earlier holder allowed are out of the window.
 	opaqueUntil clock.Wall
-	// high is the latest wall time seen. A clock that is set back must not make an id fresh again whose
+	// latestWall is the latest wall time seen. A clock that is set back must not make an id fresh again whose
 	// record was dropped as too old.
-	high clock.Wall
+	latestWall clock.Wall
 	// refusedAt is when an id was last refused as not run for want of room.
 	refusedAt clock.Wall
 	frozen    bool
@@ -97,7 +97,7 @@
 	o.RunLimit = orDefault(o.RunLimit, DefaultRunLimit)
 	o.CallerSkew = orDefault(o.CallerSkew, DefaultCallerSkew)
 	o.NodeSkew = orDefault(o.NodeSkew, DefaultNodeSkew)
-	o.Patience = orDefault(o.Patience, DefaultPatience)
+	o.VerdictTimeout = orDefault(o.VerdictTimeout, DefaultVerdictTimeout)
 	o.MaxRecords = orDefault(o.MaxRecords, DefaultMaxRecords)
 	o.MaxBodyBytes = orDefault(o.MaxBodyBytes, DefaultMaxBodyBytes)
 	return &Owner{options: o, slots: map[Claim]*slot{}, staged: map[Claim]*staged{}}
@@ -115,19 +115,19 @@
 // allowed in the epoch before would be forgotten and run again.
 func (o *Owner) slotOf(h Hold) *slot {
 	s := o.slots[h.Claim]
-	if s != nil && s.epoch >= h.begin() && s.epoch <= h.Epoch {
+	if s != nil && s.epoch >= h.beginEpoch() && s.epoch <= h.Epoch {
 		s.epoch = h.Epoch
 		return s
 	}
 	if s != nil {
-		o.drop(s)
+		o.dropSlot(s)
 	}
 	s = &slot{claim: h.Claim, epoch: h.Epoch, records: map[recordKey]*record{}}
 	o.slots[h.Claim] = s
-	if o.adoptStaged(s, h.begin()) {
+	if o.adoptStaged(s, h.beginEpoch()) {
 		return s
 	}
-	if !h.First {
+	if !h.FirstHolder {
 		s.unknownUpTo = h.Gained.Add(o.options.CallerSkew + o.options.NodeSkew)
 		s.opaqueUntil = o.opaqueExpiry(h.Gained).Add(o.options.NodeSkew)
 	}
@@ -137,11 +137,11 @@
 // Release forgets a claim that is not held any more.
 func (o *Owner) Release(c Claim) {
 	if s := o.slots[c]; s != nil {
-		o.drop(s)
+		o.dropSlot(s)
 	}
 }
 
-func (o *Owner) drop(s *slot) {
+func (o *Owner) dropSlot(s *slot) {
 	for k, r := range s.records {
 		o.records--
 		o.dropBody(r)
@@ -154,31 +154,31 @@
 // Begin judges an attempt to run an id, first asked for at that time; h must be held at this very moment.
 func (o *Owner) Begin(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, asked clock.Wall, now clock.Time, wall clock.Wall) Judgement {
 	s := o.slotOf(h)
-	s.high = max(s.high, wall)
+	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		return Judgement{Verdict: Moving}
 	}
-	o.sweep(s.high)
+	o.dropExpired(s.latestWall)
 	key := recordKey{team: team, id: id.Text}
 	if r := s.records[key]; r != nil {
-		return o.judgeKnown(r, f, a, now, s.high)
+		return o.judgeKnown(r, f, a, now, s.latestWall)
 	}
 	if v := o.judgeNew(s, id, wall); v != Run {
-		return Judgement{Verdict: v, NotRun: v == FromFuture && o.farAhead(id, wall)}
+		return Judgement{Verdict: v, NotRun: v == FromFuture && o.beyondPendingAttempts(id, wall)}
 	}
-	if j := o.judgeRoom(s, id, asked, wall); j.Verdict != Run {
+	if j := o.judgeCapacity(s, id, asked, wall); j.Verdict != Run {
 		return j
 	}
-	r := &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, began: now}
-	r.expires = o.expiresAt(id, s.high)
-	o.add(r)
+	r := &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now}
+	r.expires = o.expiresAt(id, s.latestWall)
+	o.addRecord(r)
 	return Judgement{Verdict: Run}
 }
 
-// judgeRoom refuses new ids at the bound as not run. An attempt asked for before such a refusal may be of the
+// judgeCapacity refuses new ids at the bound as not run. An attempt asked for before such a refusal may be of the
 // refused id, delayed on its way; allowed later, when there is room, it would make that refusal untrue. An
 // opaque id may have run before the window, so nothing is said of it.
-func (o *Owner) judgeRoom(s *slot, id ID, asked, wall clock.Wall) Judgement {
+func (o *Owner) judgeCapacity(s *slot, id ID, asked, wall clock.Wall) Judgement {
 	if o.records >= o.options.MaxRecords {
 		s.refusedAt = max(s.refusedAt, wall)
 		return Judgement{Verdict: Full, NotRun: id.Timed}
@@ -189,26 +189,26 @@
 	return Judgement{Verdict: Run}
 }
 
-// farAhead tells that no attempt that waits at an entry now can still wait when the id's time is acceptable.
-func (o *Owner) farAhead(id ID, wall clock.Wall) bool {
-	return id.Time > wall.Add(o.options.CallerSkew+o.options.NodeSkew+o.options.Patience)
+// beyondPendingAttempts tells that no attempt that waits at an entry now can still wait when the id's time is acceptable.
+func (o *Owner) beyondPendingAttempts(id ID, wall clock.Wall) bool {
+	return id.Time > wall.Add(o.options.CallerSkew+o.options.NodeSkew+o.options.VerdictTimeout)
 }
 
-func (o *Owner) expiresAt(id ID, high clock.Wall) clock.Wall {
+func (o *Owner) expiresAt(id ID, latestWall clock.Wall) clock.Wall {
 	if id.Timed {
 		return id.Time.Add(o.options.Window)
 	}
-	return o.opaqueExpiry(high)
+	return o.opaqueExpiry(latestWall)
 }
 
 // opaqueExpiry lets the window begin when the permit reaches the entry, at the latest.
-func (o *Owner) opaqueExpiry(high clock.Wall) clock.Wall {
-	return high.Add(o.options.Window + o.options.Patience)
+func (o *Owner) opaqueExpiry(latestWall clock.Wall) clock.Wall {
+	return latestWall.Add(o.options.Window + o.options.VerdictTimeout)
 }
 
-func (o *Owner) judgeKnown(r *record, f Fingerprint, a Attempt, now clock.Time, high clock.Wall) Judgement {
+func (o *Owner) judgeKnown(r *record, f Fingerprint, a Attempt, now clock.Time, latestWall clock.Wall) Judgement {
 	if r.state == StateAbandoned {
-		return o.judgeAbandoned(r, f, a, now, high)
+		return o.judgeAbandoned(r, f, a, now, latestWall)
 	}
 	if r.fingerprint != f {
 		return Judgement{Verdict: Mismatch}
@@ -224,14 +224,14 @@
 		return Judgement{Verdict: Run}
 	}
 	// The entry that got the permit may be gone, and then nobody will ever report.
-	if now.Sub(r.began) > o.options.RunLimit {
+	if now.Sub(r.beganAt) > o.options.RunLimit {
 		r.state = StateUnknown
 		return Judgement{Verdict: Unknown}
 	}
 	return Judgement{Verdict: InProgress}
 }
 
-func (o *Owner) judgeAbandoned(r *record, f Fingerprint, a Attempt, now clock.Time, high clock.Wall) Judgement {
+func (o *Owner) judgeAbandoned(r *record, f Fingerprint, a Attempt, now clock.Time, latestWall clock.Wall) Judgement {
 	if r.attempt == a {
 		// A late copy of a request whose entry has given up: a permit would wait for a report in vain.
 		return Judgement{Verdict: Moving}
@@ -239,9 +239,9 @@
 	r.attempt = a
 	r.fingerprint = f
 	r.state = StateRunning
-	r.began = now
+	r.beganAt = now
 	if id, err := ParseID(string(r.key.id)); err == nil && !id.Timed {
-		r.expires = o.opaqueExpiry(high)
+		r.expires = o.opaqueExpiry(latestWall)
 	}
 	return Judgement{Verdict: Run}
 }
@@ -249,13 +249,13 @@
 // judgeNew tells whether an id without a record can be allowed.
 func (o *Owner) judgeNew(s *slot, id ID, wall clock.Wall) Verdict {
 	if !id.Timed {
-		if s.high <= s.opaqueUntil {
+		if s.latestWall <= s.opaqueUntil {
 			return Unknown
 		}
 		return Run
 	}
 	switch {
-	case id.Time.Add(o.options.Window) < s.high:
+	case id.Time.Add(o.options.Window) < s.latestWall:
 		return Expired
 	case id.Time <= s.unknownUpTo:
 		return Unknown
@@ -269,30 +269,30 @@
 // Finish takes in how an attempt ended. A holder that never heard of the id learns it from that.
 func (o *Owner) Finish(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, outcome Outcome, now clock.Time, wall clock.Wall) bool {
 	s := o.slotOf(h)
-	s.high = max(s.high, wall)
+	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		// The records are under way to the next holder, who gets the report when it is repeated.
 		return false
 	}
-	o.sweep(s.high)
+	o.dropExpired(s.latestWall)
 	key := recordKey{team: team, id: id.Text}
 	r := s.records[key]
 	if r == nil {
-		expires := o.expiresAt(id, s.high)
-		if expires < s.high || o.records >= o.options.MaxRecords {
+		expires := o.expiresAt(id, s.latestWall)
+		if expires < s.latestWall || o.records >= o.options.MaxRecords {
 			return true
 		}
-		r = &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, began: now, expires: expires}
-		o.add(r)
+		r = &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now, expires: expires}
+		o.addRecord(r)
 	}
 	if r.attempt != a && r.state != StateUnknown {
 		return true
 	}
-	o.settle(r, outcome)
+	o.recordOutcome(r, outcome)
 	return true
 }
 
-func (o *Owner) settle(r *record, outcome Outcome) {
+func (o *Owner) recordOutcome(r *record, outcome Outcome) {
 	if r.state == StateDone {
 		return
 	}
@@ -312,7 +312,7 @@
 // Abandon takes in that an attempt sent nothing, so that another one may run.
 func (o *Owner) Abandon(h Hold, team identifier.Team, id ID, a Attempt, wall clock.Wall) bool {
 	s := o.slotOf(h)
-	s.high = max(s.high, wall)
+	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		return false
 	}
@@ -325,7 +325,7 @@
 
 // Tick drops what is out of the window.
 func (o *Owner) Tick(now clock.Time, wall clock.Wall) {
-	o.sweep(wall)
+	o.dropExpired(wall)
 	o.dropStaged(now)
 }
 
@@ -334,8 +334,8 @@
 	return o.records
 }
 
-func (o *Owner) add(r *record) {
+func (o *Owner) addRecord(r *record) {
 	r.slot.records[r.key] = r
 	o.records++
-	heap.Push(&o.expiry, expiring{at: r.expires, record: r})
+	heap.Push(&o.expiry, expiryEntry{at: r.expires, record: r})
 }
--- a/internal/deduplicator/reporter.go
+++ b/internal/deduplicator/reporter.go
@@ -13,21 +13,21 @@
 )
 
 type report struct {
-	attempt Attempt
-	claim   Claim
-	message any
-	until   clock.Time
-	next    clock.Time
-	pause   clock.Duration
+	attempt    Attempt
+	claim      Claim
+	message    any
+	until      clock.Time
+	nextSendAt clock.Time
+	interval   clock.Duration
 }
 
 func (a *Asker) report(claim Claim, message any, now clock.Time) []Effect {
-	r := &report{claim: claim, message: message, until: now.Add(a.options.ReportTerm), pause: reportInterval}
-	r.next = now.Add(r.pause)
+	r := &report{claim: claim, message: message, until: now.Add(a.options.ReportTerm), interval: reportInterval}
+	r.nextSendAt = now.Add(r.interval)
 	switch m := message.(type) {
 	case FinishReport:
 		r.attempt = m.Attempt
-		a.bytes += len(m.Outcome.Body)
+		a.reportBytes += len(m.Outcome.Body)
 	case AbandonReport:
 		r.attempt = m.Attempt
 	}
@@ -38,31 +38,31 @@
 
 func (a *Asker) dropBodies() {
 	for _, r := range a.reports {
-		if a.bytes <= a.options.MaxReportBytes {
+		if a.reportBytes <= a.options.MaxReportBytes {
 			return
 		}
 		m, ok := r.message.(FinishReport)
 		if !ok || len(m.Outcome.Body) == 0 {
 			continue
 		}
-		a.bytes -= len(m.Outcome.Body)
+		a.reportBytes -= len(m.Outcome.Body)
 		m.Outcome.Body = nil
 		m.Outcome.BodyDropped = true
 		r.message = m
 	}
 }
 
-func (a *Asker) reported(attempt Attempt) {
+func (a *Asker) acknowledgeReport(attempt Attempt) {
 	i := slices.IndexFunc(a.reports, func(r *report) bool { return r.attempt == attempt })
 	if i >= 0 {
-		a.forget(a.reports[i])
+		a.releaseReportBytes(a.reports[i])
 		a.reports = slices.Delete(a.reports, i, i+1)
 	}
 }
 
-func (a *Asker) forget(r *report) {
+func (a *Asker) releaseReportBytes(r *report) {
 	if m, ok := r.message.(FinishReport); ok {
-		a.bytes -= len(m.Outcome.Body)
+		a.reportBytes -= len(m.Outcome.Body)
 	}
 }
 
@@ -71,12 +71,12 @@
 	kept := a.reports[:0]
 	for _, r := range a.reports {
 		if now >= r.until {
-			a.forget(r)
+			a.releaseReportBytes(r)
 			continue
 		}
-		if now >= r.next {
-			r.pause = min(2*r.pause, maxReportPause)
-			r.next = now.Add(r.pause)
+		if now >= r.nextSendAt {
+			r.interval = min(2*r.interval, maxReportInterval)
+			r.nextSendAt = now.Add(r.interval)
 			effects = append(effects, Send{Claim: r.claim, Message: r.message})
 		}
 		kept = append(kept, r)
--- a/internal/deduplicator/keeper.go
+++ b/internal/deduplicator/retention.go
@@ -12,38 +12,38 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-type expiring struct {
+type expiryEntry struct {
 	at     clock.Wall
 	record *record
 }
 
-type expiryHeap []expiring
+type expiryHeap []expiryEntry
 
 func (h expiryHeap) Len() int           { return len(h) }
 func (h expiryHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push is for container/heap.
-func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiring)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiryEntry)) }
 
 // Pop is for container/heap.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = expiring{}
+	old[len(old)-1] = expiryEntry{}
 	*h = old[:len(old)-1]
 	return last
 }
 
-// sweep drops the records whose ids their own slot refuses as expired from now on.
-func (o *Owner) sweep(wall clock.Wall) {
+// dropExpired drops the records whose ids their own slot refuses as expired from now on.
+func (o *Owner) dropExpired(wall clock.Wall) {
 	for len(o.expiry) > 0 && o.expiry[0].at < wall {
 		r := o.expiry[0].record
 		if r.slot == nil {
 			heap.Pop(&o.expiry)
 			continue
 		}
-		r.slot.high = max(r.slot.high, wall)
+		r.slot.latestWall = max(r.slot.latestWall, wall)
 		if r.expires >= wall {
 			// An opaque id that was abandoned and begun again.
 			o.expiry[0].at = r.expires
@@ -84,8 +84,8 @@
 	}
 	o.bodies.bytes -= len(r.outcome.Body)
 	// An answer that is being sent may still use the old outcome.
-	without := *r.outcome
-	without.Body = nil
-	without.BodyDropped = true
-	r.outcome = &without
+	withoutBody := *r.outcome
+	withoutBody.Body = nil
+	withoutBody.BodyDropped = true
+	r.outcome = &withoutBody
 }
--- a/internal/deduplicator/types.go
+++ b/internal/deduplicator/types.go
@@ -85,20 +85,20 @@
 type Hold struct {
 	Claim Claim
 	Epoch identifier.Epoch
-	// From is the first of the epochs that the owner has held without a break; 0 stands for Epoch.
-	From identifier.Epoch
+	// SinceEpoch is the first of the epochs that the owner has held without a break; 0 stands for Epoch.
+	SinceEpoch identifier.Epoch
 	// Gained is the owner's wall clock when it gained the claim.
 	Gained clock.Wall
-	// First tells that nobody can have held the claim before.
-	First bool
+	// FirstHolder tells that nobody can have held the claim before.
+	FirstHolder bool
 }
 
-// begin is the epoch in which the unbroken hold began.
-func (h Hold) begin() identifier.Epoch {
-	if h.From == 0 {
+// beginEpoch is the epoch in which the unbroken hold began.
+func (h Hold) beginEpoch() identifier.Epoch {
+	if h.SinceEpoch == 0 {
 		return h.Epoch
 	}
-	return h.From
+	return h.SinceEpoch
 }
 
 // Judgement is a Verdict with what belongs to it.
--- a/internal/deduplicator/world_test.go
+++ b/internal/deduplicator/world_test.go
@@ -29,7 +29,7 @@
 
 const window = clock.Minute
 
-type machine struct {
+type node struct {
 	id    identifier.Node
 	asker *deduplicator.Asker
 	owner *deduplicator.Owner
@@ -37,10 +37,10 @@
 	skew clock.Duration
 }
 
-type holding struct {
-	holder *machine
+type claimState struct {
+	holder *node
 	hold   deduplicator.Hold
-	next   *machine
+	next   *node
 }
 
 type envelope struct {
@@ -52,7 +52,7 @@
 type call struct {
 	id          deduplicator.ID
 	fingerprint deduplicator.Fingerprint
-	entry       *machine
+	entry       *node
 	asked       clock.Time
 	permitted   clock.Time
 }
@@ -67,46 +67,46 @@
 }
 
 type world struct {
-	rand     *rand.Rand
-	now      clock.Time
-	machines []*machine
-	claims   map[deduplicator.Claim]*holding
-	mail     []envelope
-	loss     float64
-	calls    map[deduplicator.CallID]*call
-	ready    []deduplicator.CallID
-	requests map[string]*request
-	started  int
-	fault    string
-	verdicts map[deduplicator.CallID]string
-	max      int
+	rand         *rand.Rand
+	now          clock.Time
+	nodes        []*node
+	claims       map[deduplicator.Claim]*claimState
+	messages     []envelope
+	loss         float64
+	calls        map[deduplicator.CallID]*call
+	permits      []deduplicator.CallID
+	requests     map[string]*request
+	startedNodes int
+	fault        string
+	verdicts     map[deduplicator.CallID]string
+	recordBound  int
 }
 
-func newWorld(seed uint64, machines, maxRecords int) *world {
+func newWorld(seed uint64, nodes, maxRecords int) *world {
 	w := &world{
-		rand: rand.New(rand.NewPCG(seed, 3)), now: 1, max: maxRecords,
-		claims: map[deduplicator.Claim]*holding{}, calls: map[deduplicator.CallID]*call{},
+		rand: rand.New(rand.NewPCG(seed, 3)), now: 1, recordBound: maxRecords,
+		claims: map[deduplicator.Claim]*claimState{}, calls: map[deduplicator.CallID]*call{},
 		requests: map[string]*request{}, verdicts: map[deduplicator.CallID]string{},
 	}
-	for range machines {
-		w.machines = append(w.machines, w.start())
+	for range nodes {
+		w.nodes = append(w.nodes, w.start())
 	}
 	return w
 }
 
-func (w *world) start() *machine {
-	w.started++
-	id := identifier.Node(fmt.Sprintf("n%d", w.started))
-	return &machine{
+func (w *world) start() *node {
+	w.startedNodes++
+	id := identifier.Node(fmt.Sprintf("n%d", w.startedNodes))
+	return &node{
 		id: id, skew: clock.Duration(w.rand.IntN(501) - 250),
 		asker: deduplicator.NewAsker(deduplicator.AskerOptions{Node: id}),
 		owner: deduplicator.NewOwner(deduplicator.OwnerOptions{
-			Window: window, RunLimit: 10 * clock.Second, MaxRecords: w.max, MaxBodyBytes: 40,
+			Window: window, RunLimit: 10 * clock.Second, MaxRecords: w.recordBound, MaxBodyBytes: 40,
 		}),
 	}
 }
 
-func (w *world) wall(m *machine) clock.Wall {
+func (w *world) wall(m *node) clock.Wall {
 	return clock.Wall(1_700_000_000_000 + int64(w.now) + int64(m.skew))
 }
 
@@ -125,10 +125,10 @@
 	return id
 }
 
-func (w *world) call(entry *machine, id deduplicator.ID, f deduplicator.Fingerprint) deduplicator.CallID {
+func (w *world) call(entry *node, id deduplicator.ID, f deduplicator.Fingerprint) deduplicator.CallID {
 	c := deduplicator.CallID(len(w.calls) + 1)
 	w.calls[c] = &call{id: id, fingerprint: f, entry: entry, asked: w.now}
-	w.perform(entry, entry.asker.Ask(c, "team", id, f, w.now.Add(30*clock.Second), w.now, w.wall(entry)))
+	w.performEffects(entry, entry.asker.Ask(c, "team", id, f, w.now.Add(30*clock.Second), w.now, w.wall(entry)))
 	return c
 }
 
@@ -140,13 +140,13 @@
 	return w.requests[key]
 }
 
-func (w *world) perform(m *machine, effects []deduplicator.Effect) {
+func (w *world) performEffects(m *node, effects []deduplicator.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case deduplicator.Send:
 			w.send(m, e)
 		case deduplicator.Permit:
-			w.ready = append(w.ready, e.Call)
+			w.permits = append(w.permits, e.Call)
 			w.verdicts[e.Call] = "permit"
 			w.calls[e.Call].permitted = w.now
 		case deduplicator.Replay:
@@ -195,10 +195,10 @@
 	if !unknown {
 		r.outcome = o.Status
 	}
-	w.perform(c.entry, c.entry.asker.Finish(id, o, w.now))
+	w.performEffects(c.entry, c.entry.asker.Finish(id, o, w.now))
 }
 
-func (w *world) send(from *machine, e deduplicator.Send) {
+func (w *world) send(from *node, e deduplicator.Send) {
 	copies := 1
 	if w.loss > 0 && w.rand.IntN(10) == 0 {
 		copies = 2
@@ -211,12 +211,12 @@
 		if w.loss > 0 && w.rand.IntN(4) == 0 {
 			delay = clock.Duration(w.rand.IntN(20_000))
 		}
-		w.mail = append(w.mail, envelope{due: w.now.Add(delay), from: from.id, send: e})
+		w.messages = append(w.messages, envelope{due: w.now.Add(delay), from: from.id, send: e})
 	}
 }
 
-func (w *world) find(id identifier.Node) *machine {
-	for _, m := range w.machines {
+func (w *world) find(id identifier.Node) *node {
+	for _, m := range w.nodes {
 		if m.id == id {
 			return m
 		}
@@ -224,21 +224,21 @@
 	return nil
 }
 
-func (w *world) holding(c deduplicator.Claim) *holding {
+func (w *world) claimState(c deduplicator.Claim) *claimState {
 	if w.claims[c] == nil {
-		m := w.machines[0]
-		w.claims[c] = &holding{holder: m, hold: deduplicator.Hold{Claim: c, Epoch: 1, Gained: w.wall(m), First: true}}
+		m := w.nodes[0]
+		w.claims[c] = &claimState{holder: m, hold: deduplicator.Hold{Claim: c, Epoch: 1, Gained: w.wall(m), FirstHolder: true}}
 	}
 	return w.claims[c]
 }
 
-// take lets a machine hold a claim at the next epoch; the old holder isn't told.
-func (w *world) take(h *holding, m *machine) {
+// takeOver lets a machine hold a claim at the next epoch; the old holder isn't told.
+func (w *world) takeOver(h *claimState, m *node) {
 	h.holder, h.next = m, nil
 	h.hold = deduplicator.Hold{Claim: h.hold.Claim, Epoch: h.hold.Epoch + 1, Gained: w.wall(m)}
 }
 
-func (w *world) export(h *holding) {
+func (w *world) export(h *claimState) {
 	for _, part := range h.holder.owner.Export(h.hold, w.now) {
 		w.send(h.holder, deduplicator.Send{To: h.next.id, Message: part})
 	}
@@ -246,8 +246,8 @@
 
 func (w *world) wait(span clock.Duration) {
 	for end := w.now.Add(span); w.now < end; w.now++ {
-		due := w.mail
-		w.mail = nil
+		due := w.messages
+		w.messages = nil
 		var rest []envelope
 		for _, e := range due {
 			if e.due > w.now {
@@ -256,7 +256,7 @@
 			}
 			w.deliver(e)
 		}
-		w.mail = append(w.mail, rest...)
+		w.messages = append(w.messages, rest...)
 		if w.now%50 == 0 {
 			w.tick()
 		}
@@ -266,38 +266,38 @@
 func (w *world) deliver(e envelope) {
 	to := w.find(e.send.To)
 	if e.send.Claim != "" {
-		to = w.holding(e.send.Claim).holder
+		to = w.claimState(e.send.Claim).holder
 		if w.rand.IntN(10) == 0 {
-			to = w.machines[w.rand.IntN(len(w.machines))]
+			to = w.nodes[w.rand.IntN(len(w.nodes))]
 		}
 	}
 	if to == nil {
 		return
 	}
 	if answer, ok := e.send.Message.(deduplicator.HandoverAnswer); ok {
-		h := w.holding(answer.Claim)
+		h := w.claimState(answer.Claim)
 		if h.holder == to && h.hold.Epoch == answer.Epoch && h.next != nil {
-			w.take(h, h.next)
+			w.takeOver(h, h.next)
 		}
 		return
 	}
 	if claim, ok := deduplicator.ClaimOfMessage(e.send.Message); ok {
-		h := w.holding(claim)
+		h := w.claimState(claim)
 		hold := h.hold
 		hold.Claim = claim
-		w.perform(to, to.owner.Receive(e.from, e.send.Message, hold, h.holder == to, w.now, w.wall(to)))
+		w.performEffects(to, to.owner.Receive(e.from, e.send.Message, hold, h.holder == to, w.now, w.wall(to)))
 		return
 	}
 	if part, ok := e.send.Message.(deduplicator.Handover); ok {
-		w.perform(to, to.owner.Receive(e.from, part, deduplicator.Hold{}, false, w.now, w.wall(to)))
+		w.performEffects(to, to.owner.Receive(e.from, part, deduplicator.Hold{}, false, w.now, w.wall(to)))
 		return
 	}
-	w.perform(to, to.asker.Receive(e.send.Message, w.now))
+	w.performEffects(to, to.asker.Receive(e.send.Message, w.now))
 }
 
 func (w *world) tick() {
-	for _, m := range w.machines {
-		w.perform(m, m.asker.Tick(w.now))
+	for _, m := range w.nodes {
+		w.performEffects(m, m.asker.Tick(w.now))
 		m.owner.Tick(w.now, w.wall(m))
 	}
 	if w.now%500 != 0 {
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -240,7 +240,7 @@
 			panic(err)
 		}
 		claim := deduplicator.ClaimOf(teamName(0), parsed)
-		hold := deduplicator.Hold{Claim: claim, Epoch: 1, Gained: wall - clock.Wall(clock.Hour), First: true}
+		hold := deduplicator.Hold{Claim: claim, Epoch: 1, Gained: wall - clock.Wall(clock.Hour), FirstHolder: true}
 		a := deduplicator.Attempt{Node: identifier.Node(fmt.Sprintf("01-%08x", i%64)), Number: uint64(i)}
 		begin := deduplicator.BeginRequest{
 			Claim: claim, Team: teamName(0), ID: id, Fingerprint: deduplicator.Fingerprint(i), Attempt: a,
--- a/internal/reducer/hold.go
+++ b/internal/reducer/hold.go
@@ -42,5 +42,5 @@
 	if !ok || g.first == 0 || epoch != g.last {
 		return deduplicator.Hold{}, false
 	}
-	return deduplicator.Hold{Claim: c, Epoch: epoch, From: g.first, Gained: g.wall, First: g.first == firstEpoch}, true
+	return deduplicator.Hold{Claim: c, Epoch: epoch, SinceEpoch: g.first, Gained: g.wall, FirstHolder: g.first == firstEpoch}, true
 }
