--- a/internal/deduplicator/answerer.go
+++ b/internal/deduplicator/answerer.go
@@ -1,5 +1,5 @@
-// The owner's side of the messages. A node that doesn't hold the claim says so, and the entry asks again: it
-// may have had old news of who holds it.
+// The owner's side of the messages. A node that doesn't hold the claim answers NotOwner, and the entry asks again,
+// since its knowledge of the holder may have been outdated.
 //
 // Example: Receive("n1", BeginRequest{…}, hold, true, now, wall) returns Send{To: "n1", BeginAnswer{Run}}.
 
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Receive answers a message to the holder of a claim; held tells whether h is held at this very moment.
+// Receive answers a message to the holder of a claim; held is set if h is held at this time.
 func (o *Owner) Receive(from identifier.Node, message any, h Hold, held bool, now clock.Time, wall clock.Wall) []Effect {
 	switch m := message.(type) {
 	case BeginRequest:
@@ -46,7 +46,7 @@
 	return answer
 }
 
-// ClaimOfMessage returns the claim that a message is about.
+// ClaimOfMessage returns the claim that a message refers to.
 func ClaimOfMessage(message any) (Claim, bool) {
 	switch m := message.(type) {
 	case BeginRequest:
--- a/internal/deduplicator/asker.go
+++ b/internal/deduplicator/asker.go
@@ -1,9 +1,9 @@
-// The entry parks a call with an id until the owner has judged it. Nothing is sent before Permit, so a call
-// that gets no verdict in time has not run by this attempt; but an earlier attempt at another node may have
-// run, and only the owner could tell. Such a refusal must not say "not run".
+// The entry parks a call with an id until the owner has decided. Nothing is sent before Permit, so this attempt of a
+// call that gets no verdict in time has not run. An earlier attempt at another node may have run, however, and only
+// the owner could know. Such a refusal must not state that the request has not run.
 //
-// Example: Ask(7, …) returns Send{BeginRequest}; Receive(BeginAnswer{Run}) returns Permit{7}; Finish(7, …)
-// sends the outcome to the owner until that has it.
+// Example: Ask(7, …) returns Send{BeginRequest}; Receive(BeginAnswer{Run}) returns Permit{7}; after Finish(7, …) the
+// outcome is sent to the owner until it is acknowledged.
 
 package deduplicator
 
@@ -14,18 +14,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// AskerOptions are the parameters of an Asker; the zero value of each number means its default.
+// AskerOptions configures an Asker; the zero value of each number means its default.
 type AskerOptions struct {
 	Node identifier.Node
-	// VerdictTimeout is how long a call waits for a verdict at most.
+	// VerdictTimeout is the longest time that a call waits for a verdict.
 	VerdictTimeout clock.Duration
-	// ReportTerm is how long a report is repeated.
+	// ReportTerm is how long a report without acknowledgement is repeated.
 	ReportTerm clock.Duration
-	// MaxReportBytes bounds the bodies in reports that are still to be repeated.
+	// MaxReportBytes bounds the bodies in reports that are not acknowledged yet.
 	MaxReportBytes int
 }
 
-// Defaults of AskerOptions, and the rhythm of asking.
+// Defaults of AskerOptions, and the intervals of requests and reports.
 const (
 	DefaultVerdictTimeout = 5 * clock.Second
 	DefaultReportTerm     = 10 * clock.Minute
@@ -45,17 +45,17 @@
 	request   BeginRequest
 	timeoutAt clock.Time
 	nextAskAt clock.Time
-	// lastVerdict is the last verdict that didn't end the wait.
+	// lastVerdict is the last InProgress verdict, with which a call is refused when its wait times out.
 	lastVerdict Verdict
 }
 
-// Asker is the reducer of the entry.
+// Asker is the state of the entry's side; create it with NewAsker.
 type Asker struct {
 	options AskerOptions
 	number  uint64
-	// waiting holds the parked calls in the order in which they came.
+	// waiting contains the parked calls in order of arrival.
 	waiting []*parked
-	// running holds the calls that have a permit.
+	// running contains the calls that have a permit and have not ended.
 	running     map[CallID]BeginRequest
 	reports     []*report
 	reportBytes int
@@ -69,7 +69,7 @@
 	return &Asker{options: o, running: map[CallID]BeginRequest{}}
 }
 
-// Ask parks a call until the owner of its id has judged it, or the deadline is near.
+// Ask parks a call until the owner of its id has decided, or until its deadline or the verdict timeout has passed.
 func (a *Asker) Ask(call CallID, team identifier.Team, id ID, f Fingerprint, deadline, now clock.Time, wall clock.Wall) []Effect {
 	a.number++
 	p := &parked{
@@ -85,7 +85,7 @@
 	return []Effect{Send{Claim: p.request.Claim, Message: p.request}}
 }
 
-// Receive takes in an answer of an owner.
+// Receive handles an answer of an owner.
 func (a *Asker) Receive(message any, now clock.Time) []Effect {
 	switch m := message.(type) {
 	case BeginAnswer:
@@ -99,7 +99,7 @@
 func (a *Asker) receiveAnswer(m BeginAnswer, now clock.Time) []Effect {
 	i := slices.IndexFunc(a.waiting, func(p *parked) bool { return p.request.Attempt == m.Attempt })
 	if i < 0 {
-		// Late: the call has its end. A second permit would send it twice.
+		// A late answer: the call has ended or has its permit already, and a second permit would send it twice.
 		return nil
 	}
 	p := a.waiting[i]
@@ -152,7 +152,7 @@
 	}, now)
 }
 
-// Abandon ends a call of which nothing was sent and nothing will be.
+// Abandon ends a call of which nothing was sent and nothing will be sent.
 func (a *Asker) Abandon(call CallID, now clock.Time) []Effect {
 	q, ok := a.running[call]
 	delete(a.running, call)
@@ -171,7 +171,7 @@
 	return a.report(q.Claim, AbandonReport{Claim: q.Claim, Team: q.Team, ID: q.ID, Attempt: q.Attempt}, now)
 }
 
-// Tick asks and reports again, and ends the calls that have waited long enough.
+// Tick repeats due requests and reports, and refuses the calls whose wait has timed out.
 func (a *Asker) Tick(now clock.Time) []Effect {
 	var effects []Effect
 	kept := a.waiting[:0]
@@ -192,7 +192,7 @@
 	return append(effects, a.tickReports(now)...)
 }
 
-// Waiting and Reports return how many calls wait for a verdict, and how many reports for an answer.
+// Waiting returns how many calls wait for a verdict.
 func (a *Asker) Waiting() int { return len(a.waiting) }
 
 // Reports returns how many reports are not acknowledged yet.
--- a/internal/deduplicator/fuzz_test.go
+++ b/internal/deduplicator/fuzz_test.go
@@ -19,7 +19,7 @@
 }
 
 func (f *fuzz) node(t *rapid.T) *node {
-	return f.w.nodes[rapid.IntRange(0, len(f.w.nodes)-1).Draw(t, "machine")]
+	return f.w.nodes[rapid.IntRange(0, len(f.w.nodes)-1).Draw(t, "node")]
 }
 
 func (f *fuzz) claimState(t *rapid.T) *claimState {
@@ -80,7 +80,7 @@
 			}
 		},
 		"replace": func(t *rapid.T) {
-			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "machine")
+			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
 			old := w.nodes[i]
 			w.nodes[i] = w.start()
 			for _, c := range append(deduplicator.Claims(""), deduplicator.Claims("north")...) {
@@ -103,13 +103,13 @@
 func (f *fuzz) check(t *rapid.T) {
 	assert.Equal(t, f.w.fault, "")
 	for _, m := range f.w.nodes {
-		// A handover may bring more than the bound, as nothing that ran may be forgotten.
+		// A handover may exceed the bound, since no id that ran may be dropped.
 		assert.Assert(t, f.w.recordBound > 100 || m.owner.Records() <= f.w.recordBound*len(f.w.nodes)*2)
 	}
 }
 
-// checkRecovery ends the faults: a fresh id must then run, its retry must get the outcome, and a planned handover must
-// leave nothing unknown.
+// checkRecovery ends the faults. A new id must then run, its retry must get the outcome, and a planned handover must
+// leave no id unknown.
 func (f *fuzz) checkRecovery(t *rapid.T) {
 	w := f.w
 	w.loss = 0
@@ -118,7 +118,7 @@
 		id := w.newID(0, kind)
 		h := w.claimState(deduplicator.ClaimOf("team", id))
 		w.takeOver(h, w.nodes[0])
-		// An opaque id has to wait until nothing that an earlier holder allowed is in the window.
+		// An opaque id runs only after the window has passed for all ids that an earlier holder allowed.
 		w.wait(2 * clock.Second)
 		if kind == 2 {
 			w.wait(window + 5*clock.Second)
@@ -131,7 +131,7 @@
 		w.permits = slices.DeleteFunc(w.permits, func(c deduplicator.CallID) bool { return c == first })
 		w.run(first)
 		w.finish(first, false)
-		// A report may go to a node that isn't the owner, more than once.
+		// A report may be sent to a node that isn't the owner, more than once.
 		w.wait(4 * clock.Second)
 		h.next = w.nodes[1]
 		w.export(h)
@@ -152,8 +152,8 @@
 	}
 }
 
-// Callers retry at other nodes while owners crash, are paused and hand over, entries die, clocks differ, and
-// answers are lost. A user would be charged twice, or told "not run" of an order that was placed.
+// Callers retry at other nodes while owners crash, are paused and hand over, entries fail, clocks differ, and answers
+// are lost. A fault would run a request twice, or refuse it as not run although it has run.
 func TestFuzzAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{4, 1000}).Draw(t, "bound")
@@ -163,7 +163,7 @@
 	})
 }
 
-// An owner at its bound would have to forget an id to take a new one; the forgotten booking would run again.
+// An owner at its bound must refuse new ids: if it dropped a record to make room, a retry of that id would run again.
 func TestFullOwnerRefusesNewIDs(t *testing.T) {
 	w := newWorld(1, 1, 2)
 	o := w.nodes[0].owner
@@ -183,8 +183,8 @@
 	assert.Equal(t, begin(w.newID(0, 0), 6), deduplicator.Run)
 }
 
-// An owner whose clock is fast allows an id that is ahead of its time, and crashes; the next owner's clock is
-// slow. A line drawn without the difference of clocks would let the id run again.
+// An owner with a fast clock allows an id that is ahead of its time, and crashes; the next owner's clock is slow. If
+// unknownUpTo ignored the difference of the clocks, the id would run again.
 func TestClockSkewBetweenOwners(t *testing.T) {
 	for name, ahead := range map[string]clock.Duration{"callers ahead": deduplicator.DefaultCallerSkew, "on time": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -206,8 +206,8 @@
 	}
 }
 
-// A handover is complete, but another node takes the claim first and lets an id run. The records handed over
-// lack that id, and using them at a later epoch would run it again.
+// A handover is complete, but another node takes the claim first and allows an id. The records handed over lack that
+// id, and using them at a later epoch would run it again.
 func TestHandoverOfOlderEpochIsNotUsed(t *testing.T) {
 	w := newWorld(1, 3, 10)
 	id := w.newID(0, 0)
@@ -228,7 +228,8 @@
 	assert.Equal(t, w.verdicts[again], "outcomeUnknown")
 }
 
-// A wrong reading of the text would give one request two owners, or take an opaque id's colon for a home.
+// Parsing the text wrongly would give one request two owners, or treat the colon in an opaque id as the end of a
+// home.
 func TestParseID(t *testing.T) {
 	const plain = "0193842f-5c00-7abc-8def-0123456789ab"
 	tests := map[string]struct {
@@ -268,7 +269,7 @@
 			n := 0
 			for b.Loop() {
 				n++
-				// A new id for each team in turn, then three retries of it.
+				// Each team in turn begins a new id and then retries it three times.
 				o.Begin(h, names[n/4%teams], deduplicator.ID{Text: id.Text, Time: id.Time, Timed: true}, 1,
 					deduplicator.Attempt{Node: "n1", Number: uint64(n / 4)}, id.Time, clock.Time(n), id.Time)
 			}
@@ -276,7 +277,7 @@
 	}
 }
 
-// A request that was permitted but never sent must not leave its id unusable: the caller's retry has to run.
+// A request that was permitted but never sent must not block its id: the caller's retry has to run.
 func TestAbandonedIDRunsAgain(t *testing.T) {
 	w := newWorld(1, 2, 10)
 	id := w.newID(0, 0)
@@ -290,8 +291,8 @@
 	assert.Equal(t, w.verdicts[again], "permit")
 }
 
-// An attempt is held up on its way; the caller's retry elsewhere is refused as not run, as there is no room.
-// When there is room again the first attempt arrives, and running it would make that refusal untrue.
+// An attempt is delayed, and the caller's retry elsewhere is refused as not run because there is no room. When there
+// is room again the first attempt arrives, and running it would make that refusal untrue.
 func TestDelayedAttemptIsRefusedAfterNotRun(t *testing.T) {
 	w := newWorld(1, 1, 1)
 	o := w.nodes[0].owner
@@ -313,8 +314,8 @@
 	assert.Equal(t, begin(id, 4, w.wall(w.nodes[0])).Verdict, deduplicator.Run)
 }
 
-// An id's record is dropped as too old, and then the owner's clock is set back a little. The id looks young
-// again, and running it would place the order a second time.
+// An id's record is dropped as expired, and then the owner's clock is set back a little. The id seems valid again,
+// and running it would run the request a second time.
 func TestClockSetBackKeepsIDExpired(t *testing.T) {
 	w := newWorld(1, 1, 10)
 	o := w.nodes[0].owner
--- a/internal/deduplicator/handover.go
+++ b/internal/deduplicator/handover.go
@@ -1,9 +1,9 @@
-// A planned stop must leave no id unknown, so the holder passes its records to its successor before it gives
-// the claim up. From the first part on it decides nothing more in this epoch, whatever becomes of the
-// handover: had it gone on, the successor could use records that lack the ids allowed since.
+// A planned stop must leave no id unknown, so the holder sends its records to its successor before it gives the claim
+// up. Once the first part is exported it decides nothing more in this epoch, whatever becomes of the handover; if it
+// continued, the successor could use records that lack the ids allowed since.
 //
-// Example: h := o.Export(hold, now) freezes the claim; the parts are sent until HandoverAnswer comes; then
-// the claim goes to the successor, whose first Begin at the next epoch takes the records over.
+// Example: parts := o.Export(hold, now) freezes the claim; the parts are sent until HandoverAnswer arrives. Then the
+// claim is handed over, and the successor's first Begin at the next epoch adopts the records.
 
 package deduplicator
 
@@ -16,10 +16,10 @@
 )
 
 const (
-	// partBytes is about the size of one part.
+	// partBytes is the approximate size of the bodies in one part.
 	partBytes      = 128 << 10
 	maxPartRecords = 1000
-	// stagedTimeout is how long parts wait for the claim to arrive.
+	// stagedTimeout is how long received parts are kept for the claim to be handed over.
 	stagedTimeout = clock.Minute
 )
 
@@ -30,7 +30,7 @@
 	arrived clock.Time
 }
 
-// Export freezes a claim and returns its records in parts; called again it returns the same records.
+// Export freezes a claim and returns its records in parts; repeated calls return the same records.
 func (o *Owner) Export(h Hold, now clock.Time) []Handover {
 	s := o.slotOf(h)
 	s.frozen = true
@@ -73,7 +73,7 @@
 	}
 }
 
-// Import takes in one part and tells whether all have arrived.
+// Import stores one part and reports whether all parts have arrived.
 func (o *Owner) Import(m Handover, now clock.Time) (HandoverAnswer, bool) {
 	if m.Part < 0 || m.Part >= m.Parts {
 		return HandoverAnswer{}, false
@@ -93,7 +93,8 @@
 	return HandoverAnswer{Claim: m.Claim, Epoch: m.Epoch}, len(g.parts) == g.count
 }
 
-// adoptStaged takes a complete handover of the epoch just before; any other one lacks what happened between.
+// adoptStaged adopts the records of a complete handover from the epoch just before; any other handover lacks what was
+// decided in between. It reports whether records were adopted.
 func (o *Owner) adoptStaged(s *slot, beginEpoch identifier.Epoch) bool {
 	g := o.staged[s.claim]
 	if g == nil || g.epoch+1 > beginEpoch {
@@ -116,7 +117,7 @@
 	return true
 }
 
-// adoptRecord takes a record even beyond the bound: without it the id could run again.
+// adoptRecord adds a record even beyond MaxRecords, since without it the id could run again.
 func (o *Owner) adoptRecord(s *slot, h HandoverRecord, arrived clock.Time) {
 	r := &record{
 		key:  recordKey{team: h.Team, id: h.ID},
--- a/internal/deduplicator/hold_test.go
+++ b/internal/deduplicator/hold_test.go
@@ -10,9 +10,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// An owner that names a new witness goes on in the next epoch. If it forgot what it had allowed, a booking sent again
-// during an ordinary rolling restart would be made twice; and if it kept it over an epoch of another node, an id that
-// the other one allowed would run again.
+// An owner that names a new witness continues in the next epoch. If it dropped its records then, a booking retried
+// during an ordinary rolling restart would run twice; if it kept them over an epoch of another node, an id that the
+// other node allowed would run again.
 func TestHoldContinuesOverEpochs(t *testing.T) {
 	const text = "0193865f-1c00-7000-8000-00000000000a"
 	id, err := deduplicator.ParseID(text)
--- a/internal/deduplicator/identity.go
+++ b/internal/deduplicator/identity.go
@@ -1,8 +1,9 @@
-// Which node owns an id must follow from the id's text alone, or two nodes with different news would ask two
-// owners. An id that carries its time (UUIDv7) lets a new owner tell whether it may have started before it
-// took over. An id may also name its home: bookings made in a domain then need nothing outside it.
+// The owner of an id must follow from the id's text alone; otherwise two nodes with different knowledge would ask two
+// owners. An id that contains its time (UUIDv7) lets a new owner determine whether the request may have started
+// before it took over. An id may also name its home, a failure domain, so that requests made there need nothing
+// outside of it.
 //
-// Example: "north:01936c2e-…" is owned by the holder of claim "ids/north/17", wherever it is sent.
+// Example: "north:01936c2e-…" is owned by the holder of a claim such as "ids/north/17", at whichever node it arrives.
 
 package deduplicator
 
@@ -19,9 +20,10 @@
 )
 
 const (
-	// Slots is how many claims share the ids of one home. It never changes, or an id would change its owner.
+	// Slots is the number of claims that share the ids of one home. It must never change, since an id would then
+	// change its owner.
 	Slots = 32
-	// MaxIDLength bounds an id's text.
+	// MaxIDLength bounds an id's text, in bytes.
 	MaxIDLength = 128
 
 	uuidLength = 36
@@ -32,27 +34,27 @@
 
 // ID is a parsed idempotency id.
 type ID struct {
-	// Text is the normalized text: a UUID in lower case, all else as it came.
+	// Text is the normalized text: a UUID in lower case, any other text unchanged.
 	Text identifier.Idempotency
 	// Home is the failure domain that the id names, if any.
 	Home identifier.FailureDomain
-	// Time is when the caller made the id; Timed tells that it is known.
+	// Time is when the caller created the id; Timed is set if it is known.
 	Time  clock.Wall
 	Timed bool
 }
 
-// IDError reports a text that can't be an id.
+// IDError reports a text that isn't a valid id.
 type IDError struct {
 	Reason string
 }
 
-// Error says what is wrong.
+// Error returns the reason.
 func (e IDError) Error() string {
 	return fmt.Sprintf("idempotency id: %s", e.Reason)
 }
 
-// ParseID takes the id from a caller's header. Only what is followed by a UUIDv7 counts as a home, so that
-// an opaque id with a colon stays what it is.
+// ParseID parses the id in a caller's header. A prefix counts as a home only before a UUIDv7, so that an opaque id
+// with a colon is left as it is.
 func ParseID(text string) (ID, error) {
 	if text == "" {
 		return ID{}, IDError{Reason: "empty"}
@@ -72,7 +74,7 @@
 			return ID{Text: identifier.Idempotency(t), Home: identifier.FailureDomain(home), Time: at, Timed: true}, nil
 		}
 	}
-	// A caller that writes the same UUID in another case on a retry means the same request.
+	// The same UUID in another case on a retry means the same request.
 	if at, ok := timeOfUUIDv7(text); ok {
 		return ID{Text: identifier.Idempotency(strings.ToLower(text)), Time: at, Timed: true}, nil
 	}
--- a/internal/deduplicator/messages.go
+++ b/internal/deduplicator/messages.go
@@ -1,7 +1,7 @@
-// Every message may be lost, doubled or late. Requests are repeated with the same attempt until they are
+// Every message may be lost, duplicated or delayed. Requests are repeated with the same attempt until they are
 // answered, and the owner gives the same attempt the same answer.
 //
-// Example: BeginRequest{Attempt: {"n1", 7}} twice gives Run twice; {"n2", 3} for the same id, InProgress.
+// Example: BeginRequest{Attempt: {"n1", 7}} sent twice gets Run twice; {"n2", 3} for the same id gets InProgress.
 
 package deduplicator
 
@@ -17,7 +17,7 @@
 	ID          identifier.Idempotency
 	Fingerprint Fingerprint
 	Attempt     Attempt
-	// Asked is the entry's wall clock when the attempt was first asked for.
+	// Asked is the entry's wall clock when it first sent the request for this attempt.
 	Asked clock.Wall
 }
 
@@ -29,7 +29,7 @@
 	NotRun  bool
 }
 
-// FinishReport tells the owner how an attempt ended.
+// FinishReport reports to the owner how an attempt ended.
 type FinishReport struct {
 	Claim       Claim
 	Team        identifier.Team
@@ -39,7 +39,7 @@
 	Outcome     Outcome
 }
 
-// AbandonReport tells the owner that an attempt has sent nothing and never will.
+// AbandonReport reports to the owner that an attempt has sent nothing and never will.
 type AbandonReport struct {
 	Claim   Claim
 	Team    identifier.Team
@@ -47,12 +47,12 @@
 	Attempt Attempt
 }
 
-// ReportAnswer tells that a report on an attempt was taken in.
+// ReportAnswer acknowledges a report on an attempt.
 type ReportAnswer struct {
 	Attempt Attempt
 }
 
-// RecordState is what the owner knows of an id.
+// RecordState is the state of an id's record at its owner.
 type RecordState uint8
 
 // The states of a record.
@@ -60,7 +60,7 @@
 	StateRunning RecordState = iota + 1
 	StateDone
 	StateUnknown
-	// StateAbandoned remembers the attempt that sent nothing, so that its late request gets no permit.
+	// StateAbandoned keeps the attempt that sent nothing, so that a delayed request of it gets no permit.
 	StateAbandoned
 )
 
@@ -80,18 +80,18 @@
 // Handover carries part of a claim's records to the next holder.
 type Handover struct {
 	Claim Claim
-	// Epoch is the sender's; only the holder of the next one may use the records.
+	// Epoch is the sender's epoch; only the holder of the next epoch may use the records.
 	Epoch       identifier.Epoch
 	Part, Parts int
 	Records     []HandoverRecord
-	// UnknownUpTo, OpaqueUntil and High are the bounds of the sender's own knowledge.
+	// UnknownUpTo, OpaqueUntil, LatestWall and RefusedAt are the sender's values of the fields of its slot.
 	UnknownUpTo clock.Wall
 	OpaqueUntil clock.Wall
 	LatestWall  clock.Wall
 	RefusedAt   clock.Wall
 }
 
-// HandoverAnswer tells that the parts of a handover have all arrived.
+// HandoverAnswer reports that all parts of a handover have arrived.
 type HandoverAnswer struct {
 	Claim Claim
 	Epoch identifier.Epoch
--- a/internal/deduplicator/owner.go
+++ b/internal/deduplicator/owner.go
@@ -1,15 +1,16 @@
-// The owner of a claim remembers every id that it allowed to run. It decides only while it holds the claim,
-// and a later holder takes each id that may have been allowed before its time for unknown. That needs no
-// record on the log: the id's own time, or for opaque ids the window, draws the line.
+// The owner of a claim keeps a record of every id that it allowed to run. It decides only while it holds the claim,
+// and a later holder treats each id that may have been allowed earlier as Unknown. This needs no record on the log:
+// the id's own time, or the window for opaque ids, separates the ids that an earlier holder may have allowed from new
+// ones.
 //
-// Why no id is allowed twice. An owner allows an id only if its time is at most CallerSkew ahead of the
-// owner's wall clock, at a moment when it holds the claim. The next holder gains the claim after that moment,
-// and its clock differs by NodeSkew at most. So the id's time is at most Gained + CallerSkew + NodeSkew, and
-// all those ids are Unknown to it. An owner paused between decision and answer changes nothing: the
-// decision was made before the claim was lost.
+// No id is allowed twice, for the following reason. An owner allows an id only if the id's time is at most CallerSkew
+// ahead of the owner's wall clock, and while it holds the claim. The next holder gains the claim later, and its clock
+// differs by at most NodeSkew. So the id's time is at most Gained + CallerSkew + NodeSkew, and the next holder treats
+// all those ids as Unknown. A pause of the owner between decision and answer makes no difference, since the decision
+// was made before the claim was lost.
 //
-// Example: gained at 12:00:00.0 with skews of 1 s and 0.5 s: an id of 12:00:01.4 is Unknown, one of
-// 12:00:01.6 runs.
+// Example: gained at 12:00:00.0 with skews of 1 s and 0.5 s, an id of 12:00:01.4 is Unknown and one of 12:00:01.6
+// runs.
 
 package deduplicator
 
@@ -20,21 +21,21 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// OwnerOptions are the parameters of an Owner; the zero value of each number means its default.
+// OwnerOptions configures an Owner; the zero value of each number means its default.
 type OwnerOptions struct {
-	// Window is how long an id is remembered, counted from its time, or from its beginning where it has none.
+	// Window is how long an id is kept, counted from its time, or from when it was allowed if it has none.
 	Window clock.Duration
-	// RunLimit is how long an attempt may stay without a report before its outcome counts as unknown.
+	// RunLimit is how long an attempt may remain without a report before its outcome counts as unknown.
 	RunLimit clock.Duration
 	// CallerSkew is how far an id's time may be ahead of this node's wall clock.
 	CallerSkew clock.Duration
 	// NodeSkew is the largest difference between the wall clocks of two nodes.
 	NodeSkew clock.Duration
-	// VerdictTimeout is how long an entry lets an attempt wait, as in AskerOptions.
+	// VerdictTimeout is how long an entry lets an attempt wait for a verdict, as in AskerOptions.
 	VerdictTimeout clock.Duration
-	// MaxRecords bounds the ids remembered; at the bound new ids are refused.
+	// MaxRecords bounds the records of ids; at the bound new ids are refused.
 	MaxRecords int
-	// MaxBodyBytes bounds the bodies remembered; at the bound the oldest bodies are dropped.
+	// MaxBodyBytes bounds the bodies of recorded outcomes; at the bound the oldest bodies are dropped.
 	MaxBodyBytes int
 }
 
@@ -64,24 +65,24 @@
 	outcome     *Outcome
 }
 
-// slot is what the owner knows about one claim in one epoch.
+// slot is the owner's state of one claim in one unbroken hold.
 type slot struct {
 	claim   Claim
 	epoch   identifier.Epoch
 	records map[recordKey]*record
 	// unknownUpTo is the latest time of an id that an earlier holder may have allowed.
 	unknownUpTo clock.Wall
-	// opaqueUntil is when opaque ids that an earlier holder allowed are out of the window.
+	// opaqueUntil is when the window has passed for all opaque ids that an earlier holder may have allowed.
 	opaqueUntil clock.Wall
-	// latestWall is the latest wall time seen. A clock that is set back must not make an id fresh again whose
-	// record was dropped as too old.
+	// latestWall is the latest wall time seen. Without it an id whose record was dropped as expired would become
+	// valid again when the clock is set back.
 	latestWall clock.Wall
-	// refusedAt is when an id was last refused as not run for want of room.
+	// refusedAt is when an id was last refused as not run because MaxRecords was reached.
 	refusedAt clock.Wall
 	frozen    bool
 }
 
-// Owner is the reducer of the claims' holder.
+// Owner is the state of the holder's side for all claims; create it with NewOwner.
 type Owner struct {
 	options OwnerOptions
 	slots   map[Claim]*slot
@@ -91,7 +92,7 @@
 	records int
 }
 
-// NewOwner returns an Owner that remembers nothing.
+// NewOwner returns an Owner without records.
 func NewOwner(o OwnerOptions) *Owner {
 	o.Window = orDefault(o.Window, DefaultWindow)
 	o.RunLimit = orDefault(o.RunLimit, DefaultRunLimit)
@@ -110,9 +111,9 @@
 	return v
 }
 
-// slotOf returns the state for a hold, and starts anew where the hold was broken: in between another node may have
-// allowed ids that this one knows nothing of. Epochs of one hold keep the state, for else the ids that this very owner
-// allowed in the epoch before would be forgotten and run again.
+// slotOf returns the state for a hold. It starts with empty state if the hold was interrupted, since another node may
+// have allowed ids in between. Epochs of one unbroken hold share the state; otherwise ids that this owner allowed in
+// the previous epoch would run again.
 func (o *Owner) slotOf(h Hold) *slot {
 	s := o.slots[h.Claim]
 	if s != nil && s.epoch >= h.beginEpoch() && s.epoch <= h.Epoch {
@@ -134,7 +135,7 @@
 	return s
 }
 
-// Release forgets a claim that is not held any more.
+// Release drops the state of a claim that is no longer held.
 func (o *Owner) Release(c Claim) {
 	if s := o.slots[c]; s != nil {
 		o.dropSlot(s)
@@ -151,7 +152,7 @@
 	delete(o.slots, s.claim)
 }
 
-// Begin judges an attempt to run an id, first asked for at that time; h must be held at this very moment.
+// Begin decides on an attempt to run an id. asked is when its entry first asked; h must be held at this time.
 func (o *Owner) Begin(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, asked clock.Wall, now clock.Time, wall clock.Wall) Judgement {
 	s := o.slotOf(h)
 	s.latestWall = max(s.latestWall, wall)
@@ -175,9 +176,9 @@
 	return Judgement{Verdict: Run}
 }
 
-// judgeCapacity refuses new ids at the bound as not run. An attempt asked for before such a refusal may be of the
-// refused id, delayed on its way; allowed later, when there is room, it would make that refusal untrue. An
-// opaque id may have run before the window, so nothing is said of it.
+// judgeCapacity refuses new ids as not run once MaxRecords is reached. An attempt whose entry asked before such a
+// refusal may be a delayed one of the refused id; if it were allowed later, when there is room, the refusal would
+// become untrue. An opaque id may have run before the window, so its refusal doesn't state whether it has run.
 func (o *Owner) judgeCapacity(s *slot, id ID, asked, wall clock.Wall) Judgement {
 	if o.records >= o.options.MaxRecords {
 		s.refusedAt = max(s.refusedAt, wall)
@@ -189,7 +190,8 @@
 	return Judgement{Verdict: Run}
 }
 
-// beyondPendingAttempts tells that no attempt that waits at an entry now can still wait when the id's time is acceptable.
+// beyondPendingAttempts reports whether no attempt that now waits at an entry can still be waiting when the id's time
+// becomes acceptable.
 func (o *Owner) beyondPendingAttempts(id ID, wall clock.Wall) bool {
 	return id.Time > wall.Add(o.options.CallerSkew+o.options.NodeSkew+o.options.VerdictTimeout)
 }
@@ -201,7 +203,8 @@
 	return o.opaqueExpiry(latestWall)
 }
 
-// opaqueExpiry lets the window begin when the permit reaches the entry, at the latest.
+// opaqueExpiry returns when the window of an opaque id ends. The verdict timeout is added because the window begins
+// when the permit reaches the entry, at the latest after that time.
 func (o *Owner) opaqueExpiry(latestWall clock.Wall) clock.Wall {
 	return latestWall.Add(o.options.Window + o.options.VerdictTimeout)
 }
@@ -220,10 +223,10 @@
 		return Judgement{Verdict: Unknown}
 	}
 	if r.attempt == a {
-		// The entry asks again since the answer was lost; it holds the call, so it may run it once.
+		// The entry repeats the request because the answer was lost. It still holds the call, so it may run it once.
 		return Judgement{Verdict: Run}
 	}
-	// The entry that got the permit may be gone, and then nobody will ever report.
+	// The entry that got the permit may have failed, in which case no report will arrive.
 	if now.Sub(r.beganAt) > o.options.RunLimit {
 		r.state = StateUnknown
 		return Judgement{Verdict: Unknown}
@@ -233,7 +236,8 @@
 
 func (o *Owner) judgeAbandoned(r *record, f Fingerprint, a Attempt, now clock.Time, latestWall clock.Wall) Judgement {
 	if r.attempt == a {
-		// A late copy of a request whose entry has given up: a permit would wait for a report in vain.
+		// The request is a late copy from an entry that has abandoned the attempt; after a permit no report would
+		// ever arrive.
 		return Judgement{Verdict: Moving}
 	}
 	r.attempt = a
@@ -246,7 +250,7 @@
 	return Judgement{Verdict: Run}
 }
 
-// judgeNew tells whether an id without a record can be allowed.
+// judgeNew returns Run for an id without a record if it can be allowed, otherwise the reason against it.
 func (o *Owner) judgeNew(s *slot, id ID, wall clock.Wall) Verdict {
 	if !id.Timed {
 		if s.latestWall <= s.opaqueUntil {
@@ -260,18 +264,19 @@
 	case id.Time <= s.unknownUpTo:
 		return Unknown
 	case id.Time > wall.Add(o.options.CallerSkew):
-		// Allowed, it would be later than the line that the next holder draws, and could run again there.
+		// If allowed, the id would be later than the next holder's unknownUpTo and could run again there.
 		return FromFuture
 	}
 	return Run
 }
 
-// Finish takes in how an attempt ended. A holder that never heard of the id learns it from that.
+// Finish records how an attempt ended; a holder without a record of the id creates one. It reports whether the report
+// can be acknowledged.
 func (o *Owner) Finish(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, outcome Outcome, now clock.Time, wall clock.Wall) bool {
 	s := o.slotOf(h)
 	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
-		// The records are under way to the next holder, who gets the report when it is repeated.
+		// The records are being handed over; the next holder gets the report when it is repeated.
 		return false
 	}
 	o.dropExpired(s.latestWall)
@@ -309,7 +314,8 @@
 	o.keepBody(r)
 }
 
-// Abandon takes in that an attempt sent nothing, so that another one may run.
+// Abandon records that an attempt sent nothing, so that another attempt may run. It reports whether the report can be
+// acknowledged.
 func (o *Owner) Abandon(h Hold, team identifier.Team, id ID, a Attempt, wall clock.Wall) bool {
 	s := o.slotOf(h)
 	s.latestWall = max(s.latestWall, wall)
@@ -323,13 +329,13 @@
 	return true
 }
 
-// Tick drops what is out of the window.
+// Tick drops expired records, and handovers that were not adopted in time.
 func (o *Owner) Tick(now clock.Time, wall clock.Wall) {
 	o.dropExpired(wall)
 	o.dropStaged(now)
 }
 
-// Records returns how many ids are remembered.
+// Records returns the number of ids with a record.
 func (o *Owner) Records() int {
 	return o.records
 }
--- a/internal/deduplicator/reporter.go
+++ b/internal/deduplicator/reporter.go
@@ -1,8 +1,8 @@
-// A report is repeated until the owner has it: a lost one would leave the id unknown to the caller's retry.
-// Bodies give way when many owners are out of reach, so that a long outage doesn't fill the memory.
+// A report is repeated until the owner acknowledges it; otherwise the id would be unknown to the caller's retry. If
+// many owners are unreachable, bodies are dropped from reports, so that a long outage doesn't fill the memory.
 //
-// Example: the owner crashed after Run; the report goes to whoever holds the claim next, and the id, unknown
-// there so far, becomes done.
+// Example: the owner crashed after Run; the report goes to the next holder of the claim, where the id was unknown and
+// becomes done.
 
 package deduplicator
 
--- a/internal/deduplicator/retention.go
+++ b/internal/deduplicator/retention.go
@@ -1,8 +1,8 @@
-// What the owner remembers is bounded in number and in bytes. A record must not go before its id is refused
-// as expired, or a retry would run again; so at the bound new ids are refused. Bodies may go early: a retry
-// is then told that the request has run, without the answer's body.
+// The owner's records are bounded in number, and their bodies in bytes. A record must be kept until its id is refused
+// as expired, otherwise a retry would run again; so at the bound new ids are refused. Bodies may be dropped early: a
+// retry then learns that the request has run, without the body of the answer.
 //
-// Example: 200,000 ids in 10 minutes are 333 new ids a second for ever, per owner.
+// Example: 200,000 ids in 10 minutes allow 333 new ids a second indefinitely, per owner.
 
 package deduplicator
 
@@ -23,10 +23,10 @@
 func (h expiryHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiryEntry)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -35,7 +35,7 @@
 	return last
 }
 
-// dropExpired drops the records whose ids their own slot refuses as expired from now on.
+// dropExpired drops the records whose ids their slots refuse as expired from now on.
 func (o *Owner) dropExpired(wall clock.Wall) {
 	for len(o.expiry) > 0 && o.expiry[0].at < wall {
 		r := o.expiry[0].record
@@ -45,7 +45,7 @@
 		}
 		r.slot.latestWall = max(r.slot.latestWall, wall)
 		if r.expires >= wall {
-			// An opaque id that was abandoned and begun again.
+			// The record is of an opaque id that was abandoned and begun again, so it expires later.
 			o.expiry[0].at = r.expires
 			heap.Fix(&o.expiry, 0)
 			continue
@@ -83,7 +83,7 @@
 		return
 	}
 	o.bodies.bytes -= len(r.outcome.Body)
-	// An answer that is being sent may still use the old outcome.
+	// The old outcome is left unchanged, since an answer that is being sent may still use it.
 	withoutBody := *r.outcome
 	withoutBody.Body = nil
 	withoutBody.BodyDropped = true
--- a/internal/deduplicator/types.go
+++ b/internal/deduplicator/types.go
@@ -1,5 +1,5 @@
-// The verdicts say no more than what the owner knows. "Run" is given to one attempt only; all that can't be
-// told apart from "may have run" is Unknown or Expired, which lead to no run.
+// A verdict states only what the owner knows. Run is given to one attempt only; if the owner can't exclude that the
+// request has run, the verdict is Unknown or Expired, and the request is not run.
 //
 // Example: the entry of a retried booking gets Done with the outcome of the first attempt and replays it.
 
@@ -10,13 +10,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// CallID is the caller's handle of a call that waits for a verdict.
+// CallID identifies a call that waits for a verdict.
 type CallID uint64
 
 // Fingerprint is a hash of what the request asks for.
 type Fingerprint uint64
 
-// Attempt names one attempt to run an id: the entry node and a number of its own.
+// Attempt identifies one attempt to run an id: the entry node and a number assigned by it.
 type Attempt struct {
 	Node   identifier.Node
 	Number uint64
@@ -29,23 +29,23 @@
 const (
 	// Run allows this attempt, and no other, to send the request.
 	Run Verdict = iota + 1
-	// InProgress tells that another attempt was allowed to run and hasn't ended.
+	// InProgress means that another attempt was allowed to run and hasn't ended.
 	InProgress
-	// Done tells that the request has run; the outcome comes with it.
+	// Done means that the request has run; the outcome is included.
 	Done
-	// Unknown tells that the request may have run.
+	// Unknown means that the request may have run.
 	Unknown
-	// Expired tells that the id is too old for anyone to know; it may have run.
+	// Expired means that the id is older than the window; the request may have run.
 	Expired
-	// Mismatch tells that the id was used for another request.
+	// Mismatch means that the id was used for another request.
 	Mismatch
-	// FromFuture tells that the id's time is ahead of the owner's clock.
+	// FromFuture means that the id's time is too far ahead of the owner's clock.
 	FromFuture
-	// Full tells that the owner can't remember more ids.
+	// Full means that the owner has no room for the record of another id.
 	Full
-	// Moving tells that the claim is being handed over; ask again.
+	// Moving means that the claim is being handed over and the entry should ask again.
 	Moving
-	// NotOwner tells that the node asked doesn't hold the claim; ask again.
+	// NotOwner means that the node asked doesn't hold the claim and the entry should ask again.
 	NotOwner
 )
 
@@ -54,7 +54,7 @@
 	Mismatch: "mismatch", FromFuture: "fromFuture", Full: "full", Moving: "moving", NotOwner: "notOwner",
 }
 
-// String names the verdict as refusals and the dump do.
+// String returns the verdict's name in refusals and in the dump.
 func (v Verdict) String() string {
 	if v > 0 && int(v) < len(verdictNames) {
 		return verdictNames[v]
@@ -69,31 +69,31 @@
 
 // Outcome is how a request ended.
 type Outcome struct {
-	// Unknown tells that the request was sent and its end wasn't seen.
+	// Unknown is set if the request was sent and its end wasn't observed.
 	Unknown bool
 	Status  int
 	Headers []Header
 	Body    []byte
-	// BodyDropped tells that the body was too large to keep, or had to give way.
+	// BodyDropped is set if the body was larger than MaxBody or was dropped to free memory.
 	BodyDropped bool
 }
 
 // MaxBody is the largest body kept with an outcome.
 const MaxBody = 64 << 10
 
-// Hold is the owner's hold on a claim at the moment of use.
+// Hold describes the owner's hold on a claim at the time of use.
 type Hold struct {
 	Claim Claim
 	Epoch identifier.Epoch
-	// SinceEpoch is the first of the epochs that the owner has held without a break; 0 stands for Epoch.
+	// SinceEpoch is the first of the epochs that the owner has held without interruption; 0 means Epoch.
 	SinceEpoch identifier.Epoch
 	// Gained is the owner's wall clock when it gained the claim.
 	Gained clock.Wall
-	// FirstHolder tells that nobody can have held the claim before.
+	// FirstHolder is set if no other node can have held the claim before.
 	FirstHolder bool
 }
 
-// beginEpoch is the epoch in which the unbroken hold began.
+// beginEpoch returns the epoch in which the unbroken hold began.
 func (h Hold) beginEpoch() identifier.Epoch {
 	if h.SinceEpoch == 0 {
 		return h.Epoch
@@ -101,25 +101,25 @@
 	return h.SinceEpoch
 }
 
-// Judgement is a Verdict with what belongs to it.
+// Judgement is a Verdict with its outcome, if any.
 type Judgement struct {
 	Verdict Verdict
 	Outcome *Outcome
-	// NotRun tells that no attempt with this id has run, and none that was asked for until now will.
+	// NotRun is set if no attempt with this id has run, and none that was asked for until now will run.
 	NotRun bool
 }
 
-// Effect is something that the caller has to do.
+// Effect is an action that the caller of this package must carry out.
 type Effect interface{ effect() }
 
-// Send passes a message to the present holder of a claim, or, where To is set, to that node.
+// Send asks the caller to send a message to the current holder of a claim, or to the node To if that is set.
 type Send struct {
 	To      identifier.Node
 	Claim   Claim
 	Message any
 }
 
-// Permit allows the call to be sent, once.
+// Permit allows the call to be sent once.
 type Permit struct {
 	Call CallID
 }
@@ -130,13 +130,13 @@
 	Outcome *Outcome
 }
 
-// Refuse ends the call without sending anything.
+// Refuse ends the call without sending it.
 type Refuse struct {
 	Call CallID
-	// Verdict is the reason; zero where no owner could be asked.
+	// Verdict is the reason; zero if no owner answered.
 	Verdict Verdict
-	// NotRun tells that no attempt with this id has run, and none that was asked for until now will. Without it
-	// only this attempt is known not to have run; another one of the same id may have, or may yet.
+	// NotRun is set if no attempt with this id has run, and none that was asked for until now will run. If it is not
+	// set, only this attempt is known not to have run; another one of the same id may have run, or may yet run.
 	NotRun     bool
 	RetryAfter clock.Duration
 }
--- a/internal/deduplicator/world_test.go
+++ b/internal/deduplicator/world_test.go
@@ -1,7 +1,7 @@
 package deduplicator_test
 
-// Several entries and owners joined by messages that are lost, doubled and late. The claims themselves are
-// the world's: at each moment one machine holds a claim, at an epoch, and the others may not know.
+// A simulation of several entries and owners with messages that are lost, duplicated and delayed. The simulation
+// assigns the claims itself: at each time one node holds a claim, at an epoch, and the other nodes may not know it.
 
 import (
 	"encoding/binary"
@@ -18,7 +18,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// CI must give the same verdict each time; -rapid.seed still draws anew.
+// TestMain sets a fixed seed, so that CI gets the same result each time, unless -rapid.seed gives another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -33,7 +33,7 @@
 	id    identifier.Node
 	asker *deduplicator.Asker
 	owner *deduplicator.Owner
-	// skew is what its wall clock is ahead of the true time.
+	// skew is how far the node's wall clock is ahead of true time.
 	skew clock.Duration
 }
 
@@ -57,12 +57,12 @@
 	permitted   clock.Time
 }
 
-// request is the oracle's account of one id with one fingerprint.
+// request is the oracle's record of one id with one fingerprint.
 type request struct {
 	runs      int
 	permitted clock.Time
 	outcome   int
-	// notRun is when a refusal last said that it had not run.
+	// notRun is when a refusal last stated that the request had not run.
 	notRun clock.Time
 }
 
@@ -110,7 +110,8 @@
 	return clock.Wall(1_700_000_000_000 + int64(w.now) + int64(m.skew))
 }
 
-// newID returns a UUIDv7 of a caller whose clock is ahead by that much, or an opaque id.
+// newID returns a UUIDv7 of a caller whose clock is ahead by the given duration, one with a home, or an opaque id,
+// for kinds 0, 1 and 2.
 func (w *world) newID(ahead clock.Duration, kind int) deduplicator.ID {
 	var u uuid.UUID
 	binary.BigEndian.PutUint64(u[:8], uint64(1_700_000_000_000+int64(w.now)+int64(ahead))<<16)
@@ -153,13 +154,13 @@
 			w.verdicts[e.Call] = "replay"
 			r := w.requestOf(w.calls[e.Call])
 			if r.outcome == 0 || e.Outcome.Status != r.outcome || e.Outcome.Unknown {
-				w.fault = fmt.Sprintf("replayed %d, recorded %d", e.Outcome.Status, r.outcome)
+				w.fault = fmt.Sprintf("replayed outcome with status %d, recorded status %d", e.Outcome.Status, r.outcome)
 			}
 		case deduplicator.Refuse:
 			w.verdicts[e.Call] = e.Verdict.String()
 			r := w.requestOf(w.calls[e.Call])
 			if e.NotRun && r.runs > 0 {
-				w.fault = fmt.Sprintf("refused as not run (%s), ran %d times", e.Verdict, r.runs)
+				w.fault = fmt.Sprintf("request refused as not run (%s) although it ran %d times", e.Verdict, r.runs)
 			}
 			if e.NotRun {
 				r.notRun = w.now
@@ -168,7 +169,7 @@
 	}
 }
 
-// run sends a permitted request to its backend server.
+// run counts a permitted request as sent to its backend server, and checks that this is allowed.
 func (w *world) run(id deduplicator.CallID) {
 	c := w.calls[id]
 	r := w.requestOf(c)
@@ -180,10 +181,10 @@
 		}
 	}
 	if all > 1 && (c.id.Timed || c.asked.Sub(r.permitted) < window) {
-		w.fault = fmt.Sprintf("%s ran twice", c.id.Text)
+		w.fault = fmt.Sprintf("request %s ran more than once", c.id.Text)
 	}
 	if r.notRun > c.asked {
-		w.fault = fmt.Sprintf("%s ran by an attempt older than a refusal as not run", c.id.Text)
+		w.fault = fmt.Sprintf("request %s ran by an attempt older than a refusal as not run", c.id.Text)
 	}
 	r.permitted = c.permitted
 }
@@ -232,7 +233,7 @@
 	return w.claims[c]
 }
 
-// takeOver lets a machine hold a claim at the next epoch; the old holder isn't told.
+// takeOver makes a node the holder of a claim at the next epoch; the old holder isn't notified.
 func (w *world) takeOver(h *claimState, m *node) {
 	h.holder, h.next = m, nil
 	h.hold = deduplicator.Hold{Claim: h.hold.Claim, Epoch: h.hold.Epoch + 1, Gained: w.wall(m)}
