--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -31,19 +31,19 @@
 		holder  identifier.Node
 		epoch   identifier.Epoch
 	}{
-		"witness takes over":   {[]Claim{found, second}, "y", 2},
-		"second of an epoch":   {[]Claim{found, second, {Kind: Continuation, Epoch: 2, Holder: "x", By: "x"}}, "y", 2},
-		"continuation first":   {[]Claim{found, {Kind: Continuation, Epoch: 2, Holder: "x", Witness: "z", By: "x"}, second}, "x", 2},
-		"takeover by another":  {[]Claim{found, {Kind: Takeover, Epoch: 2, Holder: "z", By: "z"}}, "x", 1},
-		"renewal by a loser":   {[]Claim{found, second, {Kind: Renew, Epoch: 1, Holder: "x", By: "x"}}, "y", 2},
-		"epoch skipped":        {[]Claim{found, {Kind: Takeover, Epoch: 3, Holder: "y", By: "y"}}, "x", 1},
-		"repeated takeover":    {[]Claim{found, second, second}, "y", 2},
-		"handover":             {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "x"}}, "z", 2},
-		"handover by another":  {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "y"}}, "x", 1},
-		"seizure":              {[]Claim{found, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "z", 2},
-		"seizure, but renewed": {[]Claim{found, {Kind: Renew, Epoch: 1, Holder: "x", Witness: "y", By: "x"}, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "x", 1},
-		"found again":          {[]Claim{found, {Kind: Found, Epoch: 1, Holder: "z", By: "z"}}, "x", 1},
-		"found, log forgot":    {[]Claim{found, {Kind: Found, Epoch: 9, Holder: "z", By: "z", Start: 8}}, "z", 9},
+		"witness takes over":             {[]Claim{found, second}, "y", 2},
+		"second record of an epoch":      {[]Claim{found, second, {Kind: Continuation, Epoch: 2, Holder: "x", By: "x"}}, "y", 2},
+		"continuation first":             {[]Claim{found, {Kind: Continuation, Epoch: 2, Holder: "x", Witness: "z", By: "x"}, second}, "x", 2},
+		"takeover by another":            {[]Claim{found, {Kind: Takeover, Epoch: 2, Holder: "z", By: "z"}}, "x", 1},
+		"renewal of a lost epoch":        {[]Claim{found, second, {Kind: Renew, Epoch: 1, Holder: "x", By: "x"}}, "y", 2},
+		"epoch skipped":                  {[]Claim{found, {Kind: Takeover, Epoch: 3, Holder: "y", By: "y"}}, "x", 1},
+		"repeated takeover":              {[]Claim{found, second, second}, "y", 2},
+		"handover":                       {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "x"}}, "z", 2},
+		"handover by another":            {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "y"}}, "x", 1},
+		"seizure":                        {[]Claim{found, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "z", 2},
+		"seizure, but renewed":           {[]Claim{found, {Kind: Renew, Epoch: 1, Holder: "x", Witness: "y", By: "x"}, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "x", 1},
+		"found again":                    {[]Claim{found, {Kind: Found, Epoch: 1, Holder: "z", By: "z"}}, "x", 1},
+		"found, earlier records dropped": {[]Claim{found, {Kind: Found, Epoch: 9, Holder: "z", By: "z", Start: 8}}, "z", 9},
 	}
 	for name, c := range tables {
 		t.Run(name, func(t *testing.T) {
--- a/internal/claimer/options.go
+++ b/internal/claimer/options.go
@@ -18,7 +18,7 @@
 type Options struct {
 	Self   identifier.Node
 	Domain identifier.FailureDomain
-	// Names are the claims for which the members of the own domain are candidates.
+	// Names are the claims for which the members of this node's domain are candidates.
 	Names []Name
 	// PromiseTerm is how long a witness doesn't take the claim over after a promise.
 	PromiseTerm clock.Duration
--- a/internal/deduplicator/hold_test.go
+++ b/internal/deduplicator/hold_test.go
@@ -22,9 +22,9 @@
 		next deduplicator.Hold
 		want deduplicator.Verdict
 	}{
-		"next epoch of the same hold": {deduplicator.Hold{Epoch: 5, SinceEpoch: 4}, deduplicator.InProgress},
-		"two epochs on":               {deduplicator.Hold{Epoch: 6, SinceEpoch: 4}, deduplicator.InProgress},
-		"another's epoch in between":  {deduplicator.Hold{Epoch: 6, SinceEpoch: 6}, deduplicator.Unknown},
+		"next epoch of the same hold":      {deduplicator.Hold{Epoch: 5, SinceEpoch: 4}, deduplicator.InProgress},
+		"two epochs on":                    {deduplicator.Hold{Epoch: 6, SinceEpoch: 4}, deduplicator.InProgress},
+		"epoch of another node in between": {deduplicator.Hold{Epoch: 6, SinceEpoch: 6}, deduplicator.Unknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/granter/bank_test.go
+++ b/internal/granter/bank_test.go
@@ -86,7 +86,7 @@
 		m.Number = 2
 		q, ok := firstMessage[granter.LoanRequest](h.Receive("c", m, at))
 		assert.Check(t, ok)
-		assert.Equal(t, len(q.Held), held, "at %d", at)
+		assert.Equal(t, len(q.Held), held, "held loans reported at %d ms", at)
 		m.Number = 1
 	}
 }
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -1,4 +1,4 @@
-// These tests measure how much of a team's rate is served, and log the figures.
+// These tests measure how much of a team's rate is served. The design note quotes the figures that they log.
 
 package granter_test
 
@@ -63,7 +63,7 @@
 					}
 					ratio := float64(b.served) / float64(entitled)
 					t.Logf("%s load %d%% %s: served ÷ entitled %.3f", name, percent, team.Name, ratio)
-					assert.Check(t, ratio >= 0.95, "%s at %d%%: %.3f", team.Name, percent, ratio)
+					assert.Check(t, ratio >= 0.95, "team %s at %d%% load: served ÷ entitled is %.3f, below the required ratio", team.Name, percent, ratio)
 				}
 				t.Logf("%s load %d%%: %.0f messages per node and second, %.2f appends per second", name, percent,
 					float64(f.sent()-sent)/8/seconds, float64(f.appends-appends)/seconds)
@@ -137,7 +137,7 @@
 				b := f.oracle[team]
 				ratio := float64(b.served) / float64(b.offered)
 				t.Logf("%s, %s: served ÷ entitled %.3f", name, team, ratio)
-				assert.Check(t, ratio >= c.floor, "%s: %.3f", team, ratio)
+				assert.Check(t, ratio >= c.floor, "team %s: served ÷ entitled is %.3f, below the required ratio", team, ratio)
 			}
 			assert.DeepEqual(t, f.faults, []string(nil))
 		})
--- a/internal/granter/options.go
+++ b/internal/granter/options.go
@@ -33,7 +33,7 @@
 	SliceTerm clock.Duration
 	// LoanTerm is how long a loan may be outstanding unless it is extended.
 	LoanTerm clock.Duration
-	// WaitBound is the longest that a call is parked.
+	// WaitBound is the longest time that a call is parked.
 	WaitBound clock.Duration
 	// Lookahead is the time whose expected demand a purse keeps in tokens.
 	Lookahead clock.Duration
--- a/internal/granter/purse_test.go
+++ b/internal/granter/purse_test.go
@@ -81,7 +81,7 @@
 // A lender has its share back two seconds after its answer. A borrower that counted from the arrival of the answer
 // would still grant from the loan, and both would spend the same share.
 func TestLoanTermCountsFromRequest(t *testing.T) {
-	for arrival, lives := range map[clock.Time]bool{1010: true, 2449: true, 2451: false} {
+	for arrival, loanUsable := range map[clock.Time]bool{1010: true, 2449: true, 2451: false} {
 		g := newGranter(1, "a", true)
 		g.SetTeams([]definer.Team{{Name: "team0", Rate: 1000, Burst: 8000}},
 			[]definer.DomainShare{{Domain: "alfa", PerMille: 500}, {Domain: "bravo", PerMille: 500}}, nil, 2, 0)
@@ -93,7 +93,7 @@
 		g.Receive("b", m, arrival)
 		g.Receive("b", m, arrival)
 		a := g.Dump(arrival).Accounts[0]
-		assert.Equal(t, a.BorrowedCap == 4000, lives, "%d: %+v", arrival, a)
+		assert.Equal(t, a.BorrowedCap == 4000, loanUsable, "after a loan that arrived at %d ms: %+v", arrival, a)
 		assert.Check(t, a.Bucket <= 8000)
 	}
 }
