--- a/internal/granter/dump.go
+++ b/internal/granter/dump.go
@@ -52,7 +52,7 @@
 	Slot   int
 	Node   identifier.Node
 	Epoch  identifier.Epoch
-	// Silent is set while other banks are asked because this holder's answers failed to arrive.
+	// Silent is set while other banks are asked because this holder did not answer, or answered NotHolder.
 	Silent bool
 }
 
