--- a/internal/claimer/reader.go
+++ b/internal/claimer/reader.go
@@ -96,7 +96,7 @@
 
 // verifiesChain reports whether the record is a safe start of a chain of records: a Found record before which the
 // reader would have seen any other record of the name, or a renewal, by which a node confirms that its record took
-// effect. Without this check a node that skipped its rival's record would apply its own losing record.
+// effect. Without this check a node that skipped its rival's record would act on its own losing record.
 func (c *Claimer) verifiesChain(l *claim, r Claim) bool {
 	if r.Kind == Renew {
 		return true
