--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -1,5 +1,5 @@
-// The rules by which all readers judge the records of a claim alike, and the moments from which leases count. The
-// claims under faults are fuzzed together with the rates, in package granter.
+// Tests of the rules by which all readers agree on the holder of a claim, and of the times from which leases count.
+// Claims under faults are fuzzed together with the rates, in package granter.
 
 package claimer
 
@@ -20,9 +20,10 @@
 	return c
 }
 
-// Two operators' screens, or two nodes, that name different holders for one claim: each reader must fold the same
-// records to the same holder, whatever was appended late, twice, or by a node that had missed something.
-func TestReadersJudgeByTheOrderOfTheLog(t *testing.T) {
+// If readers disagreed, two nodes could act for one claim, and operators would see different holders. All readers
+// must derive the same holder from the same records, whatever was appended late, twice, or by a node that had missed
+// records.
+func TestRecordsTakeEffectInLogOrder(t *testing.T) {
 	found := Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "y", By: "x"}
 	second := Claim{Name: "n", Kind: Takeover, Epoch: 2, Holder: "y", Witness: "z", By: "y"}
 	tables := map[string]struct {
@@ -30,19 +31,19 @@
 		holder  identifier.Node
 		epoch   identifier.Epoch
 	}{
-		"witness takes over":   {[]Claim{found, second}, "y", 2},
-		"second of an epoch":   {[]Claim{found, second, {Kind: Continuation, Epoch: 2, Holder: "x", By: "x"}}, "y", 2},
-		"continuation first":   {[]Claim{found, {Kind: Continuation, Epoch: 2, Holder: "x", Witness: "z", By: "x"}, second}, "x", 2},
-		"takeover by another":  {[]Claim{found, {Kind: Takeover, Epoch: 2, Holder: "z", By: "z"}}, "x", 1},
-		"renewal by a loser":   {[]Claim{found, second, {Kind: Renew, Epoch: 1, Holder: "x", By: "x"}}, "y", 2},
-		"epoch skipped":        {[]Claim{found, {Kind: Takeover, Epoch: 3, Holder: "y", By: "y"}}, "x", 1},
-		"repeated takeover":    {[]Claim{found, second, second}, "y", 2},
-		"handover":             {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "x"}}, "z", 2},
-		"handover by another":  {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "y"}}, "x", 1},
-		"seizure":              {[]Claim{found, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "z", 2},
-		"seizure, but renewed": {[]Claim{found, {Kind: Renew, Epoch: 1, Holder: "x", Witness: "y", By: "x"}, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "x", 1},
-		"found again":          {[]Claim{found, {Kind: Found, Epoch: 1, Holder: "z", By: "z"}}, "x", 1},
-		"found, log forgot":    {[]Claim{found, {Kind: Found, Epoch: 9, Holder: "z", By: "z", Start: 8}}, "z", 9},
+		"witness takes over":             {[]Claim{found, second}, "y", 2},
+		"second record of an epoch":      {[]Claim{found, second, {Kind: Continuation, Epoch: 2, Holder: "x", By: "x"}}, "y", 2},
+		"continuation first":             {[]Claim{found, {Kind: Continuation, Epoch: 2, Holder: "x", Witness: "z", By: "x"}, second}, "x", 2},
+		"takeover by another":            {[]Claim{found, {Kind: Takeover, Epoch: 2, Holder: "z", By: "z"}}, "x", 1},
+		"renewal of a lost epoch":        {[]Claim{found, second, {Kind: Renew, Epoch: 1, Holder: "x", By: "x"}}, "y", 2},
+		"epoch skipped":                  {[]Claim{found, {Kind: Takeover, Epoch: 3, Holder: "y", By: "y"}}, "x", 1},
+		"repeated takeover":              {[]Claim{found, second, second}, "y", 2},
+		"handover":                       {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "x"}}, "z", 2},
+		"handover by another":            {[]Claim{found, {Kind: Handover, Epoch: 2, Holder: "z", By: "y"}}, "x", 1},
+		"seizure":                        {[]Claim{found, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "z", 2},
+		"seizure, but renewed":           {[]Claim{found, {Kind: Renew, Epoch: 1, Holder: "x", Witness: "y", By: "x"}, {Kind: Seizure, Epoch: 2, Holder: "z", By: "z", After: 0}}, "x", 1},
+		"found again":                    {[]Claim{found, {Kind: Found, Epoch: 1, Holder: "z", By: "z"}}, "x", 1},
+		"found, earlier records dropped": {[]Claim{found, {Kind: Found, Epoch: 9, Holder: "z", By: "z", Start: 8}}, "z", 9},
 	}
 	for name, c := range tables {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +51,7 @@
 			for i, record := range c.records {
 				record.Name = "n"
 				r.ReadRecord(identifier.Offset(i), record, 0)
-				r.ReadRecord(0, second, 0) // repeated by a peer's tail
+				r.ReadRecord(0, second, 0) // repeated in the log tail sent by a peer
 			}
 			holder, epoch, _ := r.HolderOf("n")
 			assert.Equal(t, holder, c.holder)
@@ -59,9 +60,9 @@
 	}
 }
 
-// The answer of a busy witness comes late. Its promise may be over soon by then, and the witness will act on the
-// claim; a holder that counted from the answer would act beside it.
-func TestPromiseCountsFromItsRequest(t *testing.T) {
+// A busy witness answers late. Its promise may end soon after, and then the witness takes the claim over; a holder
+// that counted from the answer would act at the same time.
+func TestPromiseTermCountsFromRequest(t *testing.T) {
 	for answered, held := range map[clock.Time]bool{2000: true, 9000: false} {
 		c := newClaimer("a")
 		var record Claim
@@ -77,21 +78,21 @@
 		_, ok := c.Holds("n", answered)
 		assert.Equal(t, ok, held)
 		_, ok = c.Holds("n", 8799)
-		assert.Check(t, ok, "7.8 s from the request at 1 s")
+		assert.Check(t, ok, "the promise lasts 7.8 s from the request at 1 s")
 		_, ok = c.Holds("n", 8800)
 		assert.Check(t, !ok)
 	}
 }
 
-// A node that begins to read in the middle of the log takes the loser of an epoch for the winner, until the winner
-// renews. It must not act, or promise wrongly, on what it is not sure of.
-func TestUnsureReaderActsOnNothing(t *testing.T) {
+// A node that starts to read in the middle of the log may apply a record that lost its epoch, until the winner
+// renews. It must not act on, or promise wrongly from, a chain of records that it hasn't verified.
+func TestUnverifiedReaderHasNoAuthority(t *testing.T) {
 	c := newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
-	take := c.Tick(20_000)[0].(Append).Record
+	takeover := c.Tick(20_000)[0].(Append).Record
 	c.SkipRecords(50, 20_100)
-	assert.Equal(t, len(c.ReadRecord(50, take, 20_200)), 0)
-	c.Receive(take.Witness, Promise{Name: "n", Epoch: 2, Number: 1, Given: true}, 20_300)
+	assert.Equal(t, len(c.ReadRecord(50, takeover, 20_200)), 0)
+	c.Receive(takeover.Witness, Promise{Name: "n", Epoch: 2, Number: 1, Given: true}, 20_300)
 	_, ok := c.Holds("n", 24_000)
 	assert.Check(t, !ok)
 	c.ReadRecord(51, Claim{Name: "n", Kind: Renew, Epoch: 2, Holder: "x", Witness: "b", By: "x"}, 24_100)
@@ -99,53 +100,53 @@
 	assert.Equal(t, holder, identifier.Node("x"))
 }
 
-// holding returns a claimer at a that took n over and has a promise counted from 9100.
-func holding(t *testing.T) (c *Claimer, witness identifier.Node, number uint64) {
+// newHolder returns a claimer at a that took n over and has a promise that counts from 9100.
+func newHolder(t *testing.T) (c *Claimer, witness identifier.Node, number uint64) {
 	c = newClaimer("a")
 	c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
-	take := c.Tick(9000)[0].(Append).Record
-	q := c.ReadRecord(1, take, 9100)[0].(Send)
+	takeover := c.Tick(9000)[0].(Append).Record
+	q := c.ReadRecord(1, takeover, 9100)[0].(Send)
 	number = q.Message.(PromiseRequest).Number
 	c.Receive(q.To, Promise{Name: "n", Epoch: 2, Number: number, Given: true}, 9110)
 	_, ok := c.Holds("n", 13_000)
-	assert.Check(t, ok, "after the wait-out")
+	assert.Check(t, ok, "the holder has authority after the wait-out")
 	return c, q.To, number
 }
 
-// The witness is slow, so the holder names another one, but its record is slow as well. The new witness may read the
-// record first and take over eight seconds later, while the old witness answers again; two nodes would act.
-func TestPromisesOfTheOldWitnessEndWithTheContinuation(t *testing.T) {
-	c, witness, old := holding(t)
-	var named clock.Time
+// The holder replaces a slow witness, but its Continuation is delayed as well. The new witness may read the record
+// first and take over eight seconds later, while the old witness answers again; both nodes would act.
+func TestOldWitnessPromisesEndAfterContinuation(t *testing.T) {
+	c, witness, firstNumber := newHolder(t)
+	var continuationSentAt clock.Time
 	for now := clock.Time(13_000); now < 30_000; now += 100 {
 		for _, e := range c.Tick(now) {
 			s, ok := e.(Send)
 			switch {
-			case !ok && named == 0 && e.(Append).Record.Kind == Continuation:
-				named = now
+			case !ok && continuationSentAt == 0 && e.(Append).Record.Kind == Continuation:
+				continuationSentAt = now
 			case ok && s.To == witness && now > 13_500:
 				c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: s.Message.(PromiseRequest).Number, Given: true}, now)
 			}
 		}
-		c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: old, Given: true}, now)
+		c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: firstNumber, Given: true}, now)
 		_, ok := c.Holds("n", now)
-		assert.Equal(t, ok, named == 0 || now < named+7800, "at %d, named at %d", now, named)
+		assert.Equal(t, ok, continuationSentAt == 0 || now < continuationSentAt+7800, "at %d ms; continuation sent at %d ms", now, continuationSentAt)
 	}
-	assert.Check(t, named > 0)
+	assert.Check(t, continuationSentAt > 0)
 }
 
-// A late answer to an earlier request must not count from a later one.
-func TestOnlyTheLatestRequestIsAnswered(t *testing.T) {
-	c, witness, old := holding(t)
+// A late answer to an earlier request must not extend the lease as if it answered a later one.
+func TestPromiseForEarlierRequestIsIgnored(t *testing.T) {
+	c, witness, firstNumber := newHolder(t)
 	c.Tick(14_000)
-	c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: old, Given: true}, 14_010)
+	c.Receive(witness, Promise{Name: "n", Epoch: 2, Number: firstNumber, Given: true}, 14_010)
 	_, ok := c.Holds("n", 17_000)
 	assert.Check(t, !ok)
 }
 
-// An heir that read the handover late would count its long term from a later moment than the nodes that may seize
-// the claim; without a notice from before the record it has to append one of its own.
-func TestHeirCountsFromItsNotice(t *testing.T) {
+// A successor that reads the handover late would count its long term from a later time than the nodes that may seize
+// the claim. Without a notice that precedes the record it has to append a record of its own.
+func TestSuccessorTermCountsFromHandoverNotice(t *testing.T) {
 	for _, noticed := range []bool{true, false} {
 		c := newClaimer("a")
 		c.ReadRecord(0, Claim{Name: "n", Kind: Found, Epoch: 1, Holder: "x", Witness: "a", By: "x"}, 0)
--- a/internal/claimer/holder.go
+++ b/internal/claimer/holder.go
@@ -1,8 +1,9 @@
-// A holder has authority only while nobody else can have it. Two leases bound it: the witness's promise, renewed
-// every few seconds without the log, and the long term since its last record, renewed every few minutes.
+// A holder has authority only while no other node can have it. Two leases bound it: the witness's promise, renewed
+// every few seconds without the log, and the long term since the holder's last record, renewed every few minutes.
 //
-// Example: a holds epoch 4 with witness b. At 20 s it asks b, which answers; until 27.8 s a may act. If b dies, a
-// appends a Continuation to epoch 5 with witness c at 24 s, and c promises before the record is even read back.
+// Example: a holds epoch 4 with witness b. At 20 s it sends b a request and b answers; a may act until 27.8 s. If b
+// fails, a appends a Continuation to epoch 5 with witness c at 24 s, and c may promise before the record is read
+// back.
 
 package claimer
 
@@ -13,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// How the terms are divided up.
+// Requests sent in one promise term, and renewals in one long term.
 const (
 	promisesPerTerm = 4
 	renewalsPerTerm = 10
@@ -23,32 +24,33 @@
 	return c.options.LongTerm / renewalsPerTerm
 }
 
-// authority judges by the moment of use: a paused process that goes on in the middle of something must find its
-// leases ended without having been told.
+// authority checks the leases at the moment of use, so that a process that was paused in the middle of an operation
+// finds them expired without any event.
 func (c *Claimer) authority(l *claim, now clock.Time) bool {
 	switch {
-	case l.holder != c.options.Self || l.released || !l.sure:
+	case l.holder != c.options.Self || l.released || !l.verified:
 		return false
 	case now < l.actFrom || now >= l.recordUntil:
 		return false
 	case l.witness != "" && now >= l.promise.until:
 		return false
 	}
-	return !l.nextMayHaveTakenOver(c, now)
+	return !l.nextWitnessMayHaveTakenOver(c, now)
 }
 
-// While an own continuation is under way its witness may have read it, and have waited out the promise term from
-// then on. It cannot have read it before it was sent; after that only its own promise keeps it still. Without
-// this check a holder that reads the log late would act on the old witness's promises beside its successor.
-func (l *claim) nextMayHaveTakenOver(c *Claimer, now clock.Time) bool {
-	if l.next.witness == "" || now < l.next.until {
+// nextWitnessMayHaveTakenOver reports whether the witness named by this node's unconfirmed Continuation may already
+// have taken over. That witness may have read the record and waited for the promise term since then. It can't have
+// read the record before it was sent; later only its own promise prevents a takeover. Without this check a holder
+// that reads the log late would act on the old witness's promises at the same time as its successor.
+func (l *claim) nextWitnessMayHaveTakenOver(c *Claimer, now clock.Time) bool {
+	if l.nextPromise.witness == "" || now < l.nextPromise.until {
 		return false
 	}
-	return now >= l.nextSentAt.Add(c.options.shorten(c.options.PromiseTerm))
+	return now >= l.continuationSentAt.Add(c.options.shorten(c.options.PromiseTerm))
 }
 
 func (c *Claimer) tickHolder(l *claim, now clock.Time, effects []Effect) []Effect {
-	if !l.sure {
+	if !l.verified {
 		return effects
 	}
 	if c.leaving {
@@ -56,16 +58,16 @@
 	}
 	effects = c.askPromise(l, &l.promise, false, now, effects)
 	effects = c.continueClaim(l, now, effects)
-	effects = c.askPromise(l, &l.next, false, now, effects)
+	effects = c.askPromise(l, &l.nextPromise, false, now, effects)
 	effects = c.renew(l, now, effects)
-	if l.gained != l.epoch && c.authority(l, now) {
-		l.gained = l.epoch
+	if l.gainedEpoch != l.epoch && c.authority(l, now) {
+		l.gainedEpoch = l.epoch
 		effects = append(effects, Gained{Name: l.name, Epoch: l.epoch})
 	}
 	return effects
 }
 
-func (c *Claimer) askPromise(l *claim, a *ask, leaving bool, now clock.Time, effects []Effect) []Effect {
+func (c *Claimer) askPromise(l *claim, a *promiseState, leaving bool, now clock.Time, effects []Effect) []Effect {
 	if a.witness == "" || a.number != 0 && now < a.sentAt.Add(c.options.PromiseTerm/promisesPerTerm) {
 		return effects
 	}
@@ -76,14 +78,14 @@
 	return append(effects, Send{To: a.witness, Message: r})
 }
 
-// A promise counts from the sending of the very request that it answers; an answer to an older request would
-// count from the wrong moment, so it is dropped.
+// receivePromise accepts only the answer to the latest request, since a promise counts from the sending of the
+// request that it answers; an answer to an older request would count from a time too late.
 func (c *Claimer) receivePromise(from identifier.Node, p Promise, now clock.Time) []Effect {
 	l := c.byName[p.Name]
 	if l == nil || l.holder != c.options.Self {
 		return nil
 	}
-	for _, a := range []*ask{&l.promise, &l.next, &l.heir} {
+	for _, a := range []*promiseState{&l.promise, &l.nextPromise, &l.successor} {
 		if a.witness != from || a.epoch != p.Epoch || a.number != p.Number || a.answered == p.Number {
 			continue
 		}
@@ -93,32 +95,33 @@
 		}
 		a.until = a.sentAt.Add(c.options.shorten(c.options.PromiseTerm))
 		if a == &l.promise {
-			l.patienceUntil = a.until.Add(-c.options.PromiseTerm / 2)
+			l.witnessTimeoutAt = a.until.Add(-c.options.PromiseTerm / 2)
 		}
 	}
 	return c.tickHolder(l, now, nil)
 }
 
-// continueClaim names a new witness when the old one has been silent for half of the promise term, or has left: in a
-// rolling restart the next planned stop would come before the term's half, and its claims would have no heir at hand.
-// It names no third one before the log has shown what became of the second: each witness named may take over.
+// continueClaim names a new witness if the current one hasn't promised for half of the promise term, or is no longer
+// a member. It doesn't wait for the timeout of a witness that has left: in a rolling restart the next planned stop
+// may come earlier, and the claim would have no successor ready. It names no third witness until the log has shown
+// whether the second is in effect, since each named witness may take over.
 func (c *Claimer) continueClaim(l *claim, now clock.Time, effects []Effect) []Effect {
 	if !c.mayAppend(l, now) {
 		return effects
 	}
-	underWay := l.next.epoch == l.epoch+1
-	if !underWay {
+	continuationPending := l.nextPromise.epoch == l.epoch+1
+	if !continuationPending {
 		w := c.pickWitness(l, c.options.Self, l.witness)
-		silent := l.witness != "" && now >= l.patienceUntil
+		silent := l.witness != "" && now >= l.witnessTimeoutAt
 		missing := l.witness == "" && w != ""
 		left := w != "" && w != l.witness && !slices.Contains(c.members, l.witness)
 		if !silent && !missing && !left {
 			return effects
 		}
-		l.next = ask{witness: w, epoch: l.epoch + 1}
-		l.nextSentAt = now
+		l.nextPromise = promiseState{witness: w, epoch: l.epoch + 1}
+		l.continuationSentAt = now
 	}
-	r := Claim{Kind: Continuation, Epoch: l.epoch + 1, Holder: c.options.Self, Witness: l.next.witness}
+	r := Claim{Kind: Continuation, Epoch: l.epoch + 1, Holder: c.options.Self, Witness: l.nextPromise.witness}
 	return c.appendRecord(l, r, now, effects)
 }
 
@@ -131,8 +134,8 @@
 	return c.appendRecord(l, r, now, effects)
 }
 
-// Leave hands all claims over; outstanding is how long anything granted here can still be used. It ends when
-// Left tells so.
+// Leave starts the handover of all claims; outstanding is how long anything granted by this node can still be used.
+// The handover is complete when Left returns true.
 func (c *Claimer) Leave(outstanding clock.Duration, now clock.Time) []Effect {
 	if c.leaving {
 		return nil
@@ -150,7 +153,7 @@
 	return effects
 }
 
-// Left tells that this node has left and holds nothing, as far as it has read.
+// Left reports whether this node is leaving and holds no claim, according to the records that it has read.
 func (c *Claimer) Left() bool {
 	for _, l := range c.claims {
 		if l.known && l.holder == c.options.Self {
@@ -160,56 +163,57 @@
 	return c.leaving
 }
 
-// tickLeaving first lets the heir know, and goes on acting meanwhile. The heir's long term then counts from that
-// notice, which is certainly earlier than the record; an heir without notice must first append a record of its own.
+// tickLeaving first notifies the successor, and the holder keeps its authority meanwhile. The successor's long term
+// then counts from that notice, which precedes the record; a successor without notice must first append a record of
+// its own.
 func (c *Claimer) tickLeaving(l *claim, now clock.Time, effects []Effect) []Effect {
-	if l.heir.witness == "" {
-		l.heir = ask{witness: c.pickHeir(l), epoch: l.epoch}
-		l.heirUntil = now.Add(c.options.AppendRetry)
+	if l.successor.witness == "" {
+		l.successor = promiseState{witness: c.pickSuccessor(l), epoch: l.epoch}
+		l.successorTimeoutAt = now.Add(c.options.AppendRetry)
 	}
-	if l.heir.witness == "" || !c.logUp {
+	if l.successor.witness == "" || !c.logUp {
 		return effects
 	}
 	if !l.released {
 		effects = c.askPromise(l, &l.promise, false, now, effects)
 		effects = c.renew(l, now, effects)
-		effects = c.askPromise(l, &l.heir, true, now, effects)
-		if l.heir.answered == 0 && now < l.heirUntil {
+		effects = c.askPromise(l, &l.successor, true, now, effects)
+		if l.successor.answered == 0 && now < l.successorTimeoutAt {
 			return effects
 		}
 		l.released = true
-		l.appendAt = 0
+		l.nextAppendAt = 0
 	}
-	if l.gained != 0 {
-		l.gained = 0
+	if l.gainedEpoch != 0 {
+		l.gainedEpoch = 0
 		effects = append(effects, Lost{Name: l.name})
 	}
 	if !c.mayAppend(l, now) {
 		return effects
 	}
 	r := Claim{
-		Kind: Handover, Epoch: l.epoch + 1, Holder: l.heir.witness,
-		Witness: c.pickWitness(l, l.heir.witness, ""), Outstanding: c.outstandingOf(l) + max(0, l.actFrom.Sub(now)),
+		Kind: Handover, Epoch: l.epoch + 1, Holder: l.successor.witness,
+		Witness: c.pickWitness(l, l.successor.witness, ""), Outstanding: c.outstandingOf(l) + max(0, l.actFrom.Sub(now)),
 	}
 	return c.appendRecord(l, r, now, effects)
 }
 
 func (c *Claimer) outstandingOf(l *claim) clock.Duration {
-	if c.options.isInstant(l.name) {
+	if c.options.skipsWaitOut(l.name) {
 		return 0
 	}
 	return c.outstanding
 }
 
-// HeirOf returns the node that a claim of this node goes to when this node leaves, as far as is known now.
-func (c *Claimer) HeirOf(n Name) (identifier.Node, bool) {
+// SuccessorOf returns the node that would get a claim of this node if this node left now.
+func (c *Claimer) SuccessorOf(n Name) (identifier.Node, bool) {
 	l := c.byName[n]
 	if l == nil || l.holder != c.options.Self {
 		return "", false
 	}
-	if l.heir.witness != "" {
-		return l.heir.witness, true
+	if l.successor.witness != "" {
+		return l.successor.witness, true
 	}
-	heir := c.pickHeir(l)
-	return heir, heir != ""
+	successor := c.pickSuccessor(l)
+	return successor, successor != ""
 }
--- a/internal/deduplicator/asker.go
+++ b/internal/deduplicator/asker.go
@@ -1,9 +1,9 @@
-// The entry parks a call with an id until the owner has judged it. Nothing is sent before Permit, so a call
-// that gets no verdict in time has not run by this attempt; but an earlier attempt at another node may have
-// run, and only the owner could tell. Such a refusal must not say "not run".
+// The entry parks a call with an id until the owner has decided. Nothing is sent before Permit, so this attempt of a
+// call that gets no verdict in time has not run. An earlier attempt at another node may have run, however, and only
+// the owner could know. Such a refusal must not state that the request has not run.
 //
-// Example: Ask(7, …) returns Send{BeginRequest}; Receive(BeginAnswer{Run}) returns Permit{7}; Finish(7, …)
-// sends the outcome to the owner until that has it.
+// Example: Ask(7, …) returns Send{BeginRequest}; Receive(BeginAnswer{Run}) returns Permit{7}; after Finish(7, …) the
+// outcome is sent to the owner until it is acknowledged.
 
 package deduplicator
 
@@ -14,62 +14,62 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// AskerOptions are the parameters of an Asker; the zero value of each number means its default.
+// AskerOptions configures an Asker; the zero value of each number means its default.
 type AskerOptions struct {
 	Node identifier.Node
-	// Patience is how long a call waits for a verdict at most.
-	Patience clock.Duration
-	// ReportTerm is how long a report is repeated.
+	// VerdictTimeout is the longest time that a call waits for a verdict.
+	VerdictTimeout clock.Duration
+	// ReportTerm is how long a report without acknowledgement is repeated.
 	ReportTerm clock.Duration
-	// MaxReportBytes bounds the bodies in reports that are still to be repeated.
+	// MaxReportBytes bounds the bodies in reports that are not acknowledged yet.
 	MaxReportBytes int
 }
 
-// Defaults of AskerOptions, and the rhythm of asking.
+// Defaults of AskerOptions, and the intervals of requests and reports.
 const (
-	DefaultPatience       = 5 * clock.Second
+	DefaultVerdictTimeout = 5 * clock.Second
 	DefaultReportTerm     = 10 * clock.Minute
 	DefaultMaxReportBytes = 32 << 20
 
-	askInterval      = 200 * clock.Millisecond
-	inProgressPause  = 500 * clock.Millisecond
-	movedPause       = 50 * clock.Millisecond
-	reportInterval   = 200 * clock.Millisecond
-	maxReportPause   = 5 * clock.Second
-	unreachableRetry = clock.Second
-	fullRetry        = 30 * clock.Second
+	askInterval             = 200 * clock.Millisecond
+	inProgressRetryInterval = 500 * clock.Millisecond
+	movedRetryInterval      = 50 * clock.Millisecond
+	reportInterval          = 200 * clock.Millisecond
+	maxReportInterval       = 5 * clock.Second
+	unreachableRetryAfter   = clock.Second
+	fullRetryAfter          = 30 * clock.Second
 )
 
 type parked struct {
-	call    CallID
-	request BeginRequest
-	giveUp  clock.Time
-	next    clock.Time
-	// last is the last verdict that didn't end the wait.
-	last Verdict
+	call      CallID
+	request   BeginRequest
+	timeoutAt clock.Time
+	nextAskAt clock.Time
+	// lastVerdict is the last InProgress verdict, with which a call is refused when its wait times out.
+	lastVerdict Verdict
 }
 
-// Asker is the reducer of the entry.
+// Asker is the state of the entry's side; create it with NewAsker.
 type Asker struct {
 	options AskerOptions
 	number  uint64
-	// waiting holds the parked calls in the order in which they came.
+	// waiting contains the parked calls in order of arrival.
 	waiting []*parked
-	// running holds the calls that have a permit.
-	running map[CallID]BeginRequest
-	reports []*report
-	bytes   int
+	// running contains the calls that have a permit and have not ended.
+	running     map[CallID]BeginRequest
+	reports     []*report
+	reportBytes int
 }
 
 // NewAsker returns an Asker without calls.
 func NewAsker(o AskerOptions) *Asker {
-	o.Patience = orDefault(o.Patience, DefaultPatience)
+	o.VerdictTimeout = orDefault(o.VerdictTimeout, DefaultVerdictTimeout)
 	o.ReportTerm = orDefault(o.ReportTerm, DefaultReportTerm)
 	o.MaxReportBytes = orDefault(o.MaxReportBytes, DefaultMaxReportBytes)
 	return &Asker{options: o, running: map[CallID]BeginRequest{}}
 }
 
-// Ask parks a call until the owner of its id has judged it, or the deadline is near.
+// Ask parks a call until the owner of its id has decided, or until its deadline or the verdict timeout has passed.
 func (a *Asker) Ask(call CallID, team identifier.Team, id ID, f Fingerprint, deadline, now clock.Time, wall clock.Wall) []Effect {
 	a.number++
 	p := &parked{
@@ -78,20 +78,20 @@
 			Claim: ClaimOf(team, id), Team: team, ID: id.Text, Fingerprint: f,
 			Attempt: Attempt{Node: a.options.Node, Number: a.number}, Asked: wall,
 		},
-		giveUp: min(deadline, now.Add(a.options.Patience)),
-		next:   now.Add(askInterval),
+		timeoutAt: min(deadline, now.Add(a.options.VerdictTimeout)),
+		nextAskAt: now.Add(askInterval),
 	}
 	a.waiting = append(a.waiting, p)
 	return []Effect{Send{Claim: p.request.Claim, Message: p.request}}
 }
 
-// Receive takes in an answer of an owner.
+// Receive handles an answer of an owner.
 func (a *Asker) Receive(message any, now clock.Time) []Effect {
 	switch m := message.(type) {
 	case BeginAnswer:
 		return a.receiveAnswer(m, now)
 	case ReportAnswer:
-		a.reported(m.Attempt)
+		a.acknowledgeReport(m.Attempt)
 	}
 	return nil
 }
@@ -99,17 +99,17 @@
 func (a *Asker) receiveAnswer(m BeginAnswer, now clock.Time) []Effect {
 	i := slices.IndexFunc(a.waiting, func(p *parked) bool { return p.request.Attempt == m.Attempt })
 	if i < 0 {
-		// Late: the call has its end. A second permit would send it twice.
+		// A late answer: the call has ended or has its permit already, and a second permit would send it twice.
 		return nil
 	}
 	p := a.waiting[i]
 	switch m.Verdict {
 	case InProgress:
-		p.last = InProgress
-		p.next = now.Add(inProgressPause)
+		p.lastVerdict = InProgress
+		p.nextAskAt = now.Add(inProgressRetryInterval)
 		return nil
 	case Moving, NotOwner:
-		p.next = now.Add(movedPause)
+		p.nextAskAt = now.Add(movedRetryInterval)
 		return nil
 	}
 	a.waiting = slices.Delete(a.waiting, i, i+1)
@@ -129,9 +129,9 @@
 	r := Refuse{Call: call, Verdict: v}
 	switch v {
 	case Full:
-		r.RetryAfter = fullRetry
+		r.RetryAfter = fullRetryAfter
 	case InProgress, 0:
-		r.RetryAfter = unreachableRetry
+		r.RetryAfter = unreachableRetryAfter
 	}
 	return r
 }
@@ -152,7 +152,7 @@
 	}, now)
 }
 
-// Abandon ends a call of which nothing was sent and nothing will be.
+// Abandon ends a call of which nothing was sent and nothing will be sent.
 func (a *Asker) Abandon(call CallID, now clock.Time) []Effect {
 	q, ok := a.running[call]
 	delete(a.running, call)
@@ -171,18 +171,18 @@
 	return a.report(q.Claim, AbandonReport{Claim: q.Claim, Team: q.Team, ID: q.ID, Attempt: q.Attempt}, now)
 }
 
-// Tick asks and reports again, and ends the calls that have waited long enough.
+// Tick repeats due requests and reports, and refuses the calls whose wait has timed out.
 func (a *Asker) Tick(now clock.Time) []Effect {
 	var effects []Effect
 	kept := a.waiting[:0]
 	for _, p := range a.waiting {
-		if now >= p.giveUp {
-			effects = append(effects, refusal(p.call, p.last))
+		if now >= p.timeoutAt {
+			effects = append(effects, refusal(p.call, p.lastVerdict))
 			effects = append(effects, a.abandon(p.request, now)...)
 			continue
 		}
-		if now >= p.next {
-			p.next = now.Add(askInterval)
+		if now >= p.nextAskAt {
+			p.nextAskAt = now.Add(askInterval)
 			effects = append(effects, Send{Claim: p.request.Claim, Message: p.request})
 		}
 		kept = append(kept, p)
@@ -192,7 +192,7 @@
 	return append(effects, a.tickReports(now)...)
 }
 
-// Waiting and Reports return how many calls wait for a verdict, and how many reports for an answer.
+// Waiting returns how many calls wait for a verdict.
 func (a *Asker) Waiting() int { return len(a.waiting) }
 
 // Reports returns how many reports are not acknowledged yet.
--- a/internal/deduplicator/handover.go
+++ b/internal/deduplicator/handover.go
@@ -1,9 +1,9 @@
-// A planned stop must leave no id unknown, so the holder passes its records to its successor before it gives
-// the claim up. From the first part on it decides nothing more in this epoch, whatever becomes of the
-// handover: had it gone on, the successor could use records that lack the ids allowed since.
+// A planned stop must leave no id unknown, so the holder sends its records to its successor before it gives the claim
+// up. Once the first part is exported it decides nothing more in this epoch, whatever becomes of the handover; if it
+// continued, the successor could use records that lack the ids allowed since.
 //
-// Example: h := o.Export(hold, now) freezes the claim; the parts are sent until HandoverAnswer comes; then
-// the claim goes to the successor, whose first Begin at the next epoch takes the records over.
+// Example: parts := o.Export(hold, now) freezes the claim; the parts are sent until HandoverAnswer arrives. Then the
+// claim is handed over, and the successor's first Begin at the next epoch adopts the records.
 
 package deduplicator
 
@@ -16,11 +16,11 @@
 )
 
 const (
-	// handoverBytes is about the size of one part.
-	handoverBytes   = 128 << 10
-	handoverRecords = 1000
-	// stagedTerm is how long parts wait for the claim to arrive.
-	stagedTerm = clock.Minute
+	// partBytes is the approximate size of the bodies in one part.
+	partBytes      = 128 << 10
+	maxPartRecords = 1000
+	// stagedTimeout is how long received parts are kept for the claim to be handed over.
+	stagedTimeout = clock.Minute
 )
 
 type staged struct {
@@ -30,7 +30,7 @@
 	arrived clock.Time
 }
 
-// Export freezes a claim and returns its records in parts; called again it returns the same records.
+// Export freezes a claim and returns its records in parts; repeated calls return the same records.
 func (o *Owner) Export(h Hold, now clock.Time) []Handover {
 	s := o.slotOf(h)
 	s.frozen = true
@@ -43,17 +43,17 @@
 	})
 	part := Handover{
 		Claim: s.claim, Epoch: s.epoch,
-		UnknownUpTo: s.unknownUpTo, OpaqueUntil: s.opaqueUntil, High: s.high, RefusedAt: s.refusedAt,
+		UnknownUpTo: s.unknownUpTo, OpaqueUntil: s.opaqueUntil, LatestWall: s.latestWall, RefusedAt: s.refusedAt,
 	}
 	var parts []Handover
 	bytes := 0
 	for _, r := range records {
-		if len(part.Records) == handoverRecords || bytes > handoverBytes {
+		if len(part.Records) == maxPartRecords || bytes > partBytes {
 			parts = append(parts, part)
 			part.Records = nil
 			bytes = 0
 		}
-		part.Records = append(part.Records, handoverOf(r, now))
+		part.Records = append(part.Records, handoverRecordOf(r, now))
 		if r.outcome != nil {
 			bytes += len(r.outcome.Body)
 		}
@@ -66,14 +66,14 @@
 	return parts
 }
 
-func handoverOf(r *record, now clock.Time) HandoverRecord {
+func handoverRecordOf(r *record, now clock.Time) HandoverRecord {
 	return HandoverRecord{
 		Team: r.key.team, ID: r.key.id, Fingerprint: r.fingerprint, Attempt: r.attempt, State: r.state,
-		Age: now.Sub(r.began), Expires: r.expires, Outcome: r.outcome,
+		Age: now.Sub(r.beganAt), Expires: r.expires, Outcome: r.outcome,
 	}
 }
 
-// Import takes in one part and tells whether all have arrived.
+// Import stores one part and reports whether all parts have arrived.
 func (o *Owner) Import(m Handover, now clock.Time) (HandoverAnswer, bool) {
 	if m.Part < 0 || m.Part >= m.Parts {
 		return HandoverAnswer{}, false
@@ -86,28 +86,29 @@
 	if g.epoch != m.Epoch || g.count != m.Parts {
 		return HandoverAnswer{}, false
 	}
-	if _, again := g.parts[m.Part]; !again {
+	if _, duplicate := g.parts[m.Part]; !duplicate {
 		g.parts[m.Part] = m
 	}
 	g.arrived = now
 	return HandoverAnswer{Claim: m.Claim, Epoch: m.Epoch}, len(g.parts) == g.count
 }
 
-// adoptStaged takes a complete handover of the epoch just before; any other one lacks what happened between.
-func (o *Owner) adoptStaged(s *slot, begin identifier.Epoch) bool {
+// adoptStaged adopts the records of a complete handover from the epoch just before; any other handover lacks what was
+// decided in between. It reports whether records were adopted.
+func (o *Owner) adoptStaged(s *slot, beginEpoch identifier.Epoch) bool {
 	g := o.staged[s.claim]
-	if g == nil || g.epoch+1 > begin {
+	if g == nil || g.epoch+1 > beginEpoch {
 		return false
 	}
 	delete(o.staged, s.claim)
-	if g.epoch+1 != begin || len(g.parts) != g.count {
+	if g.epoch+1 != beginEpoch || len(g.parts) != g.count {
 		return false
 	}
 	for i := range g.count {
 		part := g.parts[i]
 		s.unknownUpTo = part.UnknownUpTo
 		s.opaqueUntil = part.OpaqueUntil
-		s.high = max(s.high, part.High)
+		s.latestWall = max(s.latestWall, part.LatestWall)
 		s.refusedAt = part.RefusedAt
 		for _, r := range part.Records {
 			o.adoptRecord(s, r, g.arrived)
@@ -116,14 +117,14 @@
 	return true
 }
 
-// adoptRecord takes a record even beyond the bound: without it the id could run again.
+// adoptRecord adds a record even beyond MaxRecords, since without it the id could run again.
 func (o *Owner) adoptRecord(s *slot, h HandoverRecord, arrived clock.Time) {
 	r := &record{
 		key:  recordKey{team: h.Team, id: h.ID},
 		slot: s, fingerprint: h.Fingerprint, attempt: h.Attempt, state: h.State,
-		began: arrived.Add(-h.Age), expires: h.Expires, outcome: h.Outcome,
+		beganAt: arrived.Add(-h.Age), expires: h.Expires, outcome: h.Outcome,
 	}
-	o.add(r)
+	o.addRecord(r)
 	if r.outcome != nil {
 		o.keepBody(r)
 	}
@@ -131,7 +132,7 @@
 
 func (o *Owner) dropStaged(now clock.Time) {
 	for c, g := range o.staged {
-		if now.Sub(g.arrived) > stagedTerm {
+		if now.Sub(g.arrived) > stagedTimeout {
 			delete(o.staged, c)
 		}
 	}
--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -1,8 +1,9 @@
-// The bank of a slot keeps one account for each of its teams. Bucket and outstanding slices together never exceed
-// the cap, so in any window the team spends at most what existed at its start, the burst, and what was refilled.
+// The bank of a slot keeps one account for each of its teams. The bucket and the outstanding slices together never
+// exceed the cap, so in any window the team spends at most the tokens that existed at its start (the burst) plus
+// those refilled during it.
 //
-// Example: with a cap of 100 calls, 60 granted and not yet ended, the bucket fills up to 40. When the 60 end with 20
-// unspent, the bucket gets the 20 and room for 40 more.
+// Example: with a cap of 100 calls and 60 granted in outstanding slices, the bucket fills up to 40. When these slices
+// end with 20 calls unspent, the 20 return to the bucket, and there is room for 40 more.
 
 package granter
 
@@ -16,47 +17,47 @@
 )
 
 const (
-	// clientTerm is how long a purse's demand counts after its last request.
-	clientTerm = 600 * clock.Millisecond
-	// hungerTerm is how long an unmet request counts.
-	hungerTerm = 200 * clock.Millisecond
-	// clientMemory is how long the number of a purse's last request is kept after it; messages that are delayed
-	// longer than that find their slices long expired.
-	clientMemory = 30 * clock.Second
+	// demandTerm is how long a purse's reported demand counts after its last request.
+	demandTerm = 600 * clock.Millisecond
+	// unmetTerm is how long a request that was not fully met marks its purse or account as short of tokens.
+	unmetTerm = 200 * clock.Millisecond
+	// clientRetention is how long the number of a purse's last request is kept after that request; a message delayed
+	// longer than that refers to slices that have long expired.
+	clientRetention = 30 * clock.Second
 
-	// pooledTerm is how long a pooled team's loans are kept after its last call; its calls are rare.
-	pooledTerm = 30 * clock.Second
+	// pooledLoanRetention is how long loans for a pooled team are kept after its last call, since its calls are rare.
+	pooledLoanRetention = 30 * clock.Second
 
-	shortestRetryIn = 10 * clock.Millisecond
-	longestRetryIn  = 250 * clock.Millisecond
+	minRetryIn = 10 * clock.Millisecond
+	maxRetryIn = 250 * clock.Millisecond
 )
 
-// outstanding is a slice granted and neither ended nor expired.
+// outstanding is a granted slice that has neither been returned nor expired.
 type outstanding struct {
 	number uint64
 	amount identifier.Tokens
 	until  clock.Time
 }
 
-// client is a purse as its bank sees it.
+// client is the bank's record of one node's purse.
 type client struct {
 	node   identifier.Node
 	number uint64
 	demand identifier.Tokens
 	askAt  clock.Time
-	// unmetAt is when it last asked and got nothing.
+	// unmetAt is the time of the last request that got no tokens.
 	unmetAt clock.Time
 	slices  []outstanding
 }
 
 type account struct {
 	team identifier.Team
-	// rate and cap are the share of this domain, before loans.
+	// rate and cap are this domain's share of the team's rate and burst, before loans.
 	rate   identifier.Tokens
 	cap    identifier.Tokens
 	pooled bool
-	// home tells that all nodes ask this domain's bank for the pooled team.
-	home bool
+	// pooledHere is set if all nodes ask this domain's bank first for the pooled team.
+	pooledHere bool
 
 	bucket      identifier.Tokens
 	fraction    identifier.Tokens
@@ -72,68 +73,68 @@
 }
 
 type bank struct {
-	slot     int
-	claim    claimer.Name
-	owned    bool
-	epoch    identifier.Epoch
-	accounts map[identifier.Team]*account
-	sorted   []*account
-	growth   *growth
+	slot           int
+	claim          claimer.Name
+	isOpen         bool
+	epoch          identifier.Epoch
+	accounts       map[identifier.Team]*account
+	sortedAccounts []*account
+	shareIncrease  *shareIncrease
 }
 
-// account returns the team's account. A new one starts empty: what an old holder granted has ended, but what was
-// spent of it lately is unknown.
+// account returns the team's account. A new account starts empty: the slices of the previous holder have ended, but
+// how much of them was spent recently is unknown.
 func (g *Granter) account(b *bank, t identifier.Team, now clock.Time) *account {
 	a := b.accounts[t]
 	if a == nil {
-		a = &account{team: t, advancedAt: now, unmetAt: -clock.Time(hungerTerm), wantedAt: -clock.Time(clientTerm)}
+		a = &account{team: t, advancedAt: now, unmetAt: -clock.Time(unmetTerm), wantedAt: -clock.Time(demandTerm)}
 		b.accounts[t] = a
-		i, _ := slices.BinarySearchFunc(b.sorted, t, func(a *account, t identifier.Team) int {
+		i, _ := slices.BinarySearchFunc(b.sortedAccounts, t, func(a *account, t identifier.Team) int {
 			return strings.Compare(string(a.team), string(t))
 		})
-		b.sorted = slices.Insert(b.sorted, i, a)
-		g.setBase(b, a)
+		b.sortedAccounts = slices.Insert(b.sortedAccounts, i, a)
+		g.setOwnShare(b, a)
 	}
 	g.advance(a, now)
 	return a
 }
 
-// rebase gives all accounts the rates, bursts and shares now in force; a team that is gone has none.
-func (g *Granter) rebase(now clock.Time) {
+// applyRates applies the rates, bursts and shares now in force to all accounts; a removed team has none.
+func (g *Granter) applyRates(now clock.Time) {
 	for _, b := range g.banks {
-		g.rebaseBank(b, now)
+		g.applyRatesToBank(b, now)
 	}
 }
 
-// rebaseBank also opens the accounts, so that they fill up before the first call.
-func (g *Granter) rebaseBank(b *bank, now clock.Time) {
-	if !b.owned {
+// applyRatesToBank also creates missing accounts, so that they fill up before the first call.
+func (g *Granter) applyRatesToBank(b *bank, now clock.Time) {
+	if !b.isOpen {
 		return
 	}
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if p.slot == b.slot {
 			g.account(b, p.team, now)
 		}
 	}
-	for _, a := range b.sorted {
+	for _, a := range b.sortedAccounts {
 		g.advance(a, now)
-		g.setBase(b, a)
-		a.clip()
+		g.setOwnShare(b, a)
+		a.clipBucket()
 	}
 }
 
-func (g *Granter) setBase(b *bank, a *account) {
-	a.rate, a.cap, a.pooled, a.home = 0, 0, false, false
+func (g *Granter) setOwnShare(b *bank, a *account) {
+	a.rate, a.cap, a.pooled, a.pooledHere = 0, 0, false, false
 	if p := g.purses[a.team]; p != nil {
 		share := identifier.Tokens(g.share(b))
 		a.rate = p.rate * share / 1000
 		a.cap = p.burst * share / 1000
 		a.pooled = p.pooled
-		a.home = p.pooled && p.order[0].name == g.options.Domain
+		a.pooledHere = p.pooled && p.order[0].name == g.options.Domain
 	}
 }
 
-// limit is what bucket and outstanding slices may come to.
+// limit is the upper bound of the bucket and the outstanding slices together.
 func (a *account) limit() identifier.Tokens {
 	return max(0, a.cap-a.lentCap()) + a.borrowedCap()
 }
@@ -142,23 +143,23 @@
 	return max(0, a.rate-a.lentRate()) + a.borrowedRate()
 }
 
-func (a *account) clip() {
+func (a *account) clipBucket() {
 	a.bucket = min(a.bucket, max(0, a.limit()-a.outstanding))
 }
 
-// advance brings the account to the moment. Everything that shrinks it is taken to have happened at the start of
-// the span and everything that makes room at its end; otherwise an account that nobody asked for a while would
-// refill for time in which it was full, and a window over that time would see the burst twice.
+// advance updates the account to the given time. Everything that shrinks it is assumed to have happened at the start
+// of the elapsed span and everything that makes room at its end. Otherwise an account that was not used for a while
+// would be refilled for time in which it was full, and a window over that time would contain the burst twice.
 func (g *Granter) advance(a *account, now clock.Time) {
 	a.dropBorrowed(now, g.options.SliceTerm)
-	a.clip()
+	a.clipBucket()
 	g.refill(a, now)
 	a.dropLent(now)
 	a.expireSlices(now)
 }
 
-// refill goes by a clock that may run fast, so it is slowed by the slack between any two clocks; half of it would
-// be the bound of one clock, and the rest is left for rounding to milliseconds.
+// refill is slowed down because this clock may run fast. Half of the slack between two clocks bounds the error of one
+// clock; it is rounded up to leave some room for times rounded to milliseconds.
 func (g *Granter) refill(a *account, now clock.Time) {
 	span := identifier.Tokens(now.Sub(a.advancedAt))
 	if span <= 0 {
@@ -167,12 +168,12 @@
 	a.advancedAt = now
 	const scale = 1000 * 1000
 	slowed := identifier.Tokens(1000 - (g.options.SlackPerMille+1)/2)
-	// A span in which any bucket fills up is long enough; beyond it the product could overflow.
+	// An hour fills any bucket; a longer span could overflow the product.
 	span = min(span, identifier.Tokens(clock.Hour))
 	a.fraction += a.refillRate() * slowed * span
 	a.bucket += a.fraction / scale
 	a.fraction %= scale
-	a.clip()
+	a.clipBucket()
 }
 
 func (a *account) expireSlices(now clock.Time) {
@@ -192,7 +193,7 @@
 		return strings.Compare(string(c.node), string(n))
 	})
 	if !ok {
-		a.clients = slices.Insert(a.clients, i, &client{node: n, unmetAt: -clock.Time(hungerTerm)})
+		a.clients = slices.Insert(a.clients, i, &client{node: n, unmetAt: -clock.Time(unmetTerm)})
 	}
 	return a.clients[i]
 }
@@ -208,13 +209,13 @@
 	a := g.account(b, m.Team, now)
 	c := a.client(from)
 	if m.Number <= c.number {
-		return // repeated or overtaken: granting once more would not double tokens, but waste them
+		return // repeated or out of order: a second grant would not exceed the rate, but its tokens would be wasted
 	}
 	c.number = m.Number
 	c.demand = m.Demand
 	c.askAt = now
 	for _, r := range m.Returned {
-		a.takeBack(c, r)
+		a.returnSlice(c, r)
 	}
 	if m.Want <= 0 {
 		return
@@ -223,8 +224,9 @@
 	g.grant(b, a, c, m, now)
 }
 
-// takeBack ends a slice once; a repeated or late report finds it gone.
-func (a *account) takeBack(c *client, r Returned) {
+// returnSlice ends a slice and takes its unspent tokens back. A repeated or late report doesn't find the slice any
+// more and has no effect.
+func (a *account) returnSlice(c *client, r Returned) {
 	for i, o := range c.slices {
 		if o.number != r.Number {
 			continue
@@ -247,7 +249,7 @@
 	r := Grant{Team: m.Team, Domain: m.Domain, Number: m.Number, Epoch: b.epoch, Amount: amount}
 	c.unmetAt = now
 	if amount > 0 {
-		c.unmetAt = -clock.Time(hungerTerm)
+		c.unmetAt = -clock.Time(unmetTerm)
 		a.bucket -= amount
 		a.outstanding += amount
 		c.slices = append(c.slices, outstanding{number: m.Number, amount: amount, until: now.Add(g.options.SliceTerm)})
@@ -255,7 +257,7 @@
 	if amount < m.Want {
 		a.unmetAt = now
 		g.borrow(b, a, now)
-		g.recallOwn(a, now)
+		g.recallLent(a, now)
 	}
 	if amount < m.Want {
 		r.RetryIn = a.retryIn(now)
@@ -263,56 +265,56 @@
 	g.send(c.node, r)
 }
 
-// retryIn spreads the purses that find the bucket empty over the time that it takes to refill.
+// retryIn spreads the retries of the purses that found the bucket empty over the time that the refill takes.
 func (a *account) retryIn(now clock.Time) clock.Duration {
 	rate := a.refillRate()
 	if rate <= 0 || a.lentCap() > 0 || a.awaitsLoan(now) {
-		return shortestRetryIn
+		return minRetryIn
 	}
 	asking := identifier.Tokens(0)
 	for _, c := range a.clients {
-		if now < c.unmetAt.Add(hungerTerm) {
+		if now < c.unmetAt.Add(unmetTerm) {
 			asking++
 		}
 	}
 	missing := max(identifier.TokensPerCall*asking-a.bucket, 0)
 	d := clock.Duration(missing * 1000 / rate)
-	return min(max(d, shortestRetryIn), longestRetryIn)
+	return min(max(d, minRetryIn), maxRetryIn)
 }
 
-// demand is what the purses offer here, in tokens a second.
+// demand is the sum of the demand that the purses reported recently, in tokens a second.
 func (a *account) demand(now clock.Time) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, c := range a.clients {
-		if now < c.askAt.Add(clientTerm) {
+		if now < c.askAt.Add(demandTerm) {
 			sum += c.demand
 		}
 	}
 	return sum
 }
 
-// idle tells that the purses have nothing to ask for: they say so themselves when their calls stop.
+// idle reports whether the purses need no tokens; they report a demand of zero themselves when their calls stop.
 func (a *account) idle(now clock.Time) bool {
-	if a.home {
-		return now >= a.wantedAt.Add(pooledTerm)
+	if a.pooledHere {
+		return now >= a.wantedAt.Add(pooledLoanRetention)
 	}
-	return now >= a.wantedAt.Add(clientTerm) || a.demand(now) == 0 && now >= a.unmetAt.Add(shortestRetryIn)
+	return now >= a.wantedAt.Add(demandTerm) || a.demand(now) == 0 && now >= a.unmetAt.Add(minRetryIn)
 }
 
 func (a *account) unmet(now clock.Time) bool {
-	return now < a.unmetAt.Add(hungerTerm)
+	return now < a.unmetAt.Add(unmetTerm)
 }
 
 func (g *Granter) tickBank(b *bank, now clock.Time) {
-	for _, a := range b.sorted {
-		quiet := len(a.lent)+len(a.lenders)+len(a.clients) == 0
-		if quiet {
+	for _, a := range b.sortedAccounts {
+		unused := len(a.lent)+len(a.lenders)+len(a.clients) == 0
+		if unused {
 			continue
 		}
 		g.advance(a, now)
 		g.tickBorrower(b, a, now)
 		a.clients = slices.DeleteFunc(a.clients, func(c *client) bool {
-			return len(c.slices) == 0 && now >= c.askAt.Add(clientMemory)
+			return len(c.slices) == 0 && now >= c.askAt.Add(clientRetention)
 		})
 	}
 }
--- a/internal/granter/borrower.go
+++ b/internal/granter/borrower.go
@@ -1,9 +1,9 @@
-// A bank that can't meet its purses' requests asks the banks of the other domains. It counts each loan from the
-// sending of the request that began or extended it, and stops granting from it a slice term before its end, so that
-// the slices are spent or expired before the lender has its share back.
+// A bank that can't meet its purses' requests borrows from the banks of the other domains. The borrower counts each
+// loan from the sending of the request that started or extended it, and stops granting from it a slice term before
+// its end, so that the slices are spent or expired before the lender has its share back.
 //
-// Example: alfa asks bravo at 1000; the loan runs till 2950 at alfa. From 2450 on its cap isn't granted from
-// unless an answer to a later request has extended it.
+// Example: alfa asks bravo at 1000 ms; the loan ends at 2950 ms on alfa's clock. From 2450 ms on alfa grants nothing
+// from it unless the answer to a later request has extended it.
 
 package granter
 
@@ -15,31 +15,31 @@
 )
 
 const (
-	// requestsPerTerm is how often a lender is asked within a loan term; after an answer with nothing new it is asked
-	// again after soonBorrowPeriod if purses need it.
-	requestsPerTerm  = 8
-	soonBorrowPeriod = 20 * clock.Millisecond
-	// loanAnswerBound is how long purses are kept waiting for a lender's answer.
-	loanAnswerBound = 30 * clock.Millisecond
-	// returnMemory is how long a loan given back stays in the reports, in case one gets lost.
-	returnMemory = clock.Second
+	// loanRequestsPerTerm is how often a lender is asked within a loan term. After an answer without a new loan it is
+	// asked again after borrowRetryPeriod if purses need tokens.
+	loanRequestsPerTerm = 8
+	borrowRetryPeriod   = 20 * clock.Millisecond
+	// loanAnswerTimeout is how long a lender's answer is expected; meanwhile purses are told to retry soon.
+	loanAnswerTimeout = 30 * clock.Millisecond
+	// returnedLoanRetention is how long a returned loan is repeated in the reports, in case one is lost.
+	returnedLoanRetention = clock.Second
 )
 
-// borrowed is a loan; one whose cap and rate are 0 is only reported.
-type borrowed struct {
+// borrowedLoan is a loan that this bank holds; once its cap and rate are 0 it is kept only to be reported.
+type borrowedLoan struct {
 	HeldLoan
 	until clock.Time
-	// ended tells that the loan may not be granted from any more, though slices may still rely on it.
+	// ended is set when the loan may not be granted from any more, although outstanding slices may still rely on it.
 	ended bool
-	// reportedUntil ends the reports of a loan given back.
+	// reportedUntil is when a returned loan is no longer reported.
 	reportedUntil clock.Time
 }
 
-// lender is another domain's bank as the borrower sees it.
+// lender is the borrower's record of another domain's bank.
 type lender struct {
 	domain identifier.FailureDomain
 	node   identifier.Node
-	loans  []borrowed
+	loans  []borrowedLoan
 	number uint64
 	askAt  clock.Time
 	asked  bool
@@ -68,13 +68,13 @@
 	return sum
 }
 
-// A loan that ended stays in the reports for a slice term: the lender takes a loan that isn't reported for free,
-// while slices granted from it could still be spent.
+// An ended loan is reported for another slice term: the lender treats a loan that isn't reported as returned, while
+// slices granted from it could still be spent.
 func (a *account) dropBorrowed(now clock.Time, sliceTerm clock.Duration) {
 	for _, l := range a.lenders {
-		l.loans = slices.DeleteFunc(l.loans, func(n borrowed) bool {
-			given := n.Cap == 0 && n.Rate == 0
-			return now >= n.until.Add(sliceTerm) || given && now >= n.reportedUntil
+		l.loans = slices.DeleteFunc(l.loans, func(n borrowedLoan) bool {
+			returned := n.Cap == 0 && n.Rate == 0
+			return now >= n.until.Add(sliceTerm) || returned && now >= n.reportedUntil
 		})
 		for i := range l.loans {
 			l.loans[i].ended = now >= l.loans[i].until
@@ -82,8 +82,8 @@
 	}
 }
 
-// lender returns the state for the present holder of a domain's bank. Loans of an earlier holder run on until
-// their ends, and are reported to nobody.
+// lender returns the state for the current holder of a domain's bank. Loans from an earlier holder last until their
+// ends and are not reported.
 func (a *account) lender(d identifier.FailureDomain, n identifier.Node) *lender {
 	for _, l := range a.lenders {
 		if l.domain == d && l.node == n {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// borrow asks every other domain's bank that is due.
+// borrow sends a loan request to the bank of every other domain that is due to be asked.
 func (g *Granter) borrow(b *bank, a *account, now clock.Time) {
 	for _, d := range g.domains {
 		h := d.holders[b.slot]
@@ -109,17 +109,18 @@
 	}
 }
 
-// missingRate is the demand beyond the own share, and at least a little of it while any request is unmet.
+// missingRate returns the demand, with a quarter of headroom, that exceeds the domain's own share; it is at least one
+// call a second.
 func (g *Granter) missingRate(a *account, now clock.Time) identifier.Tokens {
 	return max(a.demand(now)*5/4-a.rate, identifier.TokensPerCall)
 }
 
-// sendLoanRequest gives up the request before, if that is still unanswered, and says so.
+// sendLoanRequest abandons the previous request if it is still unanswered, and reports that to the lender.
 func (g *Granter) sendLoanRequest(a *account, l *lender, want identifier.Tokens, now clock.Time) {
 	if l.asked {
 		lost := HeldLoan{Number: l.number, Back: Unapplied}
-		until := now.Add(returnMemory)
-		l.loans = append(l.loans, borrowed{HeldLoan: lost, until: until, reportedUntil: until})
+		until := now.Add(returnedLoanRetention)
+		l.loans = append(l.loans, borrowedLoan{HeldLoan: lost, until: until, reportedUntil: until})
 	}
 	m := LoanRequest{Team: a.team, Domain: l.domain, Number: g.nextNumber(), WantRate: want, Unmet: a.unmet(now)}
 	for _, n := range l.loans {
@@ -128,7 +129,7 @@
 	l.number = m.Number
 	l.askAt = now
 	l.asked = want > 0
-	l.nextAt = now.Add(g.options.LoanTerm / requestsPerTerm)
+	l.nextAt = now.Add(g.options.LoanTerm / loanRequestsPerTerm)
 	g.send(l.node, m)
 }
 
@@ -140,12 +141,12 @@
 	a := g.account(b, m.Team, now)
 	for _, l := range a.lenders {
 		if l.node == from && l.domain == m.Domain && l.asked && l.number == m.Number {
-			g.takeLoan(a, l, m, now)
+			g.acceptLoan(a, l, m, now)
 		}
 	}
 }
 
-func (g *Granter) takeLoan(a *account, l *lender, m Loan, now clock.Time) {
+func (g *Granter) acceptLoan(a *account, l *lender, m Loan, now clock.Time) {
 	l.asked = false
 	until := l.askAt.Add(g.options.shorten(g.options.LoanTerm) - g.options.SliceTerm)
 	if m.Extended {
@@ -157,19 +158,19 @@
 		}
 	}
 	if m.Cap == 0 && m.Rate == 0 {
-		l.nextAt = min(l.nextAt, now.Add(soonBorrowPeriod))
+		l.nextAt = min(l.nextAt, now.Add(borrowRetryPeriod))
 		return
 	}
 	if now >= until {
 		return
 	}
 	held := HeldLoan{Number: m.Number, Cap: m.Cap, Rate: m.Rate}
-	l.loans = append(l.loans, borrowed{HeldLoan: held, until: until})
+	l.loans = append(l.loans, borrowedLoan{HeldLoan: held, until: until})
 	a.bucket += m.Tokens
-	a.clip()
+	a.clipBucket()
 }
 
-// receiveRecall gives back what exceeds the recall, as far as slices don't need it, and reports at once.
+// receiveRecall returns what exceeds the recall, as far as outstanding slices don't need it, and reports it at once.
 func (g *Granter) receiveRecall(from identifier.Node, m Recall, now clock.Time) {
 	b, ok := g.bankOf(m.Team, now)
 	if !ok {
@@ -180,7 +181,7 @@
 		if l.node != from || l.domain != m.Domain {
 			continue
 		}
-		if a.giveBack(l, m.Cap, m.Rate, now) {
+		if a.returnLoans(l, m.Cap, m.Rate, now) {
 			want := identifier.Tokens(0)
 			if a.unmet(now) {
 				want = g.missingRate(a, now)
@@ -190,26 +191,27 @@
 	}
 }
 
-// giveBack reduces the loans of a lender towards what may be kept; tokens go along in proportion to the cap.
-func (a *account) giveBack(l *lender, keepCap, keepRate identifier.Tokens, now clock.Time) bool {
+// returnLoans reduces the loans from a lender towards the cap and rate that may be kept; tokens are returned in
+// proportion to the cap. It reports whether anything was returned.
+func (a *account) returnLoans(l *lender, keepCap, keepRate identifier.Tokens, now clock.Time) bool {
 	var heldCap, heldRate identifier.Tokens
 	for _, n := range l.loans {
 		heldCap += n.Cap
 		heldRate += n.Rate
 	}
 	free := a.limit() - a.outstanding
-	giveCap := max(0, min(heldCap-keepCap, free))
-	giveRate := max(0, heldRate-keepRate)
-	if giveCap == 0 && giveRate == 0 {
+	returnCap := max(0, min(heldCap-keepCap, free))
+	returnRate := max(0, heldRate-keepRate)
+	if returnCap == 0 && returnRate == 0 {
 		return false
 	}
 	var tokens identifier.Tokens
-	if giveCap > 0 {
-		tokens = min(giveCap, (a.bucket*giveCap+free-1)/free)
+	if returnCap > 0 {
+		tokens = min(returnCap, (a.bucket*returnCap+free-1)/free)
 	}
 	for i := range l.loans {
 		n := &l.loans[i]
-		c, r := min(n.Cap, giveCap), min(n.Rate, giveRate)
+		c, r := min(n.Cap, returnCap), min(n.Rate, returnRate)
 		t := min(tokens, c)
 		if c == 0 && r == 0 {
 			continue
@@ -217,29 +219,29 @@
 		n.Cap -= c
 		n.Rate -= r
 		n.Back += t
-		n.reportedUntil = now.Add(returnMemory)
-		giveCap -= c
-		giveRate -= r
+		n.reportedUntil = now.Add(returnedLoanRetention)
+		returnCap -= c
+		returnRate -= r
 		tokens -= t
 		a.bucket -= t
 	}
-	a.clip()
+	a.clipBucket()
 	return true
 }
 
-// awaitsLoan tells that a lender may answer at any moment, so that purses should ask again soon.
+// awaitsLoan reports whether a lender's answer is expected any moment, so that purses should retry soon.
 func (a *account) awaitsLoan(now clock.Time) bool {
 	for _, l := range a.lenders {
-		if l.asked && now < l.askAt.Add(loanAnswerBound) {
+		if l.asked && now < l.askAt.Add(loanAnswerTimeout) {
 			return true
 		}
 	}
 	return false
 }
 
-// tickBorrower keeps loans running while they are needed, and gives them back when the domain's demand has ended.
+// tickBorrower extends loans while they are needed and returns them when the domain's demand has ended.
 func (g *Granter) tickBorrower(b *bank, a *account, now clock.Time) {
-	if len(a.lenders) == 0 || !g.holds(b, now) {
+	if len(a.lenders) == 0 || !g.hasAuthority(b, now) {
 		return
 	}
 	idle := a.idle(now)
@@ -247,13 +249,13 @@
 		current := g.domain(l.domain).holders[b.slot].node == l.node
 		switch {
 		case !current:
-		case idle && a.giveBack(l, 0, 0, now):
+		case idle && a.returnLoans(l, 0, 0, now):
 			g.sendLoanRequest(a, l, 0, now)
 		case !idle && now >= l.nextAt:
 			g.sendLoanRequest(a, l, g.missingRate(a, now), now)
 		}
 	}
 	a.lenders = slices.DeleteFunc(a.lenders, func(l *lender) bool {
-		return len(l.loans) == 0 && idle && now >= l.askAt.Add(clientMemory)
+		return len(l.loans) == 0 && idle && now >= l.askAt.Add(clientRetention)
 	})
 }
--- a/internal/granter/dump.go
+++ b/internal/granter/dump.go
@@ -1,7 +1,8 @@
-// The dump shows where a team's tokens are, as this node knows it: what its purse has, what its banks keep, have
-// granted, lent and borrowed.
+// The dump shows where a team's tokens are, as far as this node knows: the contents of its purse and what its banks
+// hold, have granted, lent and borrowed.
 //
-// Example: an account {Team: "okhotskAgents", Rate: 50000, LentRate: 50000, Bucket: 0} has lent all that it has.
+// Example: an account {Team: "okhotskAgents", Rate: 50000, LentRate: 50000, Bucket: 0} has lent its whole rate and
+// has no tokens left.
 
 package granter
 
@@ -10,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// State is what this node knows of the rates.
+// State is this node's view of the teams' tokens.
 type State struct {
 	Purses   []PurseState
 	Accounts []AccountState
@@ -41,33 +42,33 @@
 	LentCap      identifier.Tokens
 	BorrowedRate identifier.Tokens
 	BorrowedCap  identifier.Tokens
-	// Growing tells that a larger share waits for other domains to confirm.
+	// Growing is set while a larger share waits for the confirmation of other domains.
 	Growing bool
 }
 
-// HolderState is who keeps the bank of a domain and slot, as the log has it.
+// HolderState is the holder of the bank of a domain and slot, according to the log.
 type HolderState struct {
 	Domain identifier.FailureDomain
 	Slot   int
 	Node   identifier.Node
 	Epoch  identifier.Epoch
-	// Silent tells that its answers failed to come and other banks are asked.
+	// Silent is set while other banks are asked because this holder did not answer, or answered NotHolder.
 	Silent bool
 }
 
 // Dump returns the state, sorted by team, slot and domain.
 func (g *Granter) Dump(now clock.Time) State {
 	var s State
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		s.Purses = append(s.Purses, p.dump(now))
 	}
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			s.Accounts = append(s.Accounts, AccountState{
-				Team: a.team, Slot: b.slot, Epoch: b.epoch, Authority: g.holds(b, now),
+				Team: a.team, Slot: b.slot, Epoch: b.epoch, Authority: g.hasAuthority(b, now),
 				Rate: a.rate, Cap: a.cap, Bucket: a.bucket, Outstanding: a.outstanding,
 				LentRate: a.lentRate(), LentCap: a.lentCap(),
-				BorrowedRate: a.borrowedRate(), BorrowedCap: a.borrowedCap(), Growing: b.growth != nil,
+				BorrowedRate: a.borrowedRate(), BorrowedCap: a.borrowedCap(), Growing: b.shareIncrease != nil,
 			})
 		}
 	}
@@ -82,7 +83,7 @@
 }
 
 func (p *purse) dump(now clock.Time) PurseState {
-	s := PurseState{Team: p.team, Slot: p.slot, Waiters: len(p.waiters), Demand: p.offered(now)}
+	s := PurseState{Team: p.team, Slot: p.slot, Waiters: len(p.waiters), Demand: p.currentDemand(now)}
 	for _, n := range p.slices {
 		if now < n.until {
 			s.Slices++
--- a/internal/granter/fuzz_test.go
+++ b/internal/granter/fuzz_test.go
@@ -1,8 +1,8 @@
-// What the claims and rates promise, under everything that may happen to a fleet, also together: messages lost,
-// late, repeated and overtaken, the log down or slow, appends lost or effective late, domains cut off, nodes paused
-// past their leases, crashed, replaced and leaving, clocks at different rates, rates changed.
+// Tests of the guarantees of claims and rates under combinations of faults: messages lost, late, repeated and
+// reordered, the log down or slow, appends lost or late, domains partitioned, nodes paused past their leases,
+// crashed, replaced and leaving, clocks at different rates, and changed rates.
 //
-// Example: go test ./internal/granter -run Fuzz -rapid.checks=2000 -rapid.seed=5 runs longer, from other draws.
+// Example: go test ./internal/granter -run Fuzz -rapid.checks=2000 -rapid.seed=5 runs more checks with another seed.
 
 package granter_test
 
@@ -21,8 +21,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// TestMain fixes the seed and the number of checks unless they are named, so that the verdict on a commit is the same
-// each time, and in time.
+// TestMain sets a fixed seed and number of checks unless flags give others, so that every run on a commit has the
+// same result and a bounded duration.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20261203", "rapid.checks": "40"}
@@ -40,14 +40,14 @@
 
 var (
 	claimActions = []string{
-		"weather", "log", "cut", "cutNodes", "cutNodes", "cutLog", "cutNodeLog", "cutNodeLog", "pause", "pauseLong",
+		"messageFaults", "log", "cut", "cutNodes", "cutNodes", "cutLog", "cutNodeLog", "cutNodeLog", "pause", "pauseLong",
 		"crash", "leave", "heal",
 	}
-	rateActions = append([]string{"load", "load", "load", "rush", "rush", "rush", "rates", "shares"}, claimActions...)
+	rateActions = append([]string{"load", "load", "load", "burst", "burst", "burst", "rates", "shares"}, claimActions...)
 )
 
-// act draws something that happens to the fleet.
-func act(t *rapid.T, f *fleet, actions []string) {
+// applyAction draws a fault or another event and applies it to the fleet.
+func applyAction(t *rapid.T, f *fleet, actions []string) {
 	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")]
 	a := rapid.SampledFrom(f.domains).Draw(t, "domain").Domain
 	b := rapid.SampledFrom(f.domains).Draw(t, "other").Domain
@@ -55,7 +55,7 @@
 	case "load":
 		team := rapid.SampledFrom(f.teams).Draw(t, "team")
 		n.load[team.Name] = int64(team.Rate) / 1000 * rapid.SampledFrom([]int64{0, 1, 1, 3, 10}).Draw(t, "times")
-	case "weather":
+	case "messageFaults":
 		f.loss = rapid.SampledFrom([]int{0, 30, 200}).Draw(t, "loss")
 		f.repeat = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "repeat")
 		f.late = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "late")
@@ -70,12 +70,12 @@
 		f.cutLog[string(a)] = !f.cutLog[string(a)]
 	case "cutNodeLog":
 		f.cutLog[string(n.id)] = !f.cutLog[string(n.id)]
-	case "rush":
-		f.rush(t)
+	case "burst":
+		f.sendBurst(t)
 	case "pause":
-		n.pausedTo = f.now + rapid.Int64Range(50, 700).Draw(t, "pause")
+		n.pausedUntil = f.now + rapid.Int64Range(50, 700).Draw(t, "pause")
 	case "pauseLong":
-		n.pausedTo = f.now + rapid.Int64Range(700, 12_000).Draw(t, "pause")
+		n.pausedUntil = f.now + rapid.Int64Range(700, 12_000).Draw(t, "pause")
 	case "crash":
 		f.kill(n)
 		f.add(n.domain)
@@ -86,7 +86,7 @@
 	case "shares":
 		f.publish(100, f.drawShares(t))
 	case "heal":
-		f.heal()
+		f.clearFaults()
 	}
 }
 
@@ -98,17 +98,17 @@
 	}
 }
 
-// rush lets all buckets fill up, and then brings all that any node would take.
-func (f *fleet) rush(t *rapid.T) {
+// sendBurst waits for the buckets to fill up, and then offers up to twenty times the rate of the team at each node.
+func (f *fleet) sendBurst(t *rapid.T) {
 	team := rapid.SampledFrom(f.teams).Draw(t, "team")
 	times := make([]int64, len(f.nodes))
 	f.setLoad(team.Name, times...)
 	f.run(rapid.Int64Range(0, 1500).Draw(t, "rest"))
 	for i := range times {
-		times[i] = int64(team.Rate) / 100 * rapid.Int64Range(0, 2).Draw(t, "rush")
+		times[i] = int64(team.Rate) / 100 * rapid.Int64Range(0, 2).Draw(t, "burst")
 	}
 	f.setLoad(team.Name, times...)
-	f.run(rapid.Int64Range(20, 600).Draw(t, "rushing"))
+	f.run(rapid.Int64Range(20, 600).Draw(t, "burstSpan"))
 }
 
 func (f *fleet) drawShares(t *rapid.T) []definer.DomainShare {
@@ -125,8 +125,9 @@
 	return domains
 }
 
-// publish changes all rates and bursts to the percentage of the first ones. The nodes hear of it within 4 s, those
-// that are paused when they go on; till the last one has, and the loans of before have ended, either may be used.
+// publish changes all rates and bursts to the given percentage of the base ones. The nodes read it within 4 s, paused
+// nodes when they resume. Until the last node has read it and earlier loans have ended, the old or the new rates may
+// be used.
 func (f *fleet) publish(percent int, domains []definer.DomainShare) {
 	const loansEnd = 1000
 	f.version++
@@ -140,7 +141,7 @@
 		t.Burst = t.Burst * identifier.Tokens(percent) / 100
 		f.teams = append(f.teams, t)
 	}
-	f.oracle.allow(old, f.teams, f.now)
+	f.oracle.allowLarger(old, f.teams, f.now)
 	for _, n := range f.nodes {
 		f.whenAwake(n, f.random.Int64N(4000), func() { f.configure(n) })
 	}
@@ -162,17 +163,17 @@
 	settle()
 }
 
-// leave stops a node in the planned way: it hands its claims over, and goes when it has read that it holds none.
+// leave stops a node as planned: it hands its claims over, and exits once it has read that it holds none.
 func (f *fleet) leave(n *node) {
 	sliceTerm := f.grantTerms.SliceTerm
 	if sliceTerm == 0 {
 		sliceTerm = 500 * clock.Millisecond // the default
 	}
-	f.whenAwake(n, 0, func() { f.granted(n, n.grants.Leave(f.local(n))) })
+	f.whenAwake(n, 0, func() { f.performGrantEffects(n, n.grants.Leave(f.local(n))) })
 	var wait func()
 	wait = func() {
 		if o := n.grants.Outstanding(f.local(n)); o <= sliceTerm {
-			f.claimed(n, n.claims.Leave(sliceTerm, f.local(n)))
+			f.performClaimEffects(n, n.claims.Leave(sliceTerm, f.local(n)))
 		}
 		if n.claims.Left() {
 			f.kill(n)
@@ -184,59 +185,60 @@
 	f.add(n.domain)
 }
 
-// Two nodes that act for one claim run an order twice and double a team's rate; a team over its rate takes the slots
-// that other teams bought. Nobody notices before a bill or a queue tells. Afterwards all must go on by itself.
+// Two nodes that act for one claim could run a request twice or double a team's rate, and a team over its rate takes
+// capacity that other teams paid for. Neither fault shows in the nodes' own state, so the oracle checks for it. After
+// the faults the fleet must recover by itself.
 func TestFuzzFleet(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "domains"), 2, true)
 		f.run(2000)
 		for range rapid.IntRange(1, 20).Draw(t, "actions") {
-			act(t, f, rateActions)
+			applyAction(t, f, rateActions)
 			f.run(rapid.Int64Range(1, 2500).Draw(t, "span"))
 			if len(f.faults) > 0 {
 				t.Fatal(f.faults[0])
 			}
 		}
-		f.recover(t)
+		f.checkRecovery(t)
 	})
 }
 
-// The same for claims alone, which allows many more faults in the same time: an order would be run by two nodes, or
-// by one before the other's last run has ended.
+// The same faults for claims alone, which allows many more faults in the same time. A fault here would let two nodes
+// run a request, or a successor run it before the predecessor's last run has ended.
 func TestFuzzClaims(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 1, 4, true)
-		f.quiet = true
+		f.claimsOnly = true
 		f.run(2000)
 		for range rapid.IntRange(50, 250).Draw(t, "actions") {
-			act(t, f, claimActions)
+			applyAction(t, f, claimActions)
 			f.run(rapid.Int64Range(1, 2500).Draw(t, "span"))
 			if len(f.faults) > 0 {
 				t.Fatal(f.faults[0])
 			}
 		}
-		f.quiet = false
-		f.recover(t)
+		f.claimsOnly = false
+		f.checkRecovery(t)
 	})
 }
 
-// recover heals everything; then each claim must have its one holder, and a team its rate.
-func (f *fleet) recover(t *rapid.T) {
-	f.heal()
+// checkRecovery ends all faults; then each claim must have exactly one holder, and a team must get its rate.
+func (f *fleet) checkRecovery(t *rapid.T) {
+	f.clearFaults()
 	for _, n := range f.nodes {
-		n.pausedTo = 0
+		n.pausedUntil = 0
 		clear(n.load)
 	}
 	f.run(16_000)
-	for _, name := range f.names {
-		assert.Check(t, len(f.withAuthority(name)) == 1, "%s is held by %v", name, f.withAuthority(name))
+	for _, name := range f.claimNames {
+		assert.Check(t, len(f.withAuthority(name)) == 1, "%s must have one node with authority, got %v", name, f.withAuthority(name))
 	}
-	f.oracle.forget()
+	f.oracle.resetCounts()
 	f.setLoad("middle", int64(f.teams[1].Rate)/1000)
 	f.run(4000)
 	b := f.oracle["middle"]
-	assert.Check(t, b.served*10 >= b.offered*9-10, "served %d of %d", b.served, b.offered)
+	assert.Check(t, b.served*10 >= b.offered*9-10, "served %d of %d offered calls, expected at least nine tenths", b.served, b.offered)
 	assert.Check(t, len(f.faults) == 0, fmt.Sprint(f.faults))
 }
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,8 +1,9 @@
-// One Granter is the purse of its node for all teams, and the bank of each slot whose claim the node holds. The
-// purse is in purse.go and asker.go, the bank in bank.go, lender.go and borrower.go, shares in shares.go.
+// A Granter holds the purses of its node for all teams, and the bank of each slot whose claim the node holds. The
+// purse is in purse.go and asker.go, the bank in bank.go, lender.go and borrower.go, the domains' shares in
+// shares.go.
 //
-// Example: Spend("okhotskAgents", 1, 50) on an empty purse gives Wait; Tick(50) sends an Ask to the bank; Receive
-// of its Grant gives Resume{Call: 1}.
+// Example: Spend("okhotskAgents", 1, 50) on an empty purse returns Wait; Tick(50) sends an Ask to the bank; receiving
+// its Grant returns Resume{Call: 1}.
 
 package granter
 
@@ -16,11 +17,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// holder is the node that keeps the bank of one domain and slot, as the log has it.
+// holder is the node that keeps the bank of one domain and slot, according to the log.
 type holder struct {
 	node  identifier.Node
 	epoch identifier.Epoch
-	// avoidUntil is set after silence, so that other domains' banks are asked meanwhile.
+	// avoidUntil is set after unanswered requests or a NotHolder answer; until then the banks of other domains are
+	// asked.
 	avoidUntil clock.Time
 }
 
@@ -29,21 +31,21 @@
 	holders []holder
 }
 
-// Granter is the state; make one with New.
+// Granter is the state of the purses and banks of one node; create it with New.
 type Granter struct {
-	options Options
-	domains []*domain
-	purses  map[identifier.Team]*purse
-	sorted  []*purse
-	banks   []*bank
-	shares  shares
-	number  uint64
-	out     []Effect
-	local   []any
-	leaving bool
-}
-
-// New returns a Granter that knows of no team and no holder.
+	options       Options
+	domains       []*domain
+	purses        map[identifier.Team]*purse
+	sortedPurses  []*purse
+	banks         []*bank
+	shares        shares
+	number        uint64
+	effects       []Effect
+	localMessages []any
+	leaving       bool
+}
+
+// New returns a Granter without teams and without known holders of banks.
 func New(o Options) *Granter {
 	o.setDefaults()
 	g := &Granter{options: o, purses: map[identifier.Team]*purse{}}
@@ -56,10 +58,10 @@
 	return g
 }
 
-// SetTeams takes the teams and shares of the preset in force. before is for a node's first preset: the least share
-// of each domain in all presets in force within the claims' long term, or nil if the shares were always the same.
-func (g *Granter) SetTeams(teams []definer.Team, now, before []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
-	g.setShares(now, before, v, at)
+// SetTeams applies the teams and shares of the preset in force. leastShares is for a node's first preset: the least
+// share of each domain in all presets in force within the claims' long term, or nil if the shares never changed.
+func (g *Granter) SetTeams(teams []definer.Team, now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
+	g.setShares(now, leastShares, v, at)
 	fresh := make(map[identifier.Team]*purse, len(teams))
 	for _, t := range teams {
 		p := g.purses[t.Name]
@@ -70,23 +72,24 @@
 		p.burst = t.Burst
 		fresh[t.Name] = p
 	}
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if fresh[p.team] == nil {
-			g.refuseAll(p)
+			g.refuseWaiters(p)
 		}
 	}
 	g.purses = fresh
-	g.sorted = g.sorted[:0]
+	g.sortedPurses = g.sortedPurses[:0]
 	for _, p := range fresh {
-		g.sorted = append(g.sorted, p)
+		g.sortedPurses = append(g.sortedPurses, p)
 	}
-	slices.SortFunc(g.sorted, func(a, b *purse) int { return strings.Compare(string(a.team), string(b.team)) })
+	slices.SortFunc(g.sortedPurses, func(a, b *purse) int { return strings.Compare(string(a.team), string(b.team)) })
 	g.orderDomains()
-	g.rebase(at)
+	g.applyRates(at)
 	return g.finish(at)
 }
 
-// SetHolder tells who holds the bank of a slot in a domain, as the claimer has it; an empty node is nobody.
+// SetHolder sets the holder of the bank of a slot in a domain, as reported by the claimer; an empty node means that
+// there is no holder.
 func (g *Granter) SetHolder(d identifier.FailureDomain, slot int, node identifier.Node, e identifier.Epoch) {
 	h := &g.domain(d).holders[slot]
 	if e < h.epoch || h.node == node && h.epoch == e {
@@ -95,33 +98,34 @@
 	*h = holder{node: node, epoch: e}
 }
 
-// Own begins the bank of a slot, empty; an epoch that continues one's own keeps the bank as it is.
-func (g *Granter) Own(slot int, e identifier.Epoch, now clock.Time) []Effect {
+// OpenBank starts the bank of a slot with empty accounts; if the bank is open already, the new epoch continues the
+// node's own and the accounts are kept.
+func (g *Granter) OpenBank(slot int, e identifier.Epoch, now clock.Time) []Effect {
 	b := g.banks[slot]
 	b.epoch = e
-	if !b.owned {
-		b.owned = true
+	if !b.isOpen {
+		b.isOpen = true
 		b.accounts = map[identifier.Team]*account{}
-		b.sorted = nil
-		g.rebaseBank(b, now)
+		b.sortedAccounts = nil
+		g.applyRatesToBank(b, now)
 	}
 	return nil
 }
 
-// Disown ends the bank of a slot.
-func (g *Granter) Disown(slot int) {
+// CloseBank closes the bank of a slot and discards its accounts.
+func (g *Granter) CloseBank(slot int) {
 	b := g.banks[slot]
-	b.owned = false
+	b.isOpen = false
 	b.accounts = map[identifier.Team]*account{}
-	b.sorted = nil
+	b.sortedAccounts = nil
 }
 
-// Leave ends lending and calls back what is lent, while purses go on getting slices. The claims can be handed over
-// when Outstanding has fallen to a slice term, so that the successors have little to wait out.
+// Leave stops lending and recalls all loans, while purses continue to get slices. The claims can be handed over once
+// Outstanding has fallen to the slice term, so that the successors wait only briefly before they grant.
 func (g *Granter) Leave(now clock.Time) []Effect {
 	g.leaving = true
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			a.recallAt = now
 			g.recall(a, now)
 		}
@@ -129,23 +133,23 @@
 	return g.finish(now)
 }
 
-// Outstanding is how long anything that the banks here gave away can still be used: at least a slice term, for what
-// they may grant until they stop.
+// Outstanding returns how long anything that this node's banks granted or lent can still be used. It is at least a
+// slice term, which covers slices granted until the banks stop.
 func (g *Granter) Outstanding(now clock.Time) clock.Duration {
-	longest := g.options.SliceTerm
+	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
-		for _, a := range b.sorted {
+		for _, a := range b.sortedAccounts {
 			for _, l := range a.lent {
 				for _, n := range l.loans {
-					longest = max(longest, n.until.Sub(now))
+					longestLeft = max(longestLeft, n.until.Sub(now))
 				}
 			}
 		}
 	}
-	return longest
+	return longestLeft
 }
 
-// Receive takes a message from another node.
+// Receive handles a message from another node.
 func (g *Granter) Receive(from identifier.Node, message any, now clock.Time) []Effect {
 	g.dispatch(from, message, now)
 	return g.finish(now)
@@ -170,40 +174,40 @@
 	}
 }
 
-// Tick does what is due; call it every 10 ms, and at once after a Spend that gave Wait.
+// Tick performs all due work; call it every 10 ms, and immediately after a Spend that returned Wait.
 func (g *Granter) Tick(now clock.Time) []Effect {
-	for _, p := range g.sorted {
+	for _, p := range g.sortedPurses {
 		if p.active {
 			g.tickPurse(p, now)
 		}
 	}
 	g.tickShares(now)
 	for _, b := range g.banks {
-		if b.owned {
+		if b.isOpen {
 			g.tickBank(b, now)
 		}
 	}
 	return g.finish(now)
 }
 
-// send keeps messages to this node itself in the process; the bank is often at the same node as the purse.
+// send queues messages to this node within the process, since the bank is often on the same node as the purse.
 func (g *Granter) send(to identifier.Node, message any) {
 	if to == g.options.Self {
-		g.local = append(g.local, message)
+		g.localMessages = append(g.localMessages, message)
 		return
 	}
-	g.out = append(g.out, Send{To: to, Message: message})
+	g.effects = append(g.effects, Send{To: to, Message: message})
 }
 
 func (g *Granter) finish(now clock.Time) []Effect {
-	for len(g.local) > 0 {
-		m := g.local[0]
-		g.local = g.local[1:]
+	for len(g.localMessages) > 0 {
+		m := g.localMessages[0]
+		g.localMessages = g.localMessages[1:]
 		g.dispatch(g.options.Self, m, now)
 	}
-	out := g.out
-	g.out = nil
-	return out
+	effects := g.effects
+	g.effects = nil
+	return effects
 }
 
 func (g *Granter) nextNumber() uint64 {
@@ -211,7 +215,7 @@
 	return g.number
 }
 
-// domain returns the state of a domain and keeps the domains sorted by name.
+// domain returns the state of a domain, creating it if needed; domains are kept sorted by name.
 func (g *Granter) domain(n identifier.FailureDomain) *domain {
 	i, ok := slices.BinarySearchFunc(g.domains, n, func(d *domain, n identifier.FailureDomain) int {
 		return strings.Compare(string(d.name), string(n))
@@ -224,18 +228,18 @@
 	return g.domains[i]
 }
 
-func (g *Granter) holds(b *bank, now clock.Time) bool {
-	if !b.owned {
+func (g *Granter) hasAuthority(b *bank, now clock.Time) bool {
+	if !b.isOpen {
 		return false
 	}
 	_, ok := g.options.Authority.Holds(b.claim, now)
 	return ok
 }
 
-// bankOf returns the bank for the team when it is kept here.
+// bankOf returns the team's bank at this node, and whether the node has authority over it.
 func (g *Granter) bankOf(t identifier.Team, now clock.Time) (*bank, bool) {
 	b := g.banks[SlotOf(t, g.options.Slots)]
-	return b, g.holds(b, now)
+	return b, g.hasAuthority(b, now)
 }
 
 var _ Authority = (*claimer.Claimer)(nil)
--- a/internal/granter/lender.go
+++ b/internal/granter/lender.go
@@ -1,9 +1,9 @@
 // A bank lends what its own domain doesn't use, so that a team whose traffic is all in one domain gets its whole
-// rate. Rate, cap and tokens leave the lender's account before the answer is sent, and come back when the loan has
-// ended by the lender's clock or the borrower has reported that it holds less.
+// rate. Rate, cap and tokens are deducted from the lender's account before the answer is sent. They return when the
+// loan has ended by the lender's clock or when the borrower has reported that it holds less.
 //
-// Example: bravo has no calls of the team and lends alfa all of its 50 calls a second. When a call comes in at
-// bravo, it recalls what exceeds its surplus; alfa reports at once that it holds less, with the tokens left.
+// Example: bravo has no calls of the team and lends alfa all of its 50 calls a second. When a call arrives at bravo,
+// it recalls what exceeds its surplus; alfa reports at once that it holds less, with the tokens left.
 
 package granter
 
@@ -17,16 +17,18 @@
 
 const (
 	recallPeriod = 50 * clock.Millisecond
-	// borrowerTerm is how long a borrower counts as asking after its last request.
+	// borrowerTerm is how long a borrower is included in the division of the surplus after its last request.
 	borrowerTerm = 600 * clock.Millisecond
-	// maxLoans bounds the loans of one lender to one borrower.
+	// maxLoans bounds the number of loans of one lender to one borrower.
 	maxLoans = 8
-	// smallestPart is the part of the share, as a divisor, below which a further loan isn't worth a record.
-	smallestPart = 50
-	// toleratedPart is the part of the share, as a divisor, by which a loan may exceed its target unrecalled.
-	toleratedPart = 8
-	// reservePart is the part of the cap, as a divisor, that is never lent.
-	reservePart = 4
+	// minLoanDivisor sets the smallest further loan: one whose cap and rate are no larger than the shares divided by
+	// it is not worth a record.
+	minLoanDivisor = 50
+	// excessToleranceDivisor sets the tolerance: a loan may exceed its target by the share divided by it without
+	// being recalled.
+	excessToleranceDivisor = 8
+	// reserveDivisor sets the reserve: the cap divided by it is never lent.
+	reserveDivisor = 4
 )
 
 type lentLoan struct {
@@ -34,13 +36,13 @@
 	cap    identifier.Tokens
 	rate   identifier.Tokens
 	tokens identifier.Tokens
-	// back is what came back so far, at most the cap of the beginning.
-	back  identifier.Tokens
-	first identifier.Tokens
-	until clock.Time
+	// returnedTokens is the sum of the tokens returned so far, at most initialCap.
+	returnedTokens identifier.Tokens
+	initialCap     identifier.Tokens
+	until          clock.Time
 }
 
-// lent is all that a borrower has of this account.
+// lent is the lender's record of one borrower and its loans.
 type lent struct {
 	node     identifier.Node
 	number   uint64
@@ -78,7 +80,7 @@
 		l.loans = slices.DeleteFunc(l.loans, func(n lentLoan) bool { return now >= n.until })
 	}
 	a.lent = slices.DeleteFunc(a.lent, func(l *lent) bool {
-		return len(l.loans) == 0 && now >= l.askAt.Add(clientMemory)
+		return len(l.loans) == 0 && now >= l.askAt.Add(clientRetention)
 	})
 }
 
@@ -105,15 +107,16 @@
 	l.number = m.Number
 	l.wantRate = smooth(l.wantRate, m.WantRate)
 	l.askAt = now
-	a.settleLoans(l, m)
+	a.reconcileLoans(l, m)
 	if m.WantRate > 0 {
 		g.lend(b, a, l, m, now)
 	}
 }
 
-// settleLoans takes the report of what is still held. A loan that isn't listed is held no more, for the borrower
-// drops a loan, or gives up a request, before it sends this; its tokens count as spent unless reported back.
-func (a *account) settleLoans(l *lent, m LoanRequest) {
+// reconcileLoans applies the borrower's report of the loans that it still holds. A loan that isn't listed has ended,
+// since the borrower drops a loan or abandons a request before it sends the report; its tokens count as spent unless
+// they were reported as returned.
+func (a *account) reconcileLoans(l *lent, m LoanRequest) {
 	kept := l.loans[:0]
 	for _, n := range l.loans {
 		i := slices.IndexFunc(m.Held, func(h HeldLoan) bool { return h.Number == n.number })
@@ -121,13 +124,13 @@
 			continue
 		}
 		h := m.Held[i]
-		back := h.Back
-		if back == Unapplied {
-			back = n.tokens
+		returnedTokens := h.Back
+		if returnedTokens == Unapplied {
+			returnedTokens = n.tokens
 		}
-		back = min(back, n.first)
-		a.bucket += max(0, back-n.back)
-		n.back = max(n.back, back)
+		returnedTokens = min(returnedTokens, n.initialCap)
+		a.bucket += max(0, returnedTokens-n.returnedTokens)
+		n.returnedTokens = max(n.returnedTokens, returnedTokens)
 		n.cap = min(n.cap, h.Cap)
 		n.rate = min(n.rate, h.Rate)
 		if n.cap > 0 || n.rate > 0 {
@@ -135,10 +138,10 @@
 		}
 	}
 	l.loans = kept
-	a.clip()
+	a.clipBucket()
 }
 
-// surplus is what the own domain leaves of its share.
+// surplus is the part of the share that the bank's own domain doesn't need.
 func (g *Granter) surplus(a *account, now clock.Time) (capacity, rate identifier.Tokens) {
 	if g.leaving {
 		return 0, 0
@@ -154,24 +157,25 @@
 	return capacity, rate
 }
 
-// reserve is the part of the cap that an idle bank keeps for the first calls after a move of the traffic; they
-// would wait for a recall otherwise. Pooled teams keep none, for their calls come to one bank anyway.
+// reserve is the part of the cap that an idle bank keeps for the first calls when traffic moves to its domain;
+// without it they would wait for a recall. Pooled teams need none, since all their calls are paid for by one bank.
 func (a *account) reserve() identifier.Tokens {
 	if a.pooled {
 		return 0
 	}
-	return a.cap / reservePart
+	return a.cap / reserveDivisor
 }
 
-// idleRate lends the whole rate only when the reserve is full.
+// idleRate returns the rate that an idle bank may lend: the whole rate only while the reserve is full.
 func (a *account) idleRate() identifier.Tokens {
 	if a.bucket < a.reserve() {
-		return a.rate - a.rate/reservePart
+		return a.rate - a.rate/reserveDivisor
 	}
 	return a.rate
 }
 
-// target divides the surplus among the borrowers that ask, by what they miss.
+// target returns the borrower's part of the surplus, which is divided among the recent borrowers in proportion to the
+// rates that they asked for.
 func (g *Granter) target(a *account, l *lent, now clock.Time) (capacity, rate identifier.Tokens) {
 	capacity, rate = g.surplus(a, now)
 	var sum identifier.Tokens
@@ -186,7 +190,7 @@
 	return scale(capacity, l.wantRate, sum), scale(rate, l.wantRate, sum)
 }
 
-// smooth follows the demand slowly, so that its noise doesn't send loans to and fro.
+// smooth applies exponential smoothing, so that noise in the demand doesn't move loans back and forth.
 func smooth(old, v identifier.Tokens) identifier.Tokens {
 	if old == 0 || v == 0 {
 		return v
@@ -194,7 +198,7 @@
 	return (3*old + v) / 4
 }
 
-// scale returns v×part÷whole without overflow for parts of any size.
+// scale returns v×part÷whole; it reduces the precision of large parts to avoid overflow.
 func scale(v, part, whole identifier.Tokens) identifier.Tokens {
 	const bound = 1 << 20
 	for whole > bound {
@@ -225,7 +229,8 @@
 	freeCap := max(0, min(a.cap-a.outstanding, surplusCap)-a.lentCap())
 	freeRate := max(0, surplusRate-a.lentRate())
 	if m.Unmet {
-		// Whoever lacks tokens now gets all that is free: what nobody asks for at this moment would be lost.
+		// A borrower with unmet requests gets everything that is free, since tokens that no other bank asks for now
+		// would remain unused.
 		targetCap = max(targetCap, heldCap+freeCap)
 		targetRate = max(targetRate, heldRate+freeRate)
 	}
@@ -235,9 +240,9 @@
 		rate:   max(0, min(targetRate-heldRate, freeRate)),
 		until:  until,
 	}
-	worth := n.cap > a.cap/smallestPart || n.rate > a.rate/smallestPart
-	if worth && len(l.loans) < maxLoans {
-		n.first = n.cap
+	worthLending := n.cap > a.cap/minLoanDivisor || n.rate > a.rate/minLoanDivisor
+	if worthLending && len(l.loans) < maxLoans {
+		n.initialCap = n.cap
 		n.tokens = min(max(0, a.bucket-a.reserve()), n.cap)
 		a.bucket -= n.tokens
 		l.loans = append(l.loans, n)
@@ -250,13 +255,14 @@
 	}
 }
 
-// exceeds leaves room for small changes of demand, which aren't worth a message.
+// exceeds reports whether a loan exceeds its target by more than the tolerance; smaller changes of demand aren't
+// worth a message.
 func exceeds(held, target, share identifier.Tokens) bool {
-	return held > target+share/toleratedPart
+	return held > target+share/excessToleranceDivisor
 }
 
-// recallOwn asks for the share back when the own domain wants it.
-func (g *Granter) recallOwn(a *account, now clock.Time) {
+// recallLent recalls loans when the bank's own domain needs its share.
+func (g *Granter) recallLent(a *account, now clock.Time) {
 	if len(a.lent) > 0 {
 		g.recall(a, now)
 	}
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -1,4 +1,4 @@
-// Little of a team's rate may be lost on the way. The figures that these tests print are those of the design note.
+// These tests measure how much of a team's rate is served. The design note quotes the figures that they log.
 
 package granter_test
 
@@ -11,9 +11,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// An end user of a team whose calls come in at few nodes, or move, is refused although the team is within its rate.
-// That is the ordinary day, so at least 95% of the rate must be served while all is healthy.
-func TestSkewedTrafficGetsItsRate(t *testing.T) {
+// If a team's calls arrive at few nodes, or move between nodes, its callers may be refused although the team is
+// within its rate. Such traffic is normal, so at least 95% of the rate must be served while everything is healthy.
+func TestSkewedTrafficIsServedUpToItsRate(t *testing.T) {
 	one := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, load) }
 	two := func(f *fleet, team identifier.Team, load, _ int64) { f.setLoad(team, (load+1)/2, 0, (load+1)/2) }
 	nodes := func(f *fleet, team identifier.Team, load, second int64) {
@@ -46,8 +46,8 @@
 				var sent, appends int
 				for s := range int64(warmUp + seconds) {
 					if s == warmUp {
-						// The burst of the beginning is used up by now, so it doesn't flatter the ratio.
-						f.oracle.forget()
+						// The initial burst is used up by now and doesn't distort the ratio.
+						f.oracle.resetCounts()
 						sent, appends = f.sent(), f.appends
 					}
 					for _, team := range f.teams {
@@ -59,11 +59,11 @@
 					b := f.oracle[team.Name]
 					entitled := min(b.offered, int(team.Rate)*seconds/1000)
 					if entitled == 0 {
-						continue // too few calls for a part of one at each node
+						continue // the load is below one call a second at each node
 					}
 					ratio := float64(b.served) / float64(entitled)
 					t.Logf("%s load %d%% %s: served ÷ entitled %.3f", name, percent, team.Name, ratio)
-					assert.Check(t, ratio >= 0.95, "%s at %d%%: %.3f", team.Name, percent, ratio)
+					assert.Check(t, ratio >= 0.95, "team %s at %d%% load: served ÷ entitled is %.3f, below the required ratio", team.Name, percent, ratio)
 				}
 				t.Logf("%s load %d%%: %.0f messages per node and second, %.2f appends per second", name, percent,
 					float64(f.sent()-sent)/8/seconds, float64(f.appends-appends)/seconds)
@@ -73,23 +73,23 @@
 	}
 }
 
-// The platform's log takes several hundred appends a second for everything; claims that needed more than a trickle
-// would hold up operators' changes.
+// The platform's log accepts several hundred appends a second in all; claims that needed many of them would delay
+// operators' changes.
 func TestClaimsNeedFewAppends(t *testing.T) {
 	t.Parallel()
 	f := newFleet(1, 4, 3, false)
-	f.quiet = true
+	f.claimsOnly = true
 	f.run(20_000)
 	start := f.appends
 	f.run(720_000)
-	t.Logf("%d claims: %d appends at the start, %d in 720 s", len(f.names), start, f.appends-start)
-	assert.Check(t, start <= 2*len(f.names))
-	assert.Check(t, f.appends-start <= 2*len(f.names))
+	t.Logf("%d claims: %d appends at the start, %d in 720 s", len(f.claimNames), start, f.appends-start)
+	assert.Check(t, start <= 2*len(f.claimNames))
+	assert.Check(t, f.appends-start <= 2*len(f.claimNames))
 }
 
-// A fault costs a team some of its rate, in one domain at most, and never all of it. The floors are those of the
-// operators' page; whoever lowers one changes what users were told.
-func TestFaultsLeaveMostOfTheRate(t *testing.T) {
+// A fault may cost a team a part of its rate, but never all of it. The lower bounds are documented to operators;
+// lowering one changes what users were promised.
+func TestRateServedUnderFaults(t *testing.T) {
 	tables := map[string]struct {
 		floor float64
 		fault func(f *fleet, second int)
@@ -109,7 +109,7 @@
 		}},
 		"5% lost": {0.90, func(f *fleet, _ int) { f.loss = 50 }},
 		"holder paused past its lease": {0.95, func(f *fleet, s int) {
-			f.once(s, func() { f.holderOf("rates/alfa/0").pausedTo = f.now + 15_000 })
+			f.once(s, func() { f.holderOf("rates/alfa/0").pausedUntil = f.now + 15_000 })
 		}},
 		"log down and holder dies": {0.80, func(f *fleet, s int) {
 			f.logDown = s < 30
@@ -121,7 +121,7 @@
 			t.Parallel()
 			f := newFleet(1, 4, 3, false)
 			f.run(20_000)
-			f.oracle.forget()
+			f.oracle.resetCounts()
 			for s := range 40 {
 				c.fault(f, s)
 				for _, team := range f.teams {
@@ -137,14 +137,14 @@
 				b := f.oracle[team]
 				ratio := float64(b.served) / float64(b.offered)
 				t.Logf("%s, %s: served ÷ entitled %.3f", name, team, ratio)
-				assert.Check(t, ratio >= c.floor, "%s: %.3f", team, ratio)
+				assert.Check(t, ratio >= c.floor, "team %s: served ÷ entitled is %.3f, below the required ratio", team, ratio)
 			}
 			assert.DeepEqual(t, f.faults, []string(nil))
 		})
 	}
 }
 
-// once does something in the third second only.
+// once runs do in the third second only.
 func (f *fleet) once(second int, do func()) {
 	if second == 2 {
 		do()
