--- a/internal/conductor/ending.go
+++ b/internal/conductor/attempt_end.go
@@ -13,8 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// spread returns a time around d: callers that were refused together should not come back together.
-func (c *Conductor) spread(d clock.Duration) clock.Duration {
+// jitter returns a time around d: callers that were refused together should not come back together.
+func (c *Conductor) jitter(d clock.Duration) clock.Duration {
 	return d/2 + clock.Duration(c.random.Int64N(int64(d)+1))
 }
 
@@ -27,7 +27,7 @@
 	if !ok {
 		return
 	}
-	c.learnAttempt(r, e, now)
+	c.recordAttempt(r, e, now)
 	c.learnReachability(r, e.Outcome, now)
 	if e.Member != nil {
 		// Else each further request would go there as well, until the record comes by the store or a report.
@@ -41,15 +41,15 @@
 		return
 	}
 	if e.Outcome == Broken || e.Outcome == Late {
-		r.doubt = true
+		r.mayHaveRun = true
 	}
 	if e.Outcome == Broken || e.Outcome == Late || e.Outcome == Declined {
-		r.arrivals++
+		r.endpointArrivals++
 	}
-	r.counted = r.counted || e.Outcome != Moved && e.Outcome != Unreached && e.Outcome != Over
+	r.arrivalCounted = r.arrivalCounted || e.Outcome != Moved && e.Outcome != Unreached && e.Outcome != Over
 	r.excluded = append(r.excluded, r.picked)
 	r.turnedAway = r.turnedAway || e.Outcome != Moved && e.Outcome != Unreached
-	if c.mayTryAgain(r, e, now) {
+	if c.mayAttemptAgain(r, e, now) {
 		c.attempt(r, now)
 		return
 	}
@@ -59,8 +59,8 @@
 	c.rejectCall(r, reasonOf(e.Outcome), now)
 }
 
-// learnAttempt tells the router how an attempt went.
-func (c *Conductor) learnAttempt(r *call, e AttemptEnded, now clock.Time) {
+// recordAttempt tells the router how an attempt went.
+func (c *Conductor) recordAttempt(r *call, e AttemptEnded, now clock.Time) {
 	result := router.Result{Latency: now.Sub(r.sent), Headroom: e.Headroom, Wait: e.Wait}
 	if e.Outcome != Over && !e.Outcome.NotRun() {
 		r.rateUnchecked = false
@@ -81,17 +81,17 @@
 	c.router.Done(r.picked, result, now)
 }
 
-func (c *Conductor) mayTryAgain(r *call, e AttemptEnded, now clock.Time) bool {
-	if !e.Replayable || r.tries >= maxTries || e.Outcome == Late {
+func (c *Conductor) mayAttemptAgain(r *call, e AttemptEnded, now clock.Time) bool {
+	if !e.Replayable || r.attempts >= maxAttempts || e.Outcome == Late {
 		return false
 	}
-	if r.doubt && r.route.Kind != matcher.Idempotent {
+	if r.mayHaveRun && r.route.Kind != matcher.Idempotent {
 		return false
 	}
-	if r.arrivals == 0 {
+	if r.endpointArrivals == 0 {
 		return true
 	}
-	return r.arrivals < r.route.Attempts && c.mayRepeat(r.service, r.nested, now)
+	return r.endpointArrivals < r.route.Attempts && c.takeRetry(r.service, r.nested, now)
 }
 
 func reasonOf(o Outcome) Reason {
@@ -116,26 +116,26 @@
 // rejectCall answers at once. Only what has certainly not run may say so.
 func (c *Conductor) rejectCall(r *call, reason Reason, now clock.Time) {
 	switch {
-	case r.doubt && reason == Deadline:
+	case r.mayHaveRun && reason == Deadline:
 		c.refuse(r.id, http.StatusGatewayTimeout, reason, 0)
-	case r.doubt:
+	case r.mayHaveRun:
 		c.refuse(r.id, http.StatusBadGateway, reason, 0)
 	case reason == OverRate:
-		c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.spread(r.wait))
+		c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(r.tokenWait))
 	case reason == NoEndpoint || reason == EndpointGone || reason == EndpointDown:
 		if c.onlyEvacuated(r.service) {
 			reason = Evacuated
 		}
-		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.spread(r.returnsAfter(now)))
+		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.jitter(r.retryAfterNoEndpoint(now)))
 	default:
-		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.spread(retryNoRoom))
+		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.jitter(retryAfterNoRoom))
 	}
-	if !r.doubt && r.arrivals == 0 && r.team != nil && !r.rateUnchecked {
+	if !r.mayHaveRun && r.endpointArrivals == 0 && r.team != nil && !r.rateUnchecked {
 		c.refundToken(r.team.Name, now)
 	}
-	c.close(r.id)
+	c.closeCall(r.id)
 }
 
-func (c *Conductor) close(id CallID) {
+func (c *Conductor) closeCall(id CallID) {
 	delete(c.calls, id)
 }
--- a/internal/conductor/chain_placement.go
+++ b/internal/conductor/chain_placement.go
@@ -14,50 +14,50 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// presence is in which failure domains each service has endpoints that may be used.
-type presence map[identifier.Service]map[identifier.FailureDomain]bool
+// usableDomains is in which failure domains each service has endpoints that may be used.
+type serviceDomains map[identifier.Service]map[identifier.FailureDomain]bool
 
-// presence is taken from what members say themselves and from who can't be reached. Members that are merely silent count as
+// usableDomains is taken from what members say themselves and from who can't be reached. Members that are merely silent count as
 // there: a fleet that took silence for absence would refuse everything whenever reports are late.
-func (c *Conductor) presence() presence {
-	there := presence{}
+func (c *Conductor) usableDomains() serviceDomains {
+	available := serviceDomains{}
 	for _, m := range c.members {
 		usable := m.State == exchanger.Ready || m.State == exchanger.Stopping
 		if !usable || c.detector.Lost(m.Node) || c.evacuated[m.Domain] {
 			continue
 		}
-		domains, ok := there[m.Service]
+		domains, ok := available[m.Service]
 		if !ok {
 			domains = map[identifier.FailureDomain]bool{}
-			there[m.Service] = domains
+			available[m.Service] = domains
 		}
 		domains[m.Domain] = true
 	}
-	return there
+	return available
 }
 
-// leastAway is how many calls a run must make to services that are missing here for it to be sent elsewhere.
-const leastAway = 1.5
+// minRemoteCalls is how many calls a run must make to services that are missing here for it to be sent elsewhere.
+const minRemoteCalls = 1.5
 
-// planHomes works out, for the runs that are sent from here and whose calls find no endpoint in this domain, in which
+// planPreferredDomains works out, for the runs that are sent from here and whose calls find no endpoint in this domain, in which
 // domains they do.
-func (c *Conductor) planHomes(there presence) {
-	for from := range c.sent {
-		away := map[identifier.FailureDomain]float64{}
-		for service, times := range c.graph.directCalls(from) {
-			for domain := range there[service] {
-				away[domain] += times
+func (c *Conductor) planPreferredDomains(available serviceDomains) {
+	for from := range c.sentOrigins {
+		callsServed := map[identifier.FailureDomain]float64{}
+		for service, times := range c.callGraph.directCalls(from) {
+			for domain := range available[service] {
+				callsServed[domain] += times
 			}
 		}
-		best := away[c.self.Domain] + leastAway
-		var homes []identifier.FailureDomain
-		for _, domain := range slices.Sorted(maps.Keys(away)) {
-			if away[domain] >= best && there[from.service][domain] {
-				homes = append(homes, domain)
+		minServed := callsServed[c.self.Domain] + minRemoteCalls
+		var preferredDomains []identifier.FailureDomain
+		for _, domain := range slices.Sorted(maps.Keys(callsServed)) {
+			if callsServed[domain] >= minServed && available[from.service][domain] {
+				preferredDomains = append(preferredDomains, domain)
 			}
 		}
-		if len(homes) > 0 {
-			c.plan.homes[from] = homes
+		if len(preferredDomains) > 0 {
+			c.plan.preferredDomains[from] = preferredDomains
 		}
 	}
 }
--- a/internal/conductor/chain_placement_test.go
+++ b/internal/conductor/chain_placement_test.go
@@ -16,7 +16,7 @@
 // The last endpoint of a service in a failure domain has been taken away, and each run of the service above calls it four
 // times. Run here, each would send four messages to another domain one after the other and wait for the way four times;
 // run there, one.
-func TestRunGoesWhereItsCallsAreServed(t *testing.T) {
+func TestRunIsPlacedInDomainServingItsCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		calls    float64
 		clocks   []identifier.FailureDomain
@@ -42,15 +42,15 @@
 				deep.Domain = domain
 				members = append(members, deep)
 			}
-			learn(k, members...)
+			learnMembers(k, members...)
 			crossed := map[router.Crossing]int{}
 			for id := CallID(1); id <= 200; id++ {
 				now := clock.Time(id * 3)
-				k.Apply(ReportsHeard{Reports: []exchanger.Report{{
+				k.Apply(ReportsReceived{Reports: []exchanger.Report{{
 					Member: near, Number: int64(id), Load: 10,
 					Calls: map[identifier.Route]map[identifier.Route]float64{"obs": {"in": c.calls}},
 				}}}, now)
-				s := one[Send](t, k.Apply(arrival(id, "/obs/x"), now))
+				s := onlyEffect[Send](t, k.Apply(arrival(id, "/obs/x"), now))
 				headroom := uint8(200)
 				if s.Node == "far" {
 					headroom = c.headroom
--- a/internal/conductor/class.go
+++ b/internal/conductor/class.go
@@ -16,11 +16,11 @@
 // class is the importance of a root request; 0 is the most important.
 type class int
 
-// levels is how many ranks of teams and of routes are told apart.
-const levels = 4
+// rankLevels is how many ranks of teams and of routes are told apart.
+const rankLevels = 4
 
-func level(rank int) int {
-	return min(max(rank, 0), levels-1)
+func rankLevel(rank int) int {
+	return min(max(rank, 0), rankLevels-1)
 }
 
 // classOf returns a request's class. Nested calls come first: the work that their parents have done would be lost.
@@ -30,29 +30,29 @@
 	}
 	team := 0
 	if r.team != nil && r.team.HasRank {
-		team = level(r.team.Rank)
+		team = rankLevel(r.team.Rank)
 	}
-	return class(team*levels + level(r.route.Rank))
+	return class(team*rankLevels + rankLevel(r.route.Rank))
 }
 
 // rank orders requests as they are shed: by their team, then by what they are worth for their calls, then by chance. A request
 // whose chain makes 2^costLevel calls at one service counts as that many levels less important.
 func (c class) rank(costLevel int, hash uint64) identifier.Rank {
-	level := min(int(c%levels)+costLevel, identifier.MaxOveruse)
-	return identifier.MakeRank(identifier.Priority(c/levels), uint8(level), hash)
+	level := min(int(c%rankLevels)+costLevel, identifier.MaxOveruse)
+	return identifier.MakeRank(identifier.Priority(c/rankLevels), uint8(level), hash)
 }
 
-// arrivals counts the root requests that arrive here, by their origin and their class.
-type arrivals struct {
-	counts map[origin]*throttler.Mix
-	faded  clock.Time
+// arrivalCounts counts the root requests that arrive here, by their origin and their class.
+type arrivalCounts struct {
+	counts    map[origin]*throttler.Mix
+	decayedAt clock.Time
 }
 
-// arrivalMemory is the time constant of the counts: long enough to hold a few requests of each class at a node that
+// arrivalTimeConstant is the time constant of the counts: long enough to hold a few requests of each class at a node that
 // takes 20 a second, short enough to follow a shift of callers.
-const arrivalMemory = 2 * clock.Second
+const arrivalTimeConstant = 2 * clock.Second
 
-func (a *arrivals) add(from origin, c class) {
+func (a *arrivalCounts) add(from origin, c class) {
 	if a.counts == nil {
 		a.counts = map[origin]*throttler.Mix{}
 	}
@@ -64,13 +64,13 @@
 	m[c]++
 }
 
-// minArrivals is the faded count below which an origin is dropped; routes come and go.
-const minArrivals = 0.001
+// minArrivalCount is the faded count below which an origin is dropped; routes come and go.
+const minArrivalCount = 0.001
 
-// fade lets old arrivals count less; it is called every chainPeriod or later.
-func (a *arrivals) fade(now clock.Time) {
-	age := float64(now.Sub(a.faded)) / float64(arrivalMemory)
-	a.faded = now
+// decay lets old arrivals count less; it is called every chainPeriod or later.
+func (a *arrivalCounts) decay(now clock.Time) {
+	age := float64(now.Sub(a.decayedAt)) / float64(arrivalTimeConstant)
+	a.decayedAt = now
 	keep := 1 / (1 + max(0, age))
 	for from, m := range a.counts {
 		total := 0.0
@@ -78,21 +78,21 @@
 			m[c] *= keep
 			total += m[c]
 		}
-		if total < minArrivals {
+		if total < minArrivalCount {
 			delete(a.counts, from)
 		}
 	}
 }
 
 const (
-	// teamWorth and routeWorth are by how much a request is worth less for each level of its team and of its route. A team's
-	// level goes before all that routes and chains make up.
-	teamWorth  = 1.0 / 1024
-	routeWorth = 1.0 / 2
+	// teamLevelFactor and routeWorth are by how much a request is worth less for each level of its team and of its route. A team's
+	// rankLevel goes before all that routes and chains make up.
+	teamLevelFactor  = 1.0 / 1024
+	routeLevelFactor = 1.0 / 2
 )
 
 // worth is what a request of the class is worth for one of its calls at a service where it makes 2^costLevel, 1 for the most
 // important with one call.
 func (c class) worth(costLevel int) float64 {
-	return math.Pow(teamWorth, float64(c/levels)) * math.Pow(routeWorth, float64(c%levels)) / math.Exp2(float64(costLevel))
+	return math.Pow(teamLevelFactor, float64(c/rankLevels)) * math.Pow(routeLevelFactor, float64(c%rankLevels)) / math.Exp2(float64(costLevel))
 }
--- a/internal/conductor/cold.go
+++ b/internal/conductor/cold.go
@@ -21,12 +21,12 @@
 }
 
 const (
-	// coldSlackPart of the slack is used as a burst; the rest covers what is dispatched late.
-	coldSlackPart = 0.5
+	// coldBurstRatio of the slack is used as a burst; the rest covers what is dispatched late.
+	coldBurstRatio = 0.5
 	// coldMargin is for how much longer an endpoint counts as cold than it says: its word was under way.
 	coldMargin = 100 * clock.Millisecond
-	// checkPeriod is the time between two questions to an endpoint of which it is not known whether it is cold.
-	checkPeriod = 250 * clock.Millisecond
+	// coldCheckPeriod is the time between two questions to an endpoint of which it is not known whether it is cold.
+	coldCheckPeriod = 250 * clock.Millisecond
 	// unknownColdStart is how long an endpoint counts as cold whose service's figure is not known yet.
 	unknownColdStart = 3 * clock.Second
 )
@@ -46,7 +46,7 @@
 
 // coldLeft returns how much longer the endpoint beside a node counts as cold.
 func (c *Conductor) coldLeft(node identifier.Node, now clock.Time) clock.Duration {
-	until := c.othersCold[node]
+	until := c.otherColdUntil[node]
 	if node == c.self.Node {
 		until = c.coldUntil
 	}
@@ -82,14 +82,14 @@
 	}
 	limit := limiter.ColdLimit{
 		PerSecond: rate * c.options.Bounds.Cold.Excess,
-		Burst:     max(1, coldSlackPart*c.options.Bounds.Cold.Slack),
+		Burst:     max(1, coldBurstRatio*c.options.Bounds.Cold.Slack),
 	}
 	c.limiter.SetCold(limit, c.coldUntil, now)
 	c.throttler.Limit(max(1, limit.PerSecond))
 }
 
-// warm ends the limit when the local endpoint is warm.
-func (c *Conductor) warm(now clock.Time) {
+// endColdLimit ends the limit when the local endpoint is warm.
+func (c *Conductor) endColdLimit(now clock.Time) {
 	if c.coldUntil <= now {
 		c.throttler.Limit(0)
 	}
@@ -103,24 +103,24 @@
 	}
 	c.learnCold(left, now)
 	c.coldPresumed = c.coldUntil > now
-	c.checkAt = now
-	c.checkPresumed(now)
+	c.nextColdCheckAt = now
+	c.checkPresumedCold(now)
 }
 
 // presumeOtherCold takes the endpoint beside another node for cold until that node reports otherwise.
 func (c *Conductor) presumeOtherCold(m exchanger.Member, now clock.Time) {
 	if c.coldRate(m.Service) > 0 {
-		c.othersCold[m.Node] = now.Add(c.matcher.Service(m.Service).ColdStart)
+		c.otherColdUntil[m.Node] = now.Add(c.matcher.Service(m.Service).ColdStart)
 	}
 }
 
-// checkPresumed asks the local endpoint whether it is cold, now and then until it has said so: if only this node was started
+// checkPresumedCold asks the local endpoint whether it is cold, now and then until it has said so: if only this node was started
 // anew, it is warm.
-func (c *Conductor) checkPresumed(now clock.Time) {
-	if !c.coldPresumed || c.matcher == nil || now < c.checkAt || now >= c.coldUntil {
+func (c *Conductor) checkPresumedCold(now clock.Time) {
+	if !c.coldPresumed || c.matcher == nil || now < c.nextColdCheckAt || now >= c.coldUntil {
 		return
 	}
-	c.checkAt = now.Add(checkPeriod)
+	c.nextColdCheckAt = now.Add(coldCheckPeriod)
 	if path := c.matcher.Service(c.self.Service).HealthPath; path != "" {
 		c.emit(CheckEndpoint{Path: path})
 	}
@@ -137,27 +137,27 @@
 		return
 	}
 	c.limiter.SetCold(limiter.ColdLimit{}, now, now)
-	c.warm(now)
-	c.routeAnew(c.self, now)
+	c.endColdLimit(now)
+	c.updateRouterFor(c.self, now)
 }
 
-// learnOthersCold takes over from a report how much longer the endpoint beside another node is cold.
-func (c *Conductor) learnOthersCold(r exchanger.Report, now clock.Time) {
+// learnOtherCold takes over from a report how much longer the endpoint beside another node is cold.
+func (c *Conductor) learnOtherCold(r exchanger.Report, now clock.Time) {
 	node := r.Member.Node
 	wasCold := c.coldLeft(node, now) > 0
 	if r.ColdLeft > 0 {
-		c.othersCold[node] = now.Add(r.ColdLeft - r.Age)
+		c.otherColdUntil[node] = now.Add(r.ColdLeft - r.Age)
 	} else {
-		delete(c.othersCold, node)
+		delete(c.otherColdUntil, node)
 	}
 	if wasCold != (c.coldLeft(node, now) > 0) {
-		c.routeAnew(c.members[node], now)
+		c.updateRouterFor(c.members[node], now)
 	}
 }
 
-// routeAnew tells the router of a member's endpoint where something else than its record has changed.
-func (c *Conductor) routeAnew(m exchanger.Member, now clock.Time) {
+// updateRouterFor tells the router of a member's endpoint where something else than its record has changed.
+func (c *Conductor) updateRouterFor(m exchanger.Member, now clock.Time) {
 	if m.State == exchanger.Ready && m.Endpoint != "" {
-		c.route(m, now, c.silent(m.Node, now))
+		c.putEndpoint(m, now, c.silent(m.Node, now))
 	}
 }
--- a/internal/conductor/cold_test.go
+++ b/internal/conductor/cold_test.go
@@ -14,8 +14,8 @@
 
 const (
 	coldStartTime = 3 * clock.Second
-	// coldMost is what a cold endpoint may get in one second: 8.7 x 1.5 + 8.
-	coldMost = 21
+	// maxColdRunsPerSecond is what a cold endpoint may get in one second: 8.7 x 1.5 + 8.
+	maxColdRunsPerSecond = 21
 )
 
 // coldConductor is one beside an endpoint of desk, in a fleet that bounds what cold endpoints get.
@@ -84,7 +84,7 @@
 }
 
 // However an endpoint comes to be cold, more calls a second than it bears would crash it, and it would come back cold.
-func TestColdEndpointGetsWhatItBears(t *testing.T) {
+func TestColdEndpointRequestRateIsLimited(t *testing.T) {
 	tests := map[string]func(t *testing.T, c *Conductor) identifier.Endpoint{
 		"started": func(_ *testing.T, c *Conductor) identifier.Endpoint {
 			announceCold(c, "i-1", 1, coldStartTime, 0)
@@ -116,21 +116,21 @@
 			c := coldConductor(t)
 			id := start(t, c)
 			most := runsPerSecond(c, id, 10, 2000)
-			assert.Assert(t, most >= 8 && most <= coldMost, "%d runs begun within a second", most)
+			assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs begun within a second", most)
 		})
 	}
 }
 
 // Before a configuration is known the rate is not either, and requests of other nodes come all the same.
-func TestColdEndpointBeforeAConfiguration(t *testing.T) {
+func TestColdEndpointIsLimitedBeforeConfiguration(t *testing.T) {
 	c := newConductor("desk")
 	c.options.Bounds.Cold = ColdBound{Excess: 1.5, Slack: 8}
 	announceCold(c, "i-1", 1, coldStartTime, 0)
-	assert.Assert(t, runsPerSecond(c, "i-1", 10, 2000) <= coldMost)
+	assert.Assert(t, runsPerSecond(c, "i-1", 10, 2000) <= maxColdRunsPerSecond)
 }
 
 // If only the node was started anew, its endpoint is warm and must be used at once.
-func TestAssumedEndpointThatIsWarmIsUsed(t *testing.T) {
+func TestAssumedWarmEndpointIsNotLimited(t *testing.T) {
 	c := coldConductor(t)
 	c.Apply(MemberLearned{Member: ownRecord()}, 0)
 	c.Apply(EndpointChecked{Endpoint: "i-1", Known: true}, 5)
@@ -139,7 +139,7 @@
 
 // An endpoint that gives no clear answer is asked again: taken for cold for the whole cold start, a fleet whose processes were
 // all killed would refuse nearly everything for three seconds beside endpoints that are warm.
-func TestAssumedEndpointIsAskedAgain(t *testing.T) {
+func TestAssumedEndpointIsCheckedUntilKnown(t *testing.T) {
 	c := coldConductor(t)
 	c.Apply(MemberLearned{Member: ownRecord()}, 0)
 	c.Apply(EndpointChecked{Endpoint: "i-1"}, 5)
@@ -157,7 +157,7 @@
 }
 
 // An endpoint that has warmed up must be used in full at once; measured while it was cold, it would pass for slow for seconds.
-func TestWarmEndpointIsUsedInFull(t *testing.T) {
+func TestWarmedUpEndpointIsNotLimited(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, coldStartTime, 0)
 	runsPerSecond(c, "i-1", 10, 3100)
@@ -171,18 +171,18 @@
 	c := coldConductor(t)
 	cold, warm := peer("a", "desk"), peer("b", "desk")
 	cold.ColdLeft = coldStartTime
-	learn(c, cold)
-	assert.Equal(t, one[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-a"))
-	learn(c, warm)
+	learnMembers(c, cold)
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-a"))
+	learnMembers(c, warm)
 	for id := range CallID(20) {
-		assert.Equal(t, one[Send](t, c.Apply(arrival(id+2, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-b"))
+		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id+2, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-b"))
 	}
 	// The node beside it says that it is warm.
 	report := exchanger.Report{Member: cold, Number: 1}
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{report}}, 100)
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{report}}, 100)
 	used := map[identifier.Endpoint]bool{}
 	for id := range CallID(40) {
-		used[one[Send](t, c.Apply(arrival(id+30, "/obs/x"), 100)).Endpoint] = true
+		used[onlyEffect[Send](t, c.Apply(arrival(id+30, "/obs/x"), 100)).Endpoint] = true
 	}
 	assert.Assert(t, used["i-a"] && used["i-b"])
 }
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -1,7 +1,7 @@
 package conductor
 
 // One node takes requests in, chooses endpoints for them, and guards the endpoint beside it. All of its decisions are
-// made here, by small parts that know nothing of each other: matcher (routes and teams), apportioner and pooler (rates),
+// builtAt here, by small parts that know nothing of each other: matcher (routes and teams), apportioner and pooler (rates),
 // throttler (root requests against pressed services), detector (nodes that can't be reached), router (choice of an
 // endpoint), limiter (the local endpoint), registrar (what it announces) and exchanger (what nodes tell each other).
 //
@@ -25,15 +25,15 @@
 
 // Bounds are the figures that the deployment's operators promise their users.
 type Bounds struct {
-	// Revoke is how long after its withdrawal a key may still be served.
-	Revoke clock.Duration
-	// InForce is how long after it was accepted a configuration is in force everywhere.
-	InForce clock.Duration
-	// RepeatRatio of the requests for a service may arrive at a second endpoint, and RepeatSlack more, over
-	// RepeatWindow and all nodes.
-	RepeatRatio  float64
-	RepeatSlack  float64
-	RepeatWindow clock.Duration
+	// RevokeWithin is how long after its withdrawal a key may still be served.
+	RevokeWithin clock.Duration
+	// ApplyWithin is how long after it was accepted a configuration is in force everywhere.
+	ApplyWithin clock.Duration
+	// RetryRatio of the requests for a service may arrive at a second endpoint, and RepeatSlack more, over
+	// RetryWindow and all nodes.
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow clock.Duration
 	// Rate is by how much a team's requests may exceed its rate and burst.
 	Rate apportioner.Tolerance
 	// Cold is how many requests may reach a cold endpoint.
@@ -57,16 +57,16 @@
 	options  Options
 	random   *rand.Rand
 	stopping bool
-	// started is when the node started.
+	// runStarted is when the node started.
 	started clock.Time
-	// stopAsked is when the planned stop began.
-	stopAsked clock.Time
+	// stopRequestedAt is when the planned stop began.
+	stopRequestedAt clock.Time
 
-	matcher  *matcher.Matcher
-	readAt   clock.Time
-	provedAt clock.Time
-	proved   bool
-	proofs   proofs
+	matcher             *matcher.Matcher
+	configurationReadAt clock.Time
+	provedAt            clock.Time
+	proved              bool
+	receivedProof       receivedProof
 	// ordersNext is up to which offset the operators' orders are known.
 	ordersNext identifier.Offset
 	// evacuated are the failure domains whose endpoints get nothing.
@@ -74,30 +74,30 @@
 
 	self    exchanger.Member
 	members map[identifier.Node]exchanger.Member
-	// learned is when a node's present incarnation became known here, judged when silence was last judged.
-	learned  map[identifier.Node]clock.Time
-	judged   clock.Time
-	table    *exchanger.Table
-	reported int64
-	// answered is when another node last answered an exchange of reports; unanswered tells that one has failed since.
-	answered   clock.Time
-	unanswered bool
+	// incarnationLearnedAt is when a node's present incarnation became known here, judged when silence was last judged.
+	incarnationLearnedAt map[identifier.Node]clock.Time
+	silenceCheckedAt     clock.Time
+	table                *exchanger.Table
+	reportNumber         int64
+	// lastExchangeAt is when another node last answered an exchange of reports; unanswered tells that one has failed since.
+	lastExchangeAt clock.Time
+	exchangeFailed bool
 
-	detector    *detector.Detector
-	router      *router.Router
-	apportioner *apportioner.Apportioner
-	pooler      *pooler.Pooler
-	repeats     map[identifier.Service]*repeatBudget
-	plan        plan
-	arrivals    arrivals
-	// shares are the services of each route of the configuration.
-	shares map[identifier.Route]share
-	// graph is who calls whom.
-	graph *graph
-	// sent are the origins of what this node has sent, nested calls included.
-	sent map[origin]bool
-	// missed is since when services that requests lead to have been without an endpoint.
-	missed map[identifier.Service]clock.Time
+	detector      *detector.Detector
+	router        *router.Router
+	apportioner   *apportioner.Apportioner
+	pooler        *pooler.Pooler
+	retryBudgets  map[identifier.Service]*retryBudget
+	plan          plan
+	arrivalCounts arrivalCounts
+	// routeShares are the services of each route of the configuration.
+	routeShares map[identifier.Route]serviceShares
+	// callGraph is who calls whom.
+	callGraph *callGraph
+	// sentOrigins are the origins of what this node has sent, nested calls included.
+	sentOrigins map[origin]bool
+	// missingSince is since when services that requests lead to have been without an endpoint.
+	missingSince map[identifier.Service]clock.Time
 	// parents are the requests that run at the local endpoint.
 	parents map[identifier.Request]parent
 	splits  map[string]*split
@@ -111,49 +111,49 @@
 	// coldUntil is until when the local endpoint counts as cold, othersCold the same of the endpoints beside other nodes.
 	coldUntil clock.Time
 	// coldPresumed tells that coldUntil is a guess, and checkAt when the endpoint is asked next.
-	coldPresumed bool
-	checkAt      clock.Time
-	othersCold   map[identifier.Node]clock.Time
+	coldPresumed    bool
+	nextColdCheckAt clock.Time
+	otherColdUntil  map[identifier.Node]clock.Time
 
 	calls map[CallID]*call
-	// awaiting are requests that wait for an endpoint.
-	awaiting   []CallID
-	deliveries map[CallID]*delivery
-	verdicts   []limiter.Verdict
-	effects    []Effect
+	// awaitingEndpoint are requests that wait for an endpoint.
+	awaitingEndpoint []CallID
+	deliveries       map[CallID]*delivery
+	verdicts         []limiter.Verdict
+	effects          []Effect
 }
 
 // New returns a conductor that knows no configuration, no member and no endpoint.
 func New(o Options, now clock.Time) *Conductor {
 	return &Conductor{
-		options: o,
-		random:  o.Random,
-		started: now,
-		self:    o.Self,
-		members: map[identifier.Node]exchanger.Member{},
-		learned: map[identifier.Node]clock.Time{},
-		table:   exchanger.NewTable(o.Self.Node, o.Self.Domain, uint64(o.Self.Incarnation)),
+		options:              o,
+		random:               o.Random,
+		started:              now,
+		self:                 o.Self,
+		members:              map[identifier.Node]exchanger.Member{},
+		incarnationLearnedAt: map[identifier.Node]clock.Time{},
+		table:                exchanger.NewTable(o.Self.Node, o.Self.Domain, uint64(o.Self.Incarnation)),
 		router: router.New(router.Options{
 			Domain:          o.Self.Domain,
 			Rand:            o.Random,
 			FailuresToEject: failuresToEject,
 			EjectTime:       ejectTime,
-			EjectMax:        ejectMax,
+			EjectMax:        maxEjectTime,
 			ColdStart:       coldStart,
 		}),
-		apportioner: apportioner.New(o.Self.Node, o.Bounds.Rate, now),
-		detector:    detector.New(),
-		pooler:      pooler.New(o.Bounds.Rate, now),
-		repeats:     map[identifier.Service]*repeatBudget{},
-		splits:      map[string]*split{},
-		sent:        map[origin]bool{},
-		missed:      map[identifier.Service]clock.Time{},
-		parents:     map[identifier.Request]parent{},
-		registrar:   registrar.New(registrar.Options{Service: o.Self.Service, Address: o.EndpointAddress}),
-		throttler:   throttler.New(now),
-		calls:       map[CallID]*call{},
-		deliveries:  map[CallID]*delivery{},
-		othersCold:  map[identifier.Node]clock.Time{},
+		apportioner:    apportioner.New(o.Self.Node, o.Bounds.Rate, now),
+		detector:       detector.New(),
+		pooler:         pooler.New(o.Bounds.Rate, now),
+		retryBudgets:   map[identifier.Service]*retryBudget{},
+		splits:         map[string]*split{},
+		sentOrigins:    map[origin]bool{},
+		missingSince:   map[identifier.Service]clock.Time{},
+		parents:        map[identifier.Request]parent{},
+		registrar:      registrar.New(registrar.Options{Service: o.Self.Service, Address: o.EndpointAddress}),
+		throttler:      throttler.New(now),
+		calls:          map[CallID]*call{},
+		deliveries:     map[CallID]*delivery{},
+		otherColdUntil: map[identifier.Node]clock.Time{},
 	}
 }
 
@@ -162,8 +162,8 @@
 	failuresToEject = 3
 	// ejectTime is the time in which a killed node is started again.
 	ejectTime = clock.Second
-	// ejectMax bounds how long a node that came back waits for its first request.
-	ejectMax = 4 * clock.Second
+	// maxEjectTime bounds how long a node that came back waits for its first request.
+	maxEjectTime = 4 * clock.Second
 	// coldStart is how long an endpoint that has just joined is trusted with fewer requests.
 	coldStart = 3 * clock.Second
 )
@@ -173,44 +173,44 @@
 	c.effects = c.effects[:0]
 	switch e := e.(type) {
 	case RequestArrived:
-		c.arrive(e, now)
+		c.requestArrived(e, now)
 	case AttemptEnded:
 		c.attemptEnded(e, now)
 	case RequestClosed:
-		c.close(e.ID)
+		c.closeCall(e.ID)
 	case TokenDrawn:
 		c.tokenDrawn(e, now)
-	case TokenAsked:
+	case TokenRequested:
 		c.grantToken(e, now)
 	case Probed:
 		c.probeEnded(e, now)
 	case DeliveryArrived:
-		c.deliver(e, now)
+		c.deliveryArrived(e, now)
 	case DeliveryEnded:
 		c.deliveryEnded(e, now)
 	case DeliveryCancelled:
 		c.deliveryCancelled(e, now)
 	case EndpointAnnounced:
-		c.announced(e, now)
+		c.endpointAnnounced(e, now)
 	case EndpointRemoved:
-		c.removed(e, now)
+		c.endpointRemoved(e, now)
 	case EndpointUnreachable:
-		c.unreachable(e, now)
+		c.endpointUnreachable(e, now)
 	case EndpointChecked:
 		c.endpointChecked(e, now)
 	case ConfigurationRead:
 		c.configure(e, now)
 	case ConfigurationProved:
 		c.acceptProof(e)
-	case ProofHeard:
-		c.hearProof(e, now)
+	case ProofReceived:
+		c.learnProof(e, now)
 	case OrdersRead:
 		c.ordersNext = max(c.ordersNext, e.Next)
 	case DomainsEvacuated:
 		c.evacuate(e, now)
 	case MemberLearned:
 		c.learnMember(e, now)
-	case ReportsHeard:
+	case ReportsReceived:
 		c.takeReports(e.Reports, c.self, now)
 	case PeerFailed:
 		c.peerFailed(e, now)
@@ -218,11 +218,11 @@
 		c.peerAnswered(e, now)
 	case Ticked:
 		c.tick(now)
-	case Woken:
+	case VMResumed:
 		c.table.Elapse(e.After)
 	case BoundsChanged:
 		c.options.Bounds = e.Bounds
-	case StopAsked:
+	case StopRequested:
 		c.stop(now)
 	}
 	return c.effects
@@ -257,18 +257,18 @@
 
 func (c *Conductor) tick(now clock.Time) {
 	c.apportioner.Tick(now)
-	c.judgeSilence(now)
-	c.probe(now)
-	c.expireAssumed(now)
-	c.resume(now)
+	c.checkSilence(now)
+	c.sendProbes(now)
+	c.expireAssumedEndpoint(now)
+	c.resumeAwaiting(now)
 	c.announceStop(now)
 	if c.limiter == nil {
 		return
 	}
 	c.verdicts = c.limiter.Tick(now, c.verdicts[:0])
-	c.settle(now)
-	c.warm(now)
-	c.checkPresumed(now)
+	c.applyVerdicts(now)
+	c.endColdLimit(now)
+	c.checkPresumedCold(now)
 	c.refreshPlan(now)
 	c.throttler.Observe(c.limiter.Queued(), c.plan.excess[c.self.Service], now)
 }
@@ -277,12 +277,12 @@
 	if c.stopping {
 		return
 	}
-	c.stopping, c.stopAsked = true, now
+	c.stopping, c.stopRequestedAt = true, now
 }
 
 // announceStop tells the others that this node stops, when it will soon take no more for its endpoint.
 func (c *Conductor) announceStop(now clock.Time) {
-	if c.stopping && c.self.State == exchanger.Ready && now.Sub(c.stopAsked) >= stillServing {
+	if c.stopping && c.self.State == exchanger.Ready && now.Sub(c.stopRequestedAt) >= stoppingReadyTime {
 		c.publish(now)
 	}
 }
--- a/internal/conductor/configuration.go
+++ b/internal/conductor/configuration.go
@@ -18,11 +18,11 @@
 		return
 	}
 	// A proof of the version before holds for this one: what was withdrawn by then is missing here as well.
-	c.matcher, c.readAt = e.Matcher, e.At
-	c.shares = sharesOf(e.Matcher.Configuration())
-	c.runs.retain(c.shares)
-	clear(c.sent)
-	c.graph = nil
+	c.matcher, c.configurationReadAt = e.Matcher, e.At
+	c.routeShares = sharesOf(e.Matcher.Configuration())
+	c.runs.retain(c.routeShares)
+	clear(c.sentOrigins)
+	c.callGraph = nil
 	for _, t := range e.Matcher.Configuration().Teams {
 		c.apportioner.SetTeam(t.Name, t.Rate, t.Burst, now)
 		c.pooler.SetTeam(t.Name, t.Rate, t.Burst)
@@ -31,14 +31,14 @@
 		delete(c.splits, name)
 	}
 	c.limitCold(now)
-	c.checkPresumed(now)
+	c.checkPresumedCold(now)
 }
 
 func (c *Conductor) acceptProof(e ConfigurationProved) {
 	if c.matcher == nil || e.Version > c.matcher.Version() {
 		return
 	}
-	if e.Version < c.matcher.Version() && e.AsOf > c.readAt {
+	if e.Version < c.matcher.Version() && e.AsOf > c.configurationReadAt {
 		// The store already had the version in force here; a figure that says otherwise is wrong.
 		return
 	}
@@ -48,9 +48,9 @@
 	}
 }
 
-// fresh tells whether keys may be served at a boot time.
-func (c *Conductor) fresh(boot clock.Time) bool {
-	return c.proved && boot.Sub(c.provedAt) <= c.options.Bounds.Revoke-clockMargin
+// keysProved tells whether keys may be served at a boot time.
+func (c *Conductor) keysProved(boot clock.Time) bool {
+	return c.proved && boot.Sub(c.provedAt) <= c.options.Bounds.RevokeWithin-clockMargin
 }
 
 // ProvedAt returns the version in force and the boot time as of which it was the newest.
--- a/internal/conductor/configuration_proof.go
+++ b/internal/conductor/configuration_proof.go
@@ -17,19 +17,19 @@
 const (
 	// The fleet's collector keeps its reads open for provideTenths of the time in which a new configuration must be in
 	// force. Its proof is twice that old at most, and the exchanges add less than half of that time on the way to a node.
-	provideTenths = 2
-	// collectorTenths and coveredTenths of that time are the ages up to which another node's proof is enough for a collector
+	collectorWaitTenths = 2
+	// collectorProofTenths and coveredTenths of that time are the ages up to which another node's proof is enough for a collector
 	// and for any other node. Collectors read earlier, so that their nodes need not; what is left is for the read.
-	collectorTenths = 6
-	coveredTenths   = 8
-	// coveredFor is how long one exchange counts: three periods.
-	coveredFor = 1500 * clock.Millisecond
-	// askPart of the time in which a withdrawn key must be dead is how long a node keeps its reads open that asks only for
+	collectorProofTenths = 6
+	nodeProofTenths      = 8
+	// proofTrustedFor is how long one exchange counts: three periods.
+	proofTrustedFor = 1500 * clock.Millisecond
+	// revokeWaitDivisor of the time in which a withdrawn key must be dead is how long a node keeps its reads open that asks only for
 	// itself: a proof is as old as the read that brought it was open, and once more as old when the next one comes.
-	askPart = 3
-	// longWait is how long a read stays open where others' proofs are enough, a little less than the longest that stores of
+	revokeWaitDivisor = 3
+	// coveredWait is how long a read stays open where others' proofs are enough, a little less than the longest that stores of
 	// this kind allow.
-	longWait = 28 * clock.Second
+	coveredWait = 28 * clock.Second
 	// firstWait is how long a read stays open before there is any configuration, whose proof could grow old.
 	firstWait = 10 * clock.Second
 	// newerTimeout is how long after hearing of a newer configuration the node's own open read may take to bring it:
@@ -40,27 +40,27 @@
 	newerWait = 100 * clock.Millisecond
 )
 
-// proofs is what the node that reports are exchanged with said of the configuration.
-type proofs struct {
-	heard clock.Time
-	asOf  clock.Time
-	any   bool
-	from  identifier.Node
-	// newer is a version that this node lacks, next an offset up to which it does not know the operators' orders, and since
+// receivedProof is what the node that reports are exchanged with said of the configuration.
+type receivedProof struct {
+	receivedAt clock.Time
+	asOf       clock.Time
+	known      bool
+	from       identifier.Node
+	// newestVersion is a version that this node lacks, next an offset up to which it does not know the operators' orders, and since
 	// when one of them was first heard of.
-	newer identifier.Version
-	next  identifier.Offset
-	since clock.Time
+	newestVersion identifier.Version
+	nextOrders    identifier.Offset
+	newerSince    clock.Time
 }
 
-func (c *Conductor) hearProof(e ProofHeard, now clock.Time) {
+func (c *Conductor) learnProof(e ProofReceived, now clock.Time) {
 	c.acceptProof(ConfigurationProved{Version: e.Version, AsOf: e.AsOf})
-	if !c.heardOfNewer() {
-		c.proofs.since = now
+	if !c.knowsOfNewer() {
+		c.receivedProof.newerSince = now
 	}
-	c.proofs.newer = max(c.proofs.newer, e.Version)
-	c.proofs.next = max(c.proofs.next, e.Next)
-	c.proofs.heard, c.proofs.asOf, c.proofs.any, c.proofs.from = now, e.AsOf, true, e.From
+	c.receivedProof.newestVersion = max(c.receivedProof.newestVersion, e.Version)
+	c.receivedProof.nextOrders = max(c.receivedProof.nextOrders, e.Next)
+	c.receivedProof.receivedAt, c.receivedProof.asOf, c.receivedProof.known, c.receivedProof.from = now, e.AsOf, true, e.From
 }
 
 // covered tells whether the proof of the node that reports were last exchanged with is enough. The fleet's collector has
@@ -69,22 +69,22 @@
 	if c.CollectsForFleet(now) {
 		return false
 	}
-	tenths := clock.Duration(coveredTenths)
+	tenths := clock.Duration(nodeProofTenths)
 	if c.CollectsForDomain(now) {
-		tenths = collectorTenths
+		tenths = collectorProofTenths
 	}
-	p := c.proofs
-	return p.any && now.Sub(p.heard) <= coveredFor && boot.Sub(p.asOf) <= c.options.Bounds.InForce*tenths/10
+	p := c.receivedProof
+	return p.known && now.Sub(p.receivedAt) <= proofTrustedFor && boot.Sub(p.asOf) <= c.options.Bounds.ApplyWithin*tenths/10
 }
 
-// heardOfNewer tells whether another node knows a newer configuration or later orders.
-func (c *Conductor) heardOfNewer() bool {
-	return c.proofs.newer > c.Version() || c.proofs.next > c.ordersNext
+// knowsOfNewer tells whether another node knows a newer configuration or later orders.
+func (c *Conductor) knowsOfNewer() bool {
+	return c.receivedProof.newestVersion > c.Version() || c.receivedProof.nextOrders > c.ordersNext
 }
 
 // lacksNewer tells whether a newer configuration or order has been known of for longer than it should take to come.
 func (c *Conductor) lacksNewer(now clock.Time) bool {
-	return c.heardOfNewer() && now.Sub(c.proofs.since) > newerTimeout
+	return c.knowsOfNewer() && now.Sub(c.receivedProof.newerSince) > newerTimeout
 }
 
 // OrdersNext returns up to which offset the operators' orders are known.
@@ -98,19 +98,19 @@
 	case c.lacksNewer(now):
 		return newerWait
 	case c.covered(now, boot):
-		return longWait
+		return coveredWait
 	case c.matcher == nil:
 		return firstWait
 	case c.CollectsForDomain(now):
-		return c.options.Bounds.InForce * provideTenths / 10
+		return c.options.Bounds.ApplyWithin * collectorWaitTenths / 10
 	default:
-		return c.options.Bounds.Revoke / askPart
+		return c.options.Bounds.RevokeWithin / revokeWaitDivisor
 	}
 }
 
 // ConfigurationSource returns the node to wait at for a newer configuration; with none the store has to be read.
 func (c *Conductor) ConfigurationSource(now, boot clock.Time) (exchanger.Member, bool) {
-	if c.unanswered || c.lacksNewer(now) {
+	if c.exchangeFailed || c.lacksNewer(now) {
 		return exchanger.Member{}, false
 	}
 	return c.ProvingNode(now, boot)
@@ -121,6 +121,6 @@
 	if !c.covered(now, boot) {
 		return exchanger.Member{}, false
 	}
-	m, ok := c.members[c.proofs.from]
+	m, ok := c.members[c.receivedProof.from]
 	return m, ok
 }
--- a/internal/conductor/control_bench_test.go
+++ b/internal/conductor/control_bench_test.go
@@ -77,7 +77,7 @@
 // 100 ms.
 func BenchmarkControlTick(b *testing.B) {
 	c, answer := benchFleet(b)
-	announce(c, 40, 1, false, 0)
+	announceEndpoint(c, 40, 1, false, 0)
 	c.Apply(PeerAnswered{Node: "n00", Answer: answer(1)}, 0)
 	for i := range 30 {
 		c.Apply(arrival(CallID(i+1), "/obs/x"), 0)
--- a/internal/conductor/delivery.go
+++ b/internal/conductor/delivery.go
@@ -23,8 +23,8 @@
 	route   identifier.Route
 	rank    identifier.Rank
 	started clock.Time
-	// paid is the team that a token was taken from here, to be given back if the request is turned away.
-	paid identifier.Team
+	// chargedTeam is the team that a token was taken from here, to be given back if the request is turned away.
+	chargedTeam identifier.Team
 }
 
 // parent is a request that runs at the local endpoint and may make nested calls.
@@ -33,22 +33,22 @@
 	rank  identifier.Rank
 }
 
-// slotPart of the announced slots is used. An endpoint that is nearly full works more slowly, and with all slots in
+// usedSlotRatio of the announced slots is used. An endpoint that is nearly full works more slowly, and with all slots in
 // use each of its answers comes later than with one in twenty free.
-const slotPart = 0.94
+const usedSlotRatio = 0.94
 
-// lastDeliveries is how long a stopping node takes requests for its endpoint: nodes that know of no other endpoint of the
+// stoppingAcceptTime is how long a stopping node takes requests for its endpoint: nodes that know of no other endpoint of the
 // service still send some, and what comes later might not be finished when the node ends.
-const lastDeliveries = 2 * clock.Second
+const stoppingAcceptTime = 2 * clock.Second
 
-// stillServing is how long a stopping node's endpoint is used like any other: what it runs in that time ends well before
+// stoppingReadyTime is how long a stopping node's endpoint is used like any other: what it runs in that time ends well before
 // the node does. Left alone from the first moment on, an endpoint that goes on running is out of use for a second more at
 // each restart, and what it could run leaves its failure domain. The rest of lastDeliveries is for the word to get round.
-const stillServing = 1200 * clock.Millisecond
+const stoppingReadyTime = 1200 * clock.Millisecond
 
-func (c *Conductor) deliver(e DeliveryArrived, now clock.Time) {
+func (c *Conductor) deliveryArrived(e DeliveryArrived, now clock.Time) {
 	local := c.registrar.Local()
-	stopped := c.stopping && now.Sub(c.stopAsked) > lastDeliveries
+	stopped := c.stopping && now.Sub(c.stopRequestedAt) > stoppingAcceptTime
 	if c.evacuated[c.self.Domain] {
 		c.emit(TurnAway{ID: e.ID, Outcome: Moved, Reason: Evacuated})
 		return
@@ -61,10 +61,10 @@
 		c.emit(TurnAway{ID: e.ID, Outcome: Over, Reason: OverRate})
 		return
 	}
-	if !e.Again {
+	if !e.ArrivalCounted {
 		c.throttler.Arrived()
 	}
-	c.deliveries[e.ID] = &delivery{nested: e.Nested, request: e.Request, route: c.routeOf(e), rank: e.Rank, paid: e.RateUnchecked}
+	c.deliveries[e.ID] = &delivery{nested: e.Nested, request: e.Request, route: c.routeOf(e), rank: e.Rank, chargedTeam: e.RateUnchecked}
 	offered := limiter.Call{
 		ID:        limiter.CallID(e.ID),
 		Rank:      e.Rank,
@@ -73,30 +73,30 @@
 		WaitUntil: now.Add(e.QueueTimeout),
 	}
 	c.verdicts = c.limiter.Offer(offered, now, c.verdicts[:0])
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
 // routeOf returns the route of a delivery, empty where the configuration here has none.
 func (c *Conductor) routeOf(e DeliveryArrived) identifier.Route {
 	if c.matcher == nil {
-		return unknownRun
+		return unknownRoute
 	}
 	route, ok := c.matcher.Match(e.Host, e.Path)
 	if !ok {
-		return unknownRun
+		return unknownRoute
 	}
 	return identifier.Route(route.Name)
 }
 
-// settle turns the limiter's verdicts into effects.
-func (c *Conductor) settle(now clock.Time) {
+// applyVerdicts turns the limiter's verdicts into effects.
+func (c *Conductor) applyVerdicts(now clock.Time) {
 	for _, v := range c.verdicts {
 		id := CallID(v.ID)
 		switch v.Action {
 		case limiter.Dispatch:
 			if d, ok := c.deliveries[id]; ok {
 				d.running, d.started = true, now
-				c.runs.started(d.route)
+				c.runs.runStarted(d.route)
 				if d.request != "" {
 					c.parents[d.request] = parent{route: d.route, rank: d.rank}
 				}
@@ -105,10 +105,10 @@
 		case limiter.Queue:
 			c.emit(Hold{ID: id})
 		case limiter.Shed:
-			c.forget(id)
+			c.dropDelivery(id)
 			c.emit(TurnAway{ID: id, Outcome: Full, Reason: c.shedReason(now)})
 		case limiter.Expire:
-			c.forget(id)
+			c.dropDelivery(id)
 			c.emit(TurnAway{ID: id, Outcome: Full, Reason: Expired})
 		}
 	}
@@ -123,10 +123,10 @@
 	return NoRoom
 }
 
-// forget drops a delivery that was turned away, and gives back what was taken for it.
-func (c *Conductor) forget(id CallID) {
-	if d, ok := c.deliveries[id]; ok && d.paid != "" {
-		c.apportioner.Return(d.paid)
+// dropDelivery drops a delivery that was turned away, and gives back what was taken for it.
+func (c *Conductor) dropDelivery(id CallID) {
+	if d, ok := c.deliveries[id]; ok && d.chargedTeam != "" {
+		c.apportioner.Return(d.chargedTeam)
 	}
 	delete(c.deliveries, id)
 }
@@ -145,10 +145,10 @@
 		c.throttler.Answered()
 		c.runTimes.of(d.nested).learn(took)
 	} else {
-		c.runTimes.of(d.nested).atLeast(took)
+		c.runTimes.of(d.nested).learnLowerBound(took)
 	}
 	c.verdicts = c.limiter.Done(limiter.CallID(e.ID), limiterOutcome(e.Outcome), now, c.verdicts[:0])
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
 func limiterOutcome(o Outcome) limiter.Outcome {
@@ -169,31 +169,31 @@
 	if !ok || d.running {
 		return
 	}
-	c.forget(e.ID)
+	c.dropDelivery(e.ID)
 	if c.limiter == nil {
 		return
 	}
 	c.verdicts = c.limiter.Cancel(limiter.CallID(e.ID), now, c.verdicts[:0])
 	for _, v := range c.verdicts {
 		if v.ID != limiter.CallID(e.ID) {
-			c.settleOne(v, now)
+			c.applyVerdict(v, now)
 		}
 	}
 	c.verdicts = c.verdicts[:0]
 }
 
-func (c *Conductor) settleOne(v limiter.Verdict, now clock.Time) {
+func (c *Conductor) applyVerdict(v limiter.Verdict, now clock.Time) {
 	c.verdicts = []limiter.Verdict{v}
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
-func (c *Conductor) announced(e EndpointAnnounced, now clock.Time) {
+func (c *Conductor) endpointAnnounced(e EndpointAnnounced, now clock.Time) {
 	changed, err := c.registrar.Announce(e.Announcement, now)
 	if err != nil {
 		return
 	}
 	if !changed {
-		c.announcedAgain(e.Announcement, now)
+		c.learnHeartbeatCold(e.Announcement, now)
 		return
 	}
 	local := c.registrar.Local()
@@ -210,8 +210,8 @@
 	c.publish(now)
 }
 
-// announcedAgain takes from a heartbeat that changes nothing else whether the endpoint has become cold again.
-func (c *Conductor) announcedAgain(a registrar.Announcement, now clock.Time) {
+// learnHeartbeatCold takes from a heartbeat that changes nothing else whether the endpoint has become cold again.
+func (c *Conductor) learnHeartbeatCold(a registrar.Announcement, now clock.Time) {
 	local := c.registrar.Local()
 	if local.Usable() && local.Endpoint == a.Endpoint && local.Sequence == a.Sequence && c.learnCold(a.ColdLeft, now) {
 		c.publish(now)
@@ -223,7 +223,7 @@
 const queuePerSlot = 16
 
 func usedSlots(slots int64) int {
-	return max(1, int(math.Floor(slotPart*float64(slots))))
+	return max(1, int(math.Floor(usedSlotRatio*float64(slots))))
 }
 
 func (c *Conductor) startLimiter(slots int64, coldLeft clock.Duration, now clock.Time) {
@@ -254,21 +254,21 @@
 	c.limiter.Drain()
 	c.verdicts = c.limiter.Tick(now, c.verdicts[:0])
 	for _, v := range c.verdicts {
-		c.forget(CallID(v.ID))
+		c.dropDelivery(CallID(v.ID))
 		c.emit(TurnAway{ID: CallID(v.ID), Outcome: Moved, Reason: EndpointGone})
 	}
 	c.verdicts = c.verdicts[:0]
 }
 
-func (c *Conductor) removed(e EndpointRemoved, now clock.Time) {
+func (c *Conductor) endpointRemoved(e EndpointRemoved, now clock.Time) {
 	if c.registrar.Remove(e.Endpoint, now) {
 		c.shedQueue(now)
 		c.publish(now)
 	}
 }
 
-// unreachable takes the endpoint for gone until it announces itself again.
-func (c *Conductor) unreachable(e EndpointUnreachable, now clock.Time) {
+// endpointUnreachable takes the endpoint for gone until it announces itself again.
+func (c *Conductor) endpointUnreachable(e EndpointUnreachable, now clock.Time) {
 	if !c.registrar.Suspend(e.Endpoint) {
 		return
 	}
--- a/internal/conductor/delivery_test.go
+++ b/internal/conductor/delivery_test.go
@@ -9,54 +9,54 @@
 	"github.com/jackdawtide/jackdawtide/internal/exchanger"
 )
 
-func delivered(id CallID) DeliveryArrived {
+func deliveryTo(id CallID) DeliveryArrived {
 	return DeliveryArrived{ID: id, Endpoint: "i-self", Deadline: 5000, QueueTimeout: 300, Due: 1200}
 }
 
 func TestDeliveries(t *testing.T) {
 	c := newConductor("portal")
-	assert.Equal(t, one[TurnAway](t, c.Apply(delivered(1), 0)).Outcome, Moved)
-	published := one[Publish](t, announce(c, 3, 1, false, 0))
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(deliveryTo(1), 0)).Outcome, Moved)
+	published := onlyEffect[Publish](t, announceEndpoint(c, 3, 1, false, 0))
 	assert.Equal(t, published.Member.State, exchanger.Ready)
-	one[Run](t, c.Apply(delivered(2), 0))
-	one[Run](t, c.Apply(delivered(3), 0))
-	one[Hold](t, c.Apply(delivered(4), 0))
-	assert.Equal(t, one[Run](t, c.Apply(DeliveryEnded{ID: 2, Outcome: Answered}, 10)).ID, CallID(4))
-	one[Hold](t, c.Apply(delivered(5), 20))
+	onlyEffect[Run](t, c.Apply(deliveryTo(2), 0))
+	onlyEffect[Run](t, c.Apply(deliveryTo(3), 0))
+	onlyEffect[Hold](t, c.Apply(deliveryTo(4), 0))
+	assert.Equal(t, onlyEffect[Run](t, c.Apply(DeliveryEnded{ID: 2, Outcome: Answered}, 10)).ID, CallID(4))
+	onlyEffect[Hold](t, c.Apply(deliveryTo(5), 20))
 	assert.Equal(t, len(c.Apply(Ticked{}, 319)), 0)
-	assert.Equal(t, one[TurnAway](t, c.Apply(Ticked{}, 320)).Outcome, Full)
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(Ticked{}, 320)).Outcome, Full)
 }
 
 // Another incarnation of the endpoint has taken the address. A request for the first one must not run at it.
-func TestOtherEndpointIsNotRun(t *testing.T) {
+func TestDeliveryForOtherEndpointIsTurnedAway(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 3, 1, false, 0)
-	d := delivered(1)
+	announceEndpoint(c, 3, 1, false, 0)
+	d := deliveryTo(1)
 	d.Endpoint = "i-before"
-	assert.Equal(t, one[TurnAway](t, c.Apply(d, 0)).Outcome, Moved)
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(d, 0)).Outcome, Moved)
 }
 
 // The endpoint says that it leaves while requests wait for it. They have not reached it, and other endpoints can run
 // them; what runs goes on to its end.
-func TestLeavingTurnsTheQueueAway(t *testing.T) {
+func TestLeavingEndpointTurnsQueueAway(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 2, 1, false, 0)
-	one[Run](t, c.Apply(delivered(1), 0))
-	one[Hold](t, c.Apply(delivered(2), 0))
-	effects := announce(c, 2, 2, true, 10)
+	announceEndpoint(c, 2, 1, false, 0)
+	onlyEffect[Run](t, c.Apply(deliveryTo(1), 0))
+	onlyEffect[Hold](t, c.Apply(deliveryTo(2), 0))
+	effects := announceEndpoint(c, 2, 2, true, 10)
 	assert.Equal(t, len(effects), 2)
 	assert.Equal(t, effects[0].(TurnAway), TurnAway{ID: 2, Outcome: Moved, Reason: EndpointGone})
 	assert.Equal(t, effects[1].(Publish).Member.State, exchanger.Leaving)
-	assert.Equal(t, one[TurnAway](t, c.Apply(delivered(3), 20)).Outcome, Moved)
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(deliveryTo(3), 20)).Outcome, Moved)
 	assert.Equal(t, len(c.Apply(DeliveryEnded{ID: 1, Outcome: Answered}, 30)), 0)
 	assert.Assert(t, c.Idle())
 }
 
 func TestCancelledWhileQueued(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 2, 1, false, 0)
-	one[Run](t, c.Apply(delivered(1), 0))
-	one[Hold](t, c.Apply(delivered(2), 0))
+	announceEndpoint(c, 2, 1, false, 0)
+	onlyEffect[Run](t, c.Apply(deliveryTo(1), 0))
+	onlyEffect[Hold](t, c.Apply(deliveryTo(2), 0))
 	assert.Equal(t, len(c.Apply(DeliveryCancelled{ID: 2}, 5)), 0)
 	assert.Equal(t, len(c.Apply(DeliveryEnded{ID: 1, Outcome: Answered}, 10)), 0)
 	assert.Assert(t, c.Idle())
@@ -66,45 +66,45 @@
 // back.
 func TestUnreachableEndpoint(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 3, 1, false, 0)
-	p := one[Publish](t, c.Apply(EndpointUnreachable{Endpoint: "i-self"}, 10))
+	announceEndpoint(c, 3, 1, false, 0)
+	p := onlyEffect[Publish](t, c.Apply(EndpointUnreachable{Endpoint: "i-self"}, 10))
 	assert.Equal(t, p.Member.State, exchanger.Absent)
-	assert.Equal(t, one[TurnAway](t, c.Apply(delivered(1), 20)).Outcome, Moved)
-	p = one[Publish](t, announce(c, 3, 2, false, 1500))
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(deliveryTo(1), 20)).Outcome, Moved)
+	p = onlyEffect[Publish](t, announceEndpoint(c, 3, 2, false, 1500))
 	assert.Equal(t, p.Member.State, exchanger.Ready)
-	one[Run](t, c.Apply(delivered(2), 1500))
+	onlyEffect[Run](t, c.Apply(deliveryTo(2), 1500))
 }
 
-// exchangeAllowance is the longest that a change of a record takes to be everywhere in a fleet that is well.
-const exchangeAllowance = 600 * clock.Millisecond
+// maxPropagationTime is the longest that a change of a record takes to be everywhere in a fleet that is well.
+const maxPropagationTime = 600 * clock.Millisecond
 
 // A planned stop: callers go elsewhere at once. The endpoint beside goes on running and making nested calls, and is used while
 // what it is given can still end; before the node takes no more, the others must know.
 func TestStopping(t *testing.T) {
 	c := newConductor("portal")
 	configure(t, c, configuration(3, route("obs", "portal", 1)), 0)
-	announce(c, 3, 1, false, 0)
+	announceEndpoint(c, 3, 1, false, 0)
 	assert.Assert(t, c.Ready())
-	assert.Equal(t, len(c.Apply(StopAsked{}, 10)), 0)
+	assert.Equal(t, len(c.Apply(StopRequested{}, 10)), 0)
 	assert.Assert(t, !c.Ready())
 	assert.Equal(t, len(c.Apply(Ticked{}, 1200)), 0)
-	one[Run](t, c.Apply(DeliveryArrived{ID: 9, Endpoint: "i-self", Deadline: 3000, QueueTimeout: 100, Due: 3000}, 1205))
-	p := one[Publish](t, c.Apply(Ticked{}, 1210))
+	onlyEffect[Run](t, c.Apply(DeliveryArrived{ID: 9, Endpoint: "i-self", Deadline: 3000, QueueTimeout: 100, Due: 3000}, 1205))
+	p := onlyEffect[Publish](t, c.Apply(Ticked{}, 1210))
 	assert.Equal(t, p.Member.State, exchanger.Stopping)
 	assert.Equal(t, len(c.Apply(Ticked{}, 1235)), 0)
-	assert.Assert(t, stillServing+exchangeAllowance < lastDeliveries)
-	learn(c, peer("a", "portal"))
-	assert.Equal(t, one[Send](t, c.Apply(arrival(1, "/obs/x"), 1240)).Node, peer("a", "portal").Node)
+	assert.Assert(t, stoppingReadyTime+maxPropagationTime < stoppingAcceptTime)
+	learnMembers(c, peer("a", "portal"))
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 1240)).Node, peer("a", "portal").Node)
 }
 
 // Nothing is forgotten and nothing is answered twice, whatever order the events come in: the counts of open requests
 // and deliveries return to none.
-func TestNothingStaysOpen(t *testing.T) {
+func TestNoDeliveryStaysOpen(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 4, 1, false, 0)
+	announceEndpoint(c, 4, 1, false, 0)
 	for id := CallID(1); id <= 400; id++ {
 		now := clock.Time(id * 3)
-		c.Apply(delivered(id), now)
+		c.Apply(deliveryTo(id), now)
 		switch id % 4 {
 		case 0:
 			c.Apply(DeliveryCancelled{ID: id}, now)
@@ -125,14 +125,14 @@
 // All but one endpoint of the deepest service are gone. Its calls wait long enough for most callers to give up while they
 // run, which frees slots, so that as many calls start as come. Users see nothing but timeouts; the node must say that
 // its endpoint has too much to do, or nobody will refuse anything.
-func TestRunsGivenUpAreNoCapacity(t *testing.T) {
+func TestAbandonedRunsDoNotCountAsCapacity(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 11, 1, false, 0)
+	announceEndpoint(c, 11, 1, false, 0)
 	id := CallID(0)
 	running := []CallID{}
 	for now := clock.Time(0); now < 4000; now++ {
 		id++
-		for _, e := range c.Apply(delivered(id), now) {
+		for _, e := range c.Apply(deliveryTo(id), now) {
 			if r, ok := e.(Run); ok {
 				running = append(running, r.ID)
 			}
--- a/internal/conductor/dump.go
+++ b/internal/conductor/dump.go
@@ -54,7 +54,7 @@
 	s.Excesses = maps.Clone(c.plan.excess)
 	s.ColdLeft = c.coldLeft(c.self.Node, now)
 	s.Evacuated, s.OrdersNext = c.EvacuatedDomains(), c.ordersNext
-	for node := range c.othersCold {
+	for node := range c.otherColdUntil {
 		if c.coldLeft(node, now) > 0 {
 			s.ColdOthers++
 		}
--- a/internal/conductor/effects.go
+++ b/internal/conductor/effects.go
@@ -67,10 +67,10 @@
 	Team     identifier.Team
 	Rank     identifier.Rank
 	Nested   bool
-	// Repeat tells that the request may have reached an endpoint before.
-	Repeat bool
-	// Again tells that another node was asked before and counted the request among its endpoint's arrivals.
-	Again bool
+	// Retry tells that the request may have reached an endpoint before.
+	Retry bool
+	// ArrivalCounted tells that another node was asked before and counted the request among its endpoint's arrivals.
+	ArrivalCounted bool
 	// RateUnchecked tells that the team's rate has yet to be taken from, at the node that gets the request.
 	RateUnchecked bool
 	// Idempotent tells that the request may run again.
--- a/internal/conductor/endpoint_wait.go
+++ b/internal/conductor/endpoint_wait.go
@@ -11,23 +11,23 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// awaitPart of the time that a root request may be queued may go by without an endpoint.
-const awaitPart = 1.0 / 2
+// rootAwaitRatio of the time that a root request may be queued may go by without an endpoint.
+const rootAwaitRatio = 1.0 / 2
 
 // awaitEndpoint has a request wait for an endpoint, if it may and there is hope: whoever was turned away has met one.
 func (c *Conductor) awaitEndpoint(r *call, now clock.Time) bool {
-	if r.turnedAway || r.rateUnchecked || r.doubt || c.stopping {
+	if r.turnedAway || r.rateUnchecked || r.mayHaveRun || c.stopping {
 		return false
 	}
-	if r.awaits == 0 {
-		r.awaits = r.arrived.Add(c.endpointWait(r))
+	if r.awaitsUntil == 0 {
+		r.awaitsUntil = r.arrived.Add(c.endpointWait(r))
 	}
-	if now >= r.awaits {
+	if now >= r.awaitsUntil {
 		return false
 	}
 	r.excluded = nil
-	r.tries = min(r.tries, maxTries-1)
-	c.awaiting = append(c.awaiting, r.id)
+	r.attempts = min(r.attempts, maxAttempts-1)
+	c.awaitingEndpoint = append(c.awaitingEndpoint, r.id)
 	c.emit(Hold{ID: r.id})
 	return true
 }
@@ -38,19 +38,19 @@
 	if r.nested {
 		return timeout
 	}
-	return clock.Duration(awaitPart * float64(timeout))
+	return clock.Duration(rootAwaitRatio * float64(timeout))
 }
 
-// resume sends on what waits for an endpoint, or gives it up; it is called on each tick.
-func (c *Conductor) resume(now clock.Time) {
-	waiting := c.awaiting
-	c.awaiting = nil
+// resumeAwaiting sends on what waits for an endpoint, or gives it up; it is called on each tick.
+func (c *Conductor) resumeAwaiting(now clock.Time) {
+	waiting := c.awaitingEndpoint
+	c.awaitingEndpoint = nil
 	for _, id := range waiting {
 		r, ok := c.calls[id]
 		switch {
 		case !ok || c.place(r, now):
-		case now < r.awaits:
-			c.awaiting = append(c.awaiting, id)
+		case now < r.awaitsUntil:
+			c.awaitingEndpoint = append(c.awaitingEndpoint, id)
 		default:
 			c.rejectCall(r, NoEndpoint, now)
 		}
@@ -58,14 +58,14 @@
 }
 
 const (
-	// returnParts of the time left is how long a caller is sent away, on average, where no endpoint is left: callers
+	// retryAfterRatio of the time left is how long a caller is sent away, on average, where no endpoint is left: callers
 	// return after a third at most, and the later, the likelier there is one.
-	returnParts = 2.0 / 9
-	// maxAbsence is how long a killed node and its endpoint take to be back.
-	maxAbsence = clock.Second
+	retryAfterRatio = 2.0 / 9
+	// maxRetryAfterNoEndpoint is how long a killed node and its endpoint take to be back.
+	maxRetryAfterNoEndpoint = clock.Second
 )
 
-func (r *call) returnsAfter(now clock.Time) clock.Duration {
-	part := clock.Duration(returnParts * float64(r.deadline.Sub(now)))
-	return max(retryNoRoom, min(maxAbsence, part))
+func (r *call) retryAfterNoEndpoint(now clock.Time) clock.Duration {
+	part := clock.Duration(retryAfterRatio * float64(r.deadline.Sub(now)))
+	return max(retryAfterNoRoom, min(maxRetryAfterNoEndpoint, part))
 }
--- a/internal/conductor/endpoint_wait_test.go
+++ b/internal/conductor/endpoint_wait_test.go
@@ -11,13 +11,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-func gone(node identifier.Node) exchanger.Member {
+func absentMember(node identifier.Node) exchanger.Member {
 	m := peer(node, "portal")
 	m.State, m.Endpoint, m.Sequence = exchanger.Absent, "", 2
 	return m
 }
 
-func back(node identifier.Node) exchanger.Member {
+func returnedMember(node identifier.Node) exchanger.Member {
 	m := peer(node, "portal")
 	m.Endpoint, m.Sequence = "i-anew", 3
 	return m
@@ -30,20 +30,20 @@
 	r := route("obs", "portal", matcher.Idempotent)
 	r.Public = true
 	configure(t, c, configuration(1, r), 0)
-	learn(c, peer("a", "portal"), gone("a"))
+	learnMembers(c, peer("a", "portal"), absentMember("a"))
 	nested := arrival(1, "/obs/x")
 	nested.Key, nested.Left = "", 700
-	one[Hold](t, c.Apply(nested, 0))
+	onlyEffect[Hold](t, c.Apply(nested, 0))
 	for now := clock.Time(25); now < 200; now += 25 {
 		assert.Equal(t, len(c.Apply(Ticked{}, now)), 0)
 	}
-	c.Apply(MemberLearned{Member: back("a")}, 201)
-	assert.Equal(t, one[Send](t, c.Apply(Ticked{}, 225)).Endpoint, identifier.Endpoint("i-anew"))
+	c.Apply(MemberLearned{Member: returnedMember("a")}, 201)
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(Ticked{}, 225)).Endpoint, identifier.Endpoint("i-anew"))
 }
 
 // No endpoint comes. The request has certainly not run and says so, and its caller is told to come back late enough for
 // an endpoint to be there, and soon enough to be served.
-func TestRequestThatWaitsInVainIsRefused(t *testing.T) {
+func TestRequestIsRefusedAfterEndpointWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		key         string
 		left        clock.Duration
@@ -60,16 +60,16 @@
 			r := route("obs", "portal", matcher.Idempotent)
 			r.Public = c.key == ""
 			configure(t, k, configuration(1, r), 0)
-			learn(k, peer("a", "portal"), gone("a"))
+			learnMembers(k, peer("a", "portal"), absentMember("a"))
 			e := arrival(1, "/obs/x")
 			e.Key, e.Left = c.key, c.left
-			one[Hold](t, k.Apply(e, 0))
+			onlyEffect[Hold](t, k.Apply(e, 0))
 			now := clock.Time(25)
 			effects := k.Apply(Ticked{}, now)
 			for ; len(effects) == 0; effects = k.Apply(Ticked{}, now) {
 				now += 25
 			}
-			refusal := one[Refuse](t, effects)
+			refusal := onlyEffect[Refuse](t, effects)
 			assert.Equal(t, refusal.Status, 503)
 			assert.Assert(t, now <= c.refusedAt, "refused at %d", now)
 			assert.Assert(t, refusal.RetryAfter >= c.least && refusal.RetryAfter <= c.most, "%d", refusal.RetryAfter)
@@ -79,21 +79,21 @@
 }
 
 // The caller leaves while its request waits: nothing may be sent for it any more.
-func TestWaitingRequestEndsWithItsCaller(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"))
-	learn(c, gone("a"))
-	one[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
+func TestClosedRequestStopsWaiting(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
+	learnMembers(c, absentMember("a"))
+	onlyEffect[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
 	c.Apply(RequestClosed{ID: 1}, 10)
-	c.Apply(MemberLearned{Member: back("a")}, 20)
+	c.Apply(MemberLearned{Member: returnedMember("a")}, 20)
 	assert.Equal(t, len(c.Apply(Ticked{}, 25)), 0)
 	assert.Assert(t, c.Idle())
 }
 
 // An order was sent and no answer came, and no endpoint is left. It may have run: it must not wait to be sent again.
-func TestOrderInDoubtDoesNotWait(t *testing.T) {
-	c := ready(t, matcher.NonIdempotent, peer("a", "portal"))
-	one[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
-	learn(c, gone("a"))
-	refusal := one[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 10))
+func TestOrderThatMayHaveRunDoesNotWait(t *testing.T) {
+	c := readyConductor(t, matcher.NonIdempotent, peer("a", "portal"))
+	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
+	learnMembers(c, absentMember("a"))
+	refusal := onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 10))
 	assert.Equal(t, refusal.Status, 502)
 }
--- a/internal/conductor/entry.go
+++ b/internal/conductor/entry.go
@@ -26,32 +26,32 @@
 	deadline clock.Time
 	sent     clock.Time
 	version  identifier.Version
-	// tries counts attempts, arrivals those of them that reached an endpoint.
-	tries, arrivals int
-	picked          identifier.Endpoint
-	// at is the other node that an attempt is under way at, empty for none.
-	at       identifier.Node
-	excluded []identifier.Endpoint
-	// allowed are the failure domains whose endpoints may run it, nil for all.
-	allowed map[identifier.FailureDomain]bool
-	// doubt tells that an attempt may have run.
-	doubt bool
-	// counted tells that a node has counted the request among its endpoint's arrivals. One that was only dialled in vain
+	// attempts counts attempts, arrivals those of them that reached an endpoint.
+	attempts, endpointArrivals int
+	picked                     identifier.Endpoint
+	// attemptNode is the other node that an attempt is under way at, empty for none.
+	attemptNode identifier.Node
+	excluded    []identifier.Endpoint
+	// permittedDomains are the failure domains whose endpoints may run it, nil for all.
+	permittedDomains map[identifier.FailureDomain]bool
+	// mayHaveRun tells that an attempt may have run.
+	mayHaveRun bool
+	// arrivalCounted tells that a node has counted the request among its endpoint's arrivals. One that was only dialled in vain
 	// must still count at the next: else the last endpoint of a service, to which everything comes by way of dead
 	// ones, would seem to have little to do.
-	counted bool
+	arrivalCounted bool
 	// turnedAway tells that an endpoint, or the node beside it, has had the request and did not want it.
 	turnedAway bool
-	// awaits is until when the request waits for an endpoint, 0 if it has not waited yet.
-	awaits clock.Time
+	// awaitsUntil is until when the request waits for an endpoint, 0 if it has not waited yet.
+	awaitsUntil clock.Time
 	// rateUnchecked tells that this node had no token for the request; wait is until it has one.
 	rateUnchecked bool
-	wait          clock.Duration
+	tokenWait     clock.Duration
 }
 
-func (c *Conductor) arrive(e RequestArrived, now clock.Time) {
+func (c *Conductor) requestArrived(e RequestArrived, now clock.Time) {
 	if c.matcher == nil {
-		c.refuse(e.ID, http.StatusServiceUnavailable, NoConfiguration, retryUnready)
+		c.refuse(e.ID, http.StatusServiceUnavailable, NoConfiguration, retryAfterNoConfiguration)
 		return
 	}
 	route, ok := c.matcher.Match(e.Host, e.Path)
@@ -75,16 +75,16 @@
 	if e.Left > 0 {
 		r.deadline = min(r.deadline, now.Add(e.Left))
 	}
-	r.allowed = c.allowedDomains(r)
+	r.permittedDomains = c.allowedDomains(r)
 	r.class = classOf(r)
 	r.service = c.splitOf(route).next()
 	r.rank = r.class.rank(c.plan.costLevels[r.origin()], c.random.Uint64())
 	if r.nested {
-		of, known := c.parents[e.Parent]
+		caller, known := c.parents[e.Parent]
 		if known {
-			r.rank = of.rank
+			r.rank = caller.rank
 		}
-		c.runs.called(of.route, identifier.Route(route.Name))
+		c.runs.nestedCallMade(caller.route, identifier.Route(route.Name))
 	}
 	if !c.admit(r, now) {
 		return
@@ -99,20 +99,20 @@
 		return nil, true
 	}
 	team, ok := c.matcher.TeamOf(e.Key)
-	fresh := c.fresh(e.Boot)
+	keysProved := c.keysProved(e.Boot)
 	switch {
 	case !ok && e.Key == "":
 		c.refuse(e.ID, http.StatusUnauthorized, UnknownKey, 0)
 		return nil, false
-	case !ok && !fresh:
+	case !ok && !keysProved:
 		// The key may have been issued since this node last read the store.
-		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryStale)
+		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryAfterStaleKeys)
 		return nil, false
 	case !ok:
 		c.refuse(e.ID, http.StatusUnauthorized, UnknownKey, 0)
 		return nil, false
-	case !fresh:
-		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryStale)
+	case !keysProved:
+		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryAfterStaleKeys)
 		return nil, false
 	}
 	return team, true
@@ -124,13 +124,13 @@
 	if r.nested {
 		return true
 	}
-	c.arrivals.add(r.origin(), r.class)
-	if part := c.refusedPart(r, now); part > 0 && c.random.Float64() < part {
-		c.refuse(r.id, http.StatusServiceUnavailable, Pressure, c.spread(retryPressed))
+	c.arrivalCounts.add(r.origin(), r.class)
+	if part := c.refusedRatio(r, now); part > 0 && c.random.Float64() < part {
+		c.refuse(r.id, http.StatusServiceUnavailable, Pressure, c.jitter(retryAfterPressure))
 		return false
 	}
 	if c.lacksService(r) {
-		c.refuse(r.id, http.StatusServiceUnavailable, NoEndpoint, c.spread(r.returnsAfter(now)))
+		c.refuse(r.id, http.StatusServiceUnavailable, NoEndpoint, c.jitter(r.retryAfterNoEndpoint(now)))
 		return false
 	}
 	if r.team == nil {
@@ -143,23 +143,23 @@
 	if v.Allowed {
 		return true
 	}
-	r.rateUnchecked, r.wait = true, max(v.Wait, retryOverRate)
+	r.rateUnchecked, r.tokenWait = true, max(v.Wait, minRetryAfterOverRate)
 	if v.Elsewhere {
 		return true
 	}
-	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.spread(r.wait))
+	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(r.tokenWait))
 	return false
 }
 
 const (
-	// retryUnready is about how long a node takes to read its first configuration.
-	retryUnready = 300 * clock.Millisecond
-	// retryStale is how long the store's short disturbances last at least.
-	retryStale = 500 * clock.Millisecond
-	// retryPressed is the time in which the pressure on a service moves by a tenth (see throttler).
-	retryPressed = 400 * clock.Millisecond
-	// retryOverRate keeps a team that is over its rate from coming back for each token.
-	retryOverRate = 200 * clock.Millisecond
-	// retryNoRoom is how long a queue of a few requests takes to clear.
-	retryNoRoom = 150 * clock.Millisecond
+	// retryAfterNoConfiguration is about how long a node takes to read its first configuration.
+	retryAfterNoConfiguration = 300 * clock.Millisecond
+	// retryAfterStaleKeys is how long the store's short disturbances last at least.
+	retryAfterStaleKeys = 500 * clock.Millisecond
+	// retryAfterPressure is the time in which the pressure on a service moves by a tenth (see throttler).
+	retryAfterPressure = 400 * clock.Millisecond
+	// minRetryAfterOverRate keeps a team that is over its rate from coming back for each token.
+	minRetryAfterOverRate = 200 * clock.Millisecond
+	// retryAfterNoRoom is how long a queue of a few requests takes to clear.
+	retryAfterNoRoom = 150 * clock.Millisecond
 )
--- a/internal/conductor/entry_test.go
+++ b/internal/conductor/entry_test.go
@@ -11,23 +11,23 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-func ready(t *testing.T, kind matcher.Kind, members ...exchanger.Member) *Conductor {
+func readyConductor(t *testing.T, kind matcher.Kind, members ...exchanger.Member) *Conductor {
 	t.Helper()
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", kind)), 0)
-	learn(c, members...)
+	learnMembers(c, members...)
 	return c
 }
 
 func TestRequestIsSent(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"))
-	s := one[Send](t, c.Apply(arrival(1, "/obs/x"), 100))
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
+	s := onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 100))
 	assert.Equal(t, s.Endpoint, identifier.Endpoint("i-a"))
 	assert.Equal(t, s.Team, identifier.Team("parish"))
 	assert.Equal(t, s.Deadline, clock.Time(5100))
 	assert.Equal(t, s.Due, clock.Time(1300))
-	assert.Assert(t, !s.Nested && !s.Local && !s.Repeat)
-	one[Reply](t, c.Apply(AttemptEnded{ID: 1, Outcome: Answered, Status: 200}, 200))
+	assert.Assert(t, !s.Nested && !s.Local && !s.Retry)
+	onlyEffect[Reply](t, c.Apply(AttemptEnded{ID: 1, Outcome: Answered, Status: 200}, 200))
 	c.Apply(RequestClosed{ID: 1}, 200)
 	assert.Assert(t, c.Idle())
 }
@@ -50,10 +50,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := ready(t, matcher.Idempotent, peer("a", "portal"))
+			c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 			r := arrival(1, "/obs/x")
 			test.change(&r)
-			e := one[Refuse](t, c.Apply(r, 0))
+			e := onlyEffect[Refuse](t, c.Apply(r, 0))
 			assert.Equal(t, e.Status, test.status)
 			assert.Equal(t, e.Reason, test.reason)
 			assert.Assert(t, c.Idle())
@@ -63,8 +63,8 @@
 
 // The store has been out of reach for as long as a withdrawn key may live. A node that served on would let a key
 // through that operators have taken away.
-func TestKeysNeedAProof(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"))
+func TestKeysNeedARecentProof(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	at := func(b clock.Time) Effect {
 		r := arrival(CallID(b), "/obs/x")
 		r.Boot = b
@@ -86,17 +86,17 @@
 
 // An old record turns up after a newer one, by a late answer or another node. Going back would serve withdrawn keys
 // and removed routes.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	configure(t, c, configuration(2, route("old", "portal", matcher.Idempotent)), 0)
 	assert.Equal(t, c.Version(), identifier.Version(3))
-	one[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
+	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
 }
 
 // A new version may have taken the key away, so that key is refused at once. The other keys go on being served on the proof
 // of the version before, as long as it holds and no longer: what the operators withdrew later is in neither.
 func TestNewVersionIsServedOnTheOldProof(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"))
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	next := configuration(4, route("obs", "portal", matcher.Idempotent))
 	next.Teams[0].Keys = []string{"k", "added"}
 	m, err := matcher.New(next)
@@ -120,7 +120,7 @@
 	assert.Equal(t, at(4, "k", boot+1100).(Refuse).Reason, UnknownKey)
 }
 
-func TestWhatFollowsAnAttempt(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	tests := map[string]struct {
 		kind       matcher.Kind
 		outcome    Outcome
@@ -144,33 +144,33 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := ready(t, test.kind, peer("a", "portal"), peer("b", "portal"))
-			first := one[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
+			c := readyConductor(t, test.kind, peer("a", "portal"), peer("b", "portal"))
+			first := onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
 			effects := c.Apply(AttemptEnded{ID: 1, Outcome: test.outcome, Replayable: !test.unplayable}, 10)
 			if !test.again {
-				assert.Equal(t, one[Refuse](t, effects).Status, test.status)
+				assert.Equal(t, onlyEffect[Refuse](t, effects).Status, test.status)
 				return
 			}
-			second := one[Send](t, effects)
+			second := onlyEffect[Send](t, effects)
 			assert.Assert(t, second.Endpoint != first.Endpoint)
 		})
 	}
 }
 
 // An order may have run at the first endpoint; whatever happens later, the caller must not be told that it has not.
-func TestDoubtStays(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"))
-	one[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
-	one[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 10))
-	e := one[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full, Replayable: true}, 20))
+func TestPossibleRunIsRemembered(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"))
+	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
+	onlyEffect[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 10))
+	e := onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full, Replayable: true}, 20))
 	assert.Equal(t, e.Status, 502)
 }
 
 // A whole service declines. Each request that is sent again is one more for endpoints that are already too busy, so the
-// repeats of a node stay a small part of its requests.
-func TestRepeatsAreBounded(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"), peer("d", "portal"))
-	repeats := 0
+// retryBudgets of a node stay a small part of its requests.
+func TestRetriesAreBounded(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"), peer("d", "portal"))
+	retries := 0
 	for id := CallID(1); id <= 1000; id++ {
 		effects := c.Apply(arrival(id, "/obs/x"), clock.Time(id))
 		for len(effects) == 1 {
@@ -178,13 +178,13 @@
 			if !ok {
 				break
 			}
-			if s.Repeat {
-				repeats++
+			if s.Retry {
+				retries++
 			}
 			effects = c.Apply(AttemptEnded{ID: id, Outcome: Declined, Replayable: true}, clock.Time(id))
 		}
 	}
-	assert.Assert(t, repeats > 0 && repeats <= 30, "%d repeats of 1000", repeats)
+	assert.Assert(t, retries > 0 && retries <= 30, "%d repeats of 1000", retries)
 }
 
 // Parts of a split get their weights, whatever room they have: operators judge a new version by it.
@@ -193,10 +193,10 @@
 	r.Parts = []matcher.Part{{Service: "portal", Weight: 90}, {Service: "clock", Weight: 10}}
 	c := newConductor("desk")
 	configure(t, c, configuration(3, r), 0)
-	learn(c, peer("a", "portal"), peer("b", "clock"))
+	learnMembers(c, peer("a", "portal"), peer("b", "clock"))
 	counts := map[identifier.Service]int{}
 	for id := CallID(1); id <= 1000; id++ {
-		counts[one[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Service]++
+		counts[onlyEffect[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Service]++
 		c.Apply(AttemptEnded{ID: id, Outcome: Full}, 0)
 	}
 	assert.DeepEqual(t, counts, map[identifier.Service]int{"portal": 900, "clock": 100})
@@ -204,7 +204,7 @@
 
 // The service at the end of the chain has too much to do. The lookups that lead there are refused before any work, the
 // less important ones first; uploads to another service and the nested calls of what was let in are not.
-func TestRootsAreRefusedForTheirChain(t *testing.T) {
+func TestRootRequestsAreShedForOverloadedDependency(t *testing.T) {
 	browse, order, other := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent), route("up", "desk2", matcher.Upload)
 	browse.Rank, order.Rank, other.Rank = 2, 0, 2
 	inner := route("in", "clock", matcher.Idempotent)
@@ -216,7 +216,7 @@
 	report := func(m exchanger.Member, excess float64, calls map[identifier.Route]map[identifier.Route]float64) exchanger.Report {
 		return exchanger.Report{Member: m, Number: 1, Excess: excess, Load: 100, Calls: calls}
 	}
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{
 		report(peer("a", "portal"), 0, map[identifier.Route]map[identifier.Route]float64{"obs": {"in": 4}}),
 		report(peer("b", "desk"), 0, map[identifier.Route]map[identifier.Route]float64{"ord": {"in": 4}}),
 		report(peer("d", "desk2"), 0, nil),
@@ -248,44 +248,44 @@
 
 // Chance has emptied this node's bucket while the team keeps its rate. The node beside the endpoint has a token to spare
 // for it; only where that one has none either is the team told that it is over its rate.
-func TestTokenOfAnotherNode(t *testing.T) {
+func TestTokenIsTakenAtEndpointNode(t *testing.T) {
 	config := configuration(3, route("obs", "portal", matcher.Idempotent))
 	config.Teams[0].Rate, config.Teams[0].Burst = 10, 10
 	entry := newConductor("desk")
 	configure(t, entry, config, 0)
-	learn(entry, peer("a", "portal"), peer("b", "portal"))
-	one[Send](t, entry.Apply(arrival(1, "/obs/x"), 0))
-	asked := one[Send](t, entry.Apply(arrival(2, "/obs/x"), 0))
+	learnMembers(entry, peer("a", "portal"), peer("b", "portal"))
+	onlyEffect[Send](t, entry.Apply(arrival(1, "/obs/x"), 0))
+	asked := onlyEffect[Send](t, entry.Apply(arrival(2, "/obs/x"), 0))
 	assert.Assert(t, asked.RateUnchecked)
 
 	beside := newConductor("portal")
 	configure(t, beside, config, 0)
-	announce(beside, 5, 1, false, 0)
-	d := delivered(1)
+	announceEndpoint(beside, 5, 1, false, 0)
+	d := deliveryTo(1)
 	d.RateUnchecked = "parish"
-	one[Run](t, beside.Apply(d, 0))
+	onlyEffect[Run](t, beside.Apply(d, 0))
 	d.ID = 2
-	assert.Equal(t, one[TurnAway](t, beside.Apply(d, 0)).Outcome, Over)
+	assert.Equal(t, onlyEffect[TurnAway](t, beside.Apply(d, 0)).Outcome, Over)
 
-	again := one[Send](t, entry.Apply(AttemptEnded{ID: 2, Outcome: Over, Replayable: true}, 0))
+	again := onlyEffect[Send](t, entry.Apply(AttemptEnded{ID: 2, Outcome: Over, Replayable: true}, 0))
 	assert.Assert(t, again.RateUnchecked && again.Endpoint != asked.Endpoint)
 	refused := entry.Apply(AttemptEnded{ID: 2, Outcome: Over, Replayable: true}, 0)
-	assert.Equal(t, one[Refuse](t, refused).Status, 429)
+	assert.Equal(t, onlyEffect[Refuse](t, refused).Status, 429)
 }
 
 // A request that was let in on another node's token is turned away there after all; the token must come back, or a busy
 // endpoint would cost teams their rate.
-func TestTokenComesBack(t *testing.T) {
+func TestTokenIsReturnedOnCancellation(t *testing.T) {
 	config := configuration(3, route("obs", "portal", matcher.Idempotent))
 	config.Teams[0].Rate, config.Teams[0].Burst = 10, 10
 	c := newConductor("portal")
 	configure(t, c, config, 0)
-	announce(c, 2, 1, false, 0)
-	one[Run](t, c.Apply(delivered(1), 0))
+	announceEndpoint(c, 2, 1, false, 0)
+	onlyEffect[Run](t, c.Apply(deliveryTo(1), 0))
 	for id := CallID(2); id < 5; id++ {
-		d := delivered(id)
+		d := deliveryTo(id)
 		d.RateUnchecked = "parish"
-		one[Hold](t, c.Apply(d, 0))
+		onlyEffect[Hold](t, c.Apply(d, 0))
 		c.Apply(DeliveryCancelled{ID: id}, 0)
 	}
 }
@@ -293,15 +293,15 @@
 // Machines were taken away for good, and all nodes have been started anew since. The store still has the records of
 // the dead; nobody has heard of them. Dialled first for half of the requests, they would cost each of these a quarter
 // of a second, and in a chain of nested calls the caller's whole time.
-func TestNodesNeverHeardOfAreLastChoice(t *testing.T) {
-	c := ready(t, matcher.Idempotent, peer("alive", "portal"), peer("dead", "portal"), peer("gone", "portal"))
+func TestNodesWithoutReportsAreLastChoice(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, peer("alive", "portal"), peer("dead", "portal"), peer("gone", "portal"))
 	for now := clock.Time(0); now < 4000; now += 100 {
 		report := exchanger.Report{Member: peer("alive", "portal"), Number: int64(now)}
-		c.Apply(ReportsHeard{Reports: []exchanger.Report{report}}, now)
+		c.Apply(ReportsReceived{Reports: []exchanger.Report{report}}, now)
 		c.Apply(Ticked{}, now)
 	}
 	for id := CallID(1); id <= 50; id++ {
-		s := one[Send](t, c.Apply(arrival(id, "/obs/x"), 4000))
+		s := onlyEffect[Send](t, c.Apply(arrival(id, "/obs/x"), 4000))
 		assert.Equal(t, s.Node, identifier.Node("alive"))
 		c.Apply(AttemptEnded{ID: id, Outcome: Answered, Status: 200, Headroom: 10}, 4000)
 		c.Apply(RequestClosed{ID: id}, 4000)
@@ -322,10 +322,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := ready(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"))
-			assert.Assert(t, !one[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).Again)
-			next := one[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: test.outcome, Replayable: true}, 10))
-			assert.Equal(t, next.Again, test.again)
+			c := readyConductor(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"))
+			assert.Assert(t, !onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).ArrivalCounted)
+			next := onlyEffect[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: test.outcome, Replayable: true}, 10))
+			assert.Equal(t, next.ArrivalCounted, test.again)
 		})
 	}
 }
--- a/internal/conductor/evacuation.go
+++ b/internal/conductor/evacuation.go
@@ -26,7 +26,7 @@
 		c.shedQueue(now)
 	}
 	if before[own] && !c.evacuated[own] {
-		c.takeBack(now)
+		c.returnFromEvacuation(now)
 	}
 	for node, m := range c.members {
 		if c.evacuated[m.Domain] == before[m.Domain] {
@@ -35,7 +35,7 @@
 		if before[m.Domain] && node != c.self.Node {
 			c.presumeOtherCold(m, now)
 		}
-		c.routeAnew(m, now)
+		c.updateRouterFor(m, now)
 	}
 }
 
@@ -59,8 +59,8 @@
 	return slices.Sorted(maps.Keys(c.evacuated))
 }
 
-// takeBack uses the local endpoint again, as a cold one unless it says that it is warm.
-func (c *Conductor) takeBack(now clock.Time) {
+// returnFromEvacuation uses the local endpoint again, as a cold one unless it says that it is warm.
+func (c *Conductor) returnFromEvacuation(now clock.Time) {
 	local := c.registrar.Local()
 	if !local.Usable() {
 		return
--- a/internal/conductor/evacuation_test.go
+++ b/internal/conductor/evacuation_test.go
@@ -20,12 +20,12 @@
 }
 
 // The endpoints of an evacuated domain must get nothing, whoever picks them and however the others fare.
-func TestEvacuatedDomainGetsNothing(t *testing.T) {
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	c := coldConductor(t)
-	learn(c, inDomain(peer("a", "desk"), "west"), inDomain(peer("b", "desk"), "east"))
+	learnMembers(c, inDomain(peer("a", "desk"), "west"), inDomain(peer("b", "desk"), "east"))
 	evacuate(c, 0, "west")
 	for id := range CallID(20) {
-		assert.Equal(t, one[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-b"))
+		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-b"))
 		again := c.Apply(AttemptEnded{ID: id, Outcome: Moved, Replayable: true}, 5)
 		for _, e := range again {
 			s, ok := e.(Send)
@@ -38,33 +38,33 @@
 // With the only domain of a service evacuated, its requests are refused at once as not run.
 func TestEvacuationOfTheOnlyDomain(t *testing.T) {
 	c := coldConductor(t)
-	learn(c, inDomain(peer("a", "desk"), "west"))
+	learnMembers(c, inDomain(peer("a", "desk"), "west"))
 	evacuate(c, 0, "west", "east")
-	one[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
+	onlyEffect[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
 	effects := c.Apply(Ticked{}, 600)
-	refused := one[Refuse](t, effects)
+	refused := onlyEffect[Refuse](t, effects)
 	assert.Equal(t, refused.Status, 503)
 	assert.Equal(t, refused.Reason, Evacuated)
 	evacuate(c, 700)
-	one[Send](t, c.Apply(arrival(2, "/obs/x"), 700))
+	onlyEffect[Send](t, c.Apply(arrival(2, "/obs/x"), 700))
 }
 
 // A node in an evacuated domain turns away what is queued and what others, who have not heard yet, still send; what runs ends.
-func TestEvacuatedNodeTurnsAway(t *testing.T) {
+func TestEvacuatedNodeTurnsDeliveriesAway(t *testing.T) {
 	c := coldConductor(t)
-	announce(c, 1, 1, false, 0)
-	one[Run](t, c.Apply(DeliveryArrived{ID: 1, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 0))
-	one[Hold](t, c.Apply(DeliveryArrived{ID: 2, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 0))
-	turned := one[TurnAway](t, evacuate(c, 10, "west"))
+	announceEndpoint(c, 1, 1, false, 0)
+	onlyEffect[Run](t, c.Apply(DeliveryArrived{ID: 1, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 0))
+	onlyEffect[Hold](t, c.Apply(DeliveryArrived{ID: 2, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 0))
+	turned := onlyEffect[TurnAway](t, evacuate(c, 10, "west"))
 	assert.Equal(t, turned.ID, CallID(2))
 	assert.Equal(t, turned.Outcome, Moved)
-	late := one[TurnAway](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 20))
+	late := onlyEffect[TurnAway](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 700, QueueTimeout: 300, Due: 300}, 20))
 	assert.Equal(t, late.Outcome, Moved)
 	assert.Equal(t, len(c.Apply(DeliveryEnded{ID: 1, Outcome: Answered}, 50)), 0)
 }
 
 // Endpoints of a domain that is taken back may be cold. They get what they bear, by their own node and by those that send.
-func TestDomainThatIsTakenBackIsCold(t *testing.T) {
+func TestReturnedDomainIsCold(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, 0, 0)
 	evacuate(c, 100, "west")
@@ -75,11 +75,11 @@
 	}
 	assert.Assert(t, checked)
 	most := runsPerSecond(c, "i-1", 8010, 10000)
-	assert.Assert(t, most >= 8 && most <= coldMost, "%d runs begun within a second", most)
+	assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs begun within a second", most)
 }
 
 // One that says that it is warm is used in full at once.
-func TestDomainThatIsTakenBackWarm(t *testing.T) {
+func TestReturnedDomainReportedWarm(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, 0, 0)
 	evacuate(c, 100, "west")
@@ -89,26 +89,26 @@
 }
 
 // Requests are not sent where domains have just been taken back while others are warm.
-func TestDomainThatIsTakenBackIsTheLastChoice(t *testing.T) {
+func TestReturnedDomainIsLastChoice(t *testing.T) {
 	c := coldConductor(t)
-	learn(c, inDomain(peer("a", "desk"), "east"), inDomain(peer("b", "desk"), "west"))
+	learnMembers(c, inDomain(peer("a", "desk"), "east"), inDomain(peer("b", "desk"), "west"))
 	evacuate(c, 0, "west")
 	evacuate(c, 100)
 	for id := range CallID(20) {
-		assert.Equal(t, one[Send](t, c.Apply(arrival(id, "/obs/x"), 100)).Endpoint, identifier.Endpoint("i-a"))
+		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id, "/obs/x"), 100)).Endpoint, identifier.Endpoint("i-a"))
 	}
 }
 
 // A node that hears of later orders than it knows asks the store for them: it would else send to an evacuated domain for as
 // long as its own read stays silent.
-func TestLaterOrdersAreAskedFor(t *testing.T) {
+func TestNewerOrdersTriggerStoreRead(t *testing.T) {
 	c := coldConductor(t)
-	learn(c, peer("a", "desk"))
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{{Member: peer("a", "desk"), Number: 1}}}, 0)
+	learnMembers(c, peer("a", "desk"))
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{{Member: peer("a", "desk"), Number: 1}}}, 0)
 	c.Apply(OrdersRead{Next: 5}, 0)
-	c.Apply(ProofHeard{From: "a", Version: 3, AsOf: boot, Next: 5}, 0)
+	c.Apply(ProofReceived{From: "a", Version: 3, AsOf: boot, Next: 5}, 0)
 	assert.Assert(t, !c.lacksNewer(1000))
-	c.Apply(ProofHeard{From: "a", Version: 3, AsOf: boot + 1000, Next: 6}, 1000)
+	c.Apply(ProofReceived{From: "a", Version: 3, AsOf: boot + 1000, Next: 6}, 1000)
 	assert.Assert(t, c.lacksNewer(clock.Time(1001+newerTimeout)))
 	_, ok := c.ConfigurationSource(clock.Time(1001+newerTimeout), boot+1000)
 	assert.Assert(t, !ok)
--- a/internal/conductor/events.go
+++ b/internal/conductor/events.go
@@ -60,8 +60,8 @@
 	Grant    pooler.Grant
 }
 
-// TokenAsked is another node's question for a token of a team, whose bucket it takes to be here.
-type TokenAsked struct {
+// TokenRequested is another node's question for a token of a team, whose bucket it takes to be here.
+type TokenRequested struct {
 	ID   CallID
 	Team identifier.Team
 	// Back are tokens that the other node was given and did not need.
@@ -94,8 +94,8 @@
 	// Due is when the answer is expected.
 	Due    clock.Time
 	Nested bool
-	// Again tells that the arrival was counted at another node.
-	Again bool
+	// ArrivalCounted tells that the arrival was counted at another node.
+	ArrivalCounted bool
 	// RateUnchecked is the team whose rate the request still has to be counted against, empty for none.
 	RateUnchecked identifier.Team
 }
@@ -148,8 +148,8 @@
 	AsOf    clock.Time
 }
 
-// ProofHeard tells that another node knew of no configuration newer than Version at AsOf, by the boot clock here.
-type ProofHeard struct {
+// ProofReceived tells that another node knew of no configuration newer than Version at AsOf, by the boot clock here.
+type ProofReceived struct {
 	From    identifier.Node
 	Version identifier.Version
 	AsOf    clock.Time
@@ -173,8 +173,8 @@
 	Dropped bool
 }
 
-// ReportsHeard are reports of other nodes.
-type ReportsHeard struct {
+// ReportsReceived are reports of other nodes.
+type ReportsReceived struct {
 	Reports []exchanger.Report
 }
 
@@ -198,8 +198,8 @@
 // TickPeriod is how often Ticked must come: a queued request learns that it has expired at most this late.
 const TickPeriod = 25 * clock.Millisecond
 
-// Woken tells that the VM was suspended, a time that the node's clock did not count.
-type Woken struct {
+// VMResumed tells that the VM was suspended, a time that the node's clock did not count.
+type VMResumed struct {
 	After clock.Duration
 }
 
@@ -208,13 +208,13 @@
 	Bounds Bounds
 }
 
-// StopAsked begins a planned stop.
-type StopAsked struct{}
+// StopRequested begins a planned stop.
+type StopRequested struct{}
 
 func (RequestArrived) event()      {}
 func (AttemptEnded) event()        {}
 func (TokenDrawn) event()          {}
-func (TokenAsked) event()          {}
+func (TokenRequested) event()      {}
 func (Probed) event()              {}
 func (RequestClosed) event()       {}
 func (DeliveryArrived) event()     {}
@@ -226,16 +226,16 @@
 func (EndpointChecked) event()     {}
 func (ConfigurationRead) event()   {}
 func (ConfigurationProved) event() {}
-func (ProofHeard) event()          {}
+func (ProofReceived) event()       {}
 func (OrdersRead) event()          {}
 func (DomainsEvacuated) event()    {}
 func (MemberLearned) event()       {}
-func (ReportsHeard) event()        {}
+func (ReportsReceived) event()     {}
 func (PeerFailed) event()          {}
 func (PeerAnswered) event()        {}
 func (Ticked) event()              {}
-func (StopAsked) event()           {}
-func (Woken) event()               {}
+func (StopRequested) event()       {}
+func (VMResumed) event()           {}
 func (BoundsChanged) event()       {}
 
 // Outcome is how an attempt ended.
--- a/internal/conductor/fuzz_places_test.go
+++ b/internal/conductor/fuzz_cold_test.go
@@ -10,14 +10,14 @@
 const (
 	fuzzColdRate  = 8.7
 	fuzzColdStart = 1500 * clock.Millisecond
-	// fuzzDown is how long a crashed endpoint is down; its heartbeat is the first that is heard of its return.
-	fuzzDown = 600 * clock.Millisecond
-	// fuzzPlacesRate is high enough for cold endpoints to be asked for more than they bear.
-	fuzzPlacesRate = 2000.0
+	// fuzzDownTime is how long a crashed endpoint is down; its heartbeat is the first that is heard of its return.
+	fuzzDownTime = 600 * clock.Millisecond
+	// fuzzEndpointFaultsRate is high enough for cold endpoints to be asked for more than they bear.
+	fuzzEndpointFaultsRate = 2000.0
 )
 
-// fuzzPlace is what is true of an endpoint and its failure domain.
-type fuzzPlace struct {
+// endpointState is what is true of an endpoint and its failure domain.
+type endpointState struct {
 	down      bool
 	restarts  int64
 	coldUntil clock.Time
@@ -27,19 +27,19 @@
 	knowsEvacuated bool
 }
 
-func (p *fuzzPlace) coldLeft(now clock.Time) clock.Duration {
+func (p *endpointState) coldLeft(now clock.Time) clock.Duration {
 	return max(0, p.coldUntil.Sub(now))
 }
 
 func (w *fleetWorld) domainOf(i int) identifier.FailureDomain {
-	if w.places && i >= fuzzNodes/2 {
+	if w.endpointFaults && i >= fuzzNodes/2 {
 		return "east"
 	}
 	return "west"
 }
 
 func (w *fleetWorld) coldBound() ColdBound {
-	if !w.places {
+	if !w.endpointFaults {
 		return ColdBound{}
 	}
 	return ColdBound{Excess: 1.5, Slack: 8}
@@ -55,22 +55,22 @@
 	return domains
 }
 
-func (w *fleetWorld) tellEvacuated(i int, domains []identifier.FailureDomain) {
-	if !w.places {
+func (w *fleetWorld) applyEvacuations(i int, domains []identifier.FailureDomain) {
+	if !w.endpointFaults {
 		return
 	}
-	w.nodes[i].place.knowsEvacuated = false
+	w.nodes[i].endpoint.knowsEvacuated = false
 	for _, d := range domains {
 		if d == w.domainOf(i) {
-			w.nodes[i].place.knowsEvacuated = true
+			w.nodes[i].endpoint.knowsEvacuated = true
 		}
 	}
 	w.apply(i, 0, DomainsEvacuated{Domains: domains})
 }
 
-// evacuateOrTakeBack changes what operators ask of a domain; the endpoints of one that is taken back are cold.
-func (w *fleetWorld) evacuateOrTakeBack(d identifier.FailureDomain) {
-	if w.away {
+// toggleEvacuation changes what operators ask of a domain; the endpoints of one that is taken back are cold.
+func (w *fleetWorld) toggleEvacuation(d identifier.FailureDomain) {
+	if w.storeDown {
 		return
 	}
 	w.evacuated[d] = !w.evacuated[d]
@@ -84,26 +84,26 @@
 // turnCold has an endpoint say at once that it is cold, where its node can hear that.
 func (w *fleetWorld) turnCold(i int) {
 	n := w.nodes[i]
-	n.place.coldUntil = w.now.Add(fuzzColdStart)
-	w.catchUp(i)
+	n.endpoint.coldUntil = w.now.Add(fuzzColdStart)
+	w.sendMissedHeartbeat(i)
 }
 
-// catchUp hands a node the heartbeat that waited for it.
-func (w *fleetWorld) catchUp(i int) {
-	if n := w.nodes[i]; w.places && n.up && !n.frozen {
-		w.beat(i)
+// sendMissedHeartbeat hands a node the heartbeat that waited for it.
+func (w *fleetWorld) sendMissedHeartbeat(i int) {
+	if n := w.nodes[i]; w.endpointFaults && n.up && !n.frozen {
+		w.heartbeat(i)
 	}
 }
 
 func (w *fleetWorld) crashEndpoint(i int) {
 	n := w.nodes[i]
-	if n.place.down || n.leaving {
+	if n.endpoint.down || n.leaving {
 		return
 	}
-	n.place.down = true
-	w.after(fuzzDown, func() {
-		n.place.down = false
-		n.place.restarts++
+	n.endpoint.down = true
+	w.after(fuzzDownTime, func() {
+		n.endpoint.down = false
+		n.endpoint.restarts++
 		n.sequence = 0
 		w.turnCold(i)
 	})
@@ -112,29 +112,29 @@
 // reachesEndpoint tells whether a request that was let through reaches its endpoint, and judges that it may.
 func (w *fleetWorld) reachesEndpoint(to int, local CallID, done func(Outcome)) bool {
 	n := w.nodes[to]
-	if n.place.down {
+	if n.endpoint.down {
 		w.apply(to, local, DeliveryEnded{ID: local, Outcome: Unreached})
 		w.apply(to, 0, EndpointUnreachable{Endpoint: identifier.Endpoint(fmt.Sprintf("i%d", to))})
 		w.after(fuzzLatency, func() { done(Unreached) })
 		return false
 	}
-	if n.place.knowsEvacuated {
+	if n.endpoint.knowsEvacuated {
 		w.t.Fatalf("%d: endpoint i%d got a request though its node knows that its domain is evacuated", w.now, to)
 	}
-	if w.now < n.place.coldUntil {
-		n.place.begun = append(n.place.begun, w.now)
+	if w.now < n.endpoint.coldUntil {
+		n.endpoint.begun = append(n.endpoint.begun, w.now)
 	}
 	return true
 }
 
-func (w *fleetWorld) judgeCold() {
-	if !w.places {
+func (w *fleetWorld) checkColdRate() {
+	if !w.endpointFaults {
 		return
 	}
 	for i, n := range w.nodes {
-		for first, from := range n.place.begun {
+		for first, from := range n.endpoint.begun {
 			count := 0
-			for _, at := range n.place.begun[first:] {
+			for _, at := range n.endpoint.begun[first:] {
 				if at.Sub(from) < clock.Second {
 					count++
 				}
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -30,8 +30,8 @@
 	fuzzPooled  = 15.0
 	fuzzWindow  = 5000
 	fuzzLatency = 2
-	// fuzzPatience is how long a node waits for a token.
-	fuzzPatience = 100
+	// fuzzTokenTimeout is how long a node waits for a token.
+	fuzzTokenTimeout = 100
 )
 
 type scheduled struct {
@@ -40,15 +40,15 @@
 	run   func()
 }
 
-type agenda []scheduled
+type eventQueue []scheduled
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(scheduled)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduled)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -59,20 +59,20 @@
 type fuzzNode struct {
 	c *Conductor
 	// start is when the process started; its clock counts from there, less the time it was frozen.
-	life       int
-	frozen     bool
-	up         bool
-	leaving    bool
-	ackLeaving clock.Time
-	sequence   int64
+	generation         int
+	frozen             bool
+	up                 bool
+	leaving            bool
+	leavingAnnouncedAt clock.Time
+	sequence           int64
 	// waiting holds what goes on when a held delivery is decided, aborts what ends an attempt under way.
-	waiting map[CallID]func(Effect)
-	aborts  map[CallID]func()
-	place   fuzzPlace
+	waiting  map[CallID]func(Effect)
+	aborts   map[CallID]func()
+	endpoint endpointState
 }
 
-// told is one request as its caller and the endpoints saw it.
-type told struct {
+// requestRecord is one request as its caller and the endpoints saw it.
+type requestRecord struct {
 	key        string
 	sentAt     clock.Time
 	idempotent bool
@@ -87,29 +87,29 @@
 }
 
 type fleetWorld struct {
-	t      failer
-	random *rand.Rand
-	now    clock.Time
-	agenda agenda
-	order  int
-	nodes  []*fuzzNode
-	away   bool
+	t          failer
+	random     *rand.Rand
+	now        clock.Time
+	eventQueue eventQueue
+	order      int
+	nodes      []*fuzzNode
+	storeDown  bool
 	// version in the store, and since when each key is withdrawn.
 	version   identifier.Version
 	withdrawn map[string]clock.Time
-	requests  map[CallID]*told
+	requests  map[CallID]*requestRecord
 	lastID    CallID
-	ran       []clock.Time
+	runSentAt []clock.Time
 	// rate is the team's, with as much burst.
 	rate float64
-	// places tells that endpoints crash and turn cold, and that failure domains are evacuated.
-	places    bool
-	evacuated map[identifier.FailureDomain]bool
+	// endpointFaults tells that endpoints crash and turn cold, and that failure domains are evacuated.
+	endpointFaults bool
+	evacuated      map[identifier.FailureDomain]bool
 }
 
 func (w *fleetWorld) after(d clock.Duration, run func()) {
 	w.order++
-	heap.Push(&w.agenda, scheduled{at: w.now.Add(d), order: w.order, run: run})
+	heap.Push(&w.eventQueue, scheduled{at: w.now.Add(d), order: w.order, run: run})
 }
 
 func (w *fleetWorld) member(i int) exchanger.Member {
@@ -119,35 +119,35 @@
 	}
 }
 
-func (w *fleetWorld) boot(i int) {
+func (w *fleetWorld) startNode(i int) {
 	n := w.nodes[i]
-	n.life++
+	n.generation++
 	n.up, n.frozen = true, false
 	n.waiting = map[CallID]func(Effect){}
 	n.aborts = map[CallID]func(){}
 	n.c = New(Options{
 		Self: w.member(i),
 		Bounds: Bounds{
-			Revoke: fuzzRevoke, InForce: 2000, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10000,
+			RevokeWithin: fuzzRevoke, ApplyWithin: 2000, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10000,
 			Rate: apportioner.Tolerance{Window: 5, Part: 0.1, Requests: 20},
 			Cold: w.coldBound(),
 		},
 		EndpointAddress: "e",
 		Random:          rand.New(rand.NewPCG(w.random.Uint64(), 1)),
 	}, w.now)
-	n.place.knowsEvacuated = false
-	life := n.life
-	w.every(i, life, 300, func() { w.poll(i) })
-	w.every(i, life, 500, func() { w.report(i) })
-	w.every(i, life, 25, func() { w.apply(i, 0, Ticked{}) })
-	w.every(i, life, 700, func() { w.beat(i) })
+	n.endpoint.knowsEvacuated = false
+	generation := n.generation
+	w.every(i, generation, 300, func() { w.poll(i) })
+	w.every(i, generation, 500, func() { w.report(i) })
+	w.every(i, generation, 25, func() { w.apply(i, 0, Ticked{}) })
+	w.every(i, generation, 700, func() { w.heartbeat(i) })
 }
 
-func (w *fleetWorld) every(i, life int, period clock.Duration, run func()) {
+func (w *fleetWorld) every(i, generation int, period clock.Duration, run func()) {
 	var again func()
 	again = func() {
 		n := w.nodes[i]
-		if n.life != life || !n.up {
+		if n.generation != generation || !n.up {
 			return
 		}
 		if !n.frozen {
@@ -177,14 +177,14 @@
 
 // poll asks the store; the answer may take long, and proves only what held when it was asked for.
 func (w *fleetWorld) poll(i int) {
-	if w.away {
+	if w.storeDown {
 		return
 	}
 	n, asked := w.nodes[i], w.now
-	life := n.life
+	generation := n.generation
 	config, evacuated := w.configuration(), w.evacuations()
 	w.after(clock.Duration(w.random.Int64N(400)), func() {
-		if n.life != life || !n.up || n.frozen {
+		if n.generation != generation || !n.up || n.frozen {
 			return
 		}
 		m, err := matcher.New(config)
@@ -193,7 +193,7 @@
 		}
 		w.apply(i, 0, ConfigurationRead{Matcher: m, At: w.now})
 		w.apply(i, 0, ConfigurationProved{Version: config.Version, AsOf: asked})
-		w.tellEvacuated(i, evacuated)
+		w.applyEvacuations(i, evacuated)
 	})
 }
 
@@ -202,26 +202,26 @@
 	version, asOf, proved := w.nodes[i].c.ProvedAt()
 	for j, other := range w.nodes {
 		if j != i && other.up && !other.frozen {
-			w.apply(j, 0, ReportsHeard{Reports: []exchanger.Report{r}})
+			w.apply(j, 0, ReportsReceived{Reports: []exchanger.Report{r}})
 			if proved {
-				w.apply(j, 0, ProofHeard{Version: version, AsOf: asOf})
+				w.apply(j, 0, ProofReceived{Version: version, AsOf: asOf})
 			}
 		}
 	}
 }
 
-func (w *fleetWorld) beat(i int) {
+func (w *fleetWorld) heartbeat(i int) {
 	n := w.nodes[i]
-	if n.place.down {
+	if n.endpoint.down {
 		return
 	}
 	n.sequence++
 	w.apply(i, 0, EndpointAnnounced{Announcement: registrar.Announcement{
-		Endpoint: identifier.Endpoint(fmt.Sprintf("i%d", i)), Service: "portal", Address: "e", Slots: 4, Started: 1 + n.place.restarts,
-		Sequence: n.sequence, Leaving: n.leaving, ColdLeft: n.place.coldLeft(w.now),
+		Endpoint: identifier.Endpoint(fmt.Sprintf("i%d", i)), Service: "portal", Address: "e", Slots: 4, Started: 1 + n.endpoint.restarts,
+		Sequence: n.sequence, Leaving: n.leaving, ColdLeft: n.endpoint.coldLeft(w.now),
 	}})
-	if n.leaving && n.ackLeaving == 0 {
-		n.ackLeaving = w.now
+	if n.leaving && n.leavingAnnouncedAt == 0 {
+		n.leavingAnnouncedAt = w.now
 	}
 }
 
@@ -287,12 +287,12 @@
 	if idempotent {
 		path = "/obs/x"
 	}
-	w.requests[id] = &told{key: key, sentAt: w.now, idempotent: idempotent}
-	w.follow(i, n.life, id, w.apply(i, id, RequestArrived{ID: id, Host: "h", Path: path, Key: key, Left: 900, Boot: w.now}))
+	w.requests[id] = &requestRecord{key: key, sentAt: w.now, idempotent: idempotent}
+	w.performEffect(i, n.generation, id, w.apply(i, id, RequestArrived{ID: id, Host: "h", Path: path, Key: key, Left: 900, Boot: w.now}))
 }
 
-// follow performs what a node decided about a request of its own.
-func (w *fleetWorld) follow(i, life int, id CallID, e Effect) {
+// performEffect performs what a node decided about a request of its own.
+func (w *fleetWorld) performEffect(i, generation int, id CallID, e Effect) {
 	n := w.nodes[i]
 	switch e := e.(type) {
 	case Refuse:
@@ -303,35 +303,35 @@
 		w.apply(i, 0, RequestClosed{ID: id})
 	case Draw:
 		w.draw(e, func(drawn TokenDrawn) {
-			if n.life == life && n.up && !n.frozen {
-				w.follow(i, life, id, w.apply(i, id, drawn))
+			if n.generation == generation && n.up && !n.frozen {
+				w.performEffect(i, generation, id, w.apply(i, id, drawn))
 			}
 		})
 	case Send:
 		ended := false
 		end := func(o Outcome) {
-			if ended || n.life != life || !n.up {
+			if ended || n.generation != generation || !n.up {
 				return
 			}
 			ended = true
 			delete(n.aborts, id)
 			next := w.apply(i, id, AttemptEnded{ID: id, Outcome: o, Status: 200, Replayable: true})
-			w.follow(i, life, id, next)
+			w.performEffect(i, generation, id, next)
 		}
 		n.aborts[id] = func() { end(Broken) }
 		w.after(fuzzLatency, func() { w.deliver(e, id, end) })
 	}
 }
 
-// probe opens a connection to another node: one that is down refuses it, one that is frozen says nothing.
+// sendProbes opens a connection to another node: one that is down refuses it, one that is frozen says nothing.
 func (w *fleetWorld) probe(i int, p Probe) {
-	life := w.nodes[i].life
+	generation := w.nodes[i].generation
 	wait, reached := clock.Duration(fuzzLatency), true
 	if w.nodes[w.nodeOf(p.Node)].frozen {
 		wait, reached = detector.Patience, false
 	}
 	w.after(wait, func() {
-		if n := w.nodes[i]; n.life == life && n.up && !n.frozen {
+		if n := w.nodes[i]; n.generation == generation && n.up && !n.frozen {
 			w.apply(i, 0, Probed{Node: p.Node, Reached: reached})
 		}
 	})
@@ -346,10 +346,10 @@
 		case !n.up:
 			done(failed)
 		case n.frozen:
-			w.after(fuzzPatience, func() { done(failed) })
+			w.after(fuzzTokenTimeout, func() { done(failed) })
 		default:
 			w.lastID++
-			g, ok := w.apply(to, w.lastID, TokenAsked{ID: w.lastID, Team: d.Team, Back: d.Back}).(Give)
+			g, ok := w.apply(to, w.lastID, TokenRequested{ID: w.lastID, Team: d.Team, Back: d.Back}).(Give)
 			w.after(fuzzLatency, func() {
 				done(TokenDrawn{ID: d.ID, Node: d.Node, Answered: ok && g.Known, Grant: g.Grant})
 			})
@@ -375,7 +375,7 @@
 		w.after(s.Deadline.Sub(w.now), func() { done(Late) })
 		return
 	}
-	life := n.life
+	generation := n.generation
 	w.lastID++
 	local := w.lastID
 	rateUnchecked := identifier.Team("")
@@ -388,22 +388,22 @@
 		case TurnAway:
 			w.after(fuzzLatency, func() { done(e.Outcome) })
 		case Run:
-			w.run(to, life, id, local, s, done)
+			w.runAtEndpoint(to, generation, id, local, s, done)
 		case Hold:
 			n.waiting[local] = decided
 		}
 	}
 	decided(w.apply(to, local, DeliveryArrived{
-		ID: local, Endpoint: s.Endpoint, Rank: s.Rank, Deadline: s.Deadline, QueueTimeout: s.QueueTimeout, Due: s.Due, Again: s.Again,
+		ID: local, Endpoint: s.Endpoint, Rank: s.Rank, Deadline: s.Deadline, QueueTimeout: s.QueueTimeout, Due: s.Due, ArrivalCounted: s.ArrivalCounted,
 		RateUnchecked: rateUnchecked,
 	}))
 }
 
-// run has the endpoint run a request, decline it, or lose its answer.
-func (w *fleetWorld) run(to, life int, id, local CallID, s Send, done func(Outcome)) {
+// runAtEndpoint has the endpoint run a request, decline it, or lose its answer.
+func (w *fleetWorld) runAtEndpoint(to, generation int, id, local CallID, s Send, done func(Outcome)) {
 	n := w.nodes[to]
-	if n.ackLeaving != 0 && w.now > n.ackLeaving {
-		w.t.Fatalf("%d: endpoint i%d got request %d though it said at %d that it leaves", w.now, to, id, n.ackLeaving)
+	if n.leavingAnnouncedAt != 0 && w.now > n.leavingAnnouncedAt {
+		w.t.Fatalf("%d: endpoint i%d got request %d though it said at %d that it leaves", w.now, to, id, n.leavingAnnouncedAt)
 	}
 	if !w.reachesEndpoint(to, local, done) {
 		return
@@ -416,14 +416,14 @@
 		outcome = Broken
 	}
 	if outcome != Declined {
-		w.judgeRun(id)
+		w.checkRun(id)
 	}
 	work := clock.Duration(20 + w.random.Int64N(80))
 	if outcome == Declined {
 		work = 1
 	}
 	w.after(work, func() {
-		if n.life != life || !n.up {
+		if n.generation != generation || !n.up {
 			done(Broken)
 			return
 		}
@@ -435,10 +435,10 @@
 	})
 }
 
-func (w *fleetWorld) judgeRun(id CallID) {
+func (w *fleetWorld) checkRun(id CallID) {
 	r := w.requests[id]
 	r.runs++
-	w.ran = append(w.ran, r.sentAt)
+	w.runSentAt = append(w.runSentAt, r.sentAt)
 	if r.refused > 0 {
 		w.t.Fatalf("%d: request %d runs after its caller was told that it has not and will not", w.now, id)
 	}
@@ -450,19 +450,19 @@
 	}
 }
 
-func (w *fleetWorld) trouble() {
+func (w *fleetWorld) injectFault() {
 	i := w.random.IntN(len(w.nodes))
 	n := w.nodes[i]
 	kinds := 8
-	if w.places {
+	if w.endpointFaults {
 		kinds = 11
 	}
 	switch w.random.IntN(kinds) {
 	case 0:
-		w.away = !w.away
+		w.storeDown = !w.storeDown
 	case 1:
 		key := fmt.Sprintf("k%d", w.random.IntN(2))
-		if _, gone := w.withdrawn[key]; !gone && !w.away {
+		if _, gone := w.withdrawn[key]; !gone && !w.storeDown {
 			w.withdrawn[key] = w.now
 			w.version++
 		}
@@ -470,11 +470,11 @@
 		w.kill(i)
 	case 3:
 		n.frozen = true
-		life := n.life
+		generation := n.generation
 		w.after(clock.Duration(w.random.Int64N(4000)), func() {
-			if n.life == life {
+			if n.generation == generation {
 				n.frozen = false
-				w.catchUp(i)
+				w.sendMissedHeartbeat(i)
 			}
 		})
 	case 4:
@@ -492,7 +492,7 @@
 			w.crashEndpoint(j)
 		}
 	case 10:
-		w.evacuateOrTakeBack(w.domainOf(i))
+		w.toggleEvacuation(w.domainOf(i))
 	}
 }
 
@@ -502,101 +502,101 @@
 		return
 	}
 	n.up = false
-	w.after(clock.Duration(500+w.random.Int64N(1000)), func() { w.boot(i) })
+	w.after(clock.Duration(500+w.random.Int64N(1000)), func() { w.startNode(i) })
 }
 
 // Whatever happens to the fleet: an order runs at most once, a refusal is true, a withdrawn key is dead in time at every
 // node, an endpoint that leaves gets nothing more, and no team gets more than its rate and burst with the tolerance.
 func TestFuzzFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		playFleet(t, fleetDay{
+		simulateFleet(t, fleetScenario{
 			seed:      rapid.Uint64().Draw(t, "seed"),
 			rate:      rapid.SampledFrom([]float64{fuzzRate, fuzzPooled}).Draw(t, "rate"),
 			perSecond: rapid.IntRange(20, 400).Draw(t, "perSecond"),
-			troubles:  rapid.IntRange(0, 12).Draw(t, "troubles"),
+			faults:    rapid.IntRange(0, 12).Draw(t, "troubles"),
 		})
 	})
 }
 
 // The same while endpoints crash and come back cold, and failure domains are evacuated and taken back: a cold endpoint gets
 // what it bears, and one whose node knows that its domain is evacuated gets nothing.
-func TestFuzzFleetOfPlaces(t *testing.T) {
+func TestFuzzFleetWithColdAndEvacuatedEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		playFleet(t, fleetDay{
-			seed:      rapid.Uint64().Draw(t, "seed"),
-			rate:      fuzzPlacesRate,
-			perSecond: rapid.IntRange(100, 800).Draw(t, "perSecond"),
-			troubles:  rapid.IntRange(0, 16).Draw(t, "troubles"),
-			places:    true,
+		simulateFleet(t, fleetScenario{
+			seed:           rapid.Uint64().Draw(t, "seed"),
+			rate:           fuzzEndpointFaultsRate,
+			perSecond:      rapid.IntRange(100, 800).Draw(t, "perSecond"),
+			faults:         rapid.IntRange(0, 16).Draw(t, "troubles"),
+			endpointFaults: true,
 		})
 	})
 }
 
 // Days that broke a promise once.
-func TestFleetDays(t *testing.T) {
-	tests := map[string]fleetDay{
+func TestFleetRegressionSeeds(t *testing.T) {
+	tests := map[string]fleetScenario{
 		// The nodes with the bucket are killed several times within one window, and each bucket that is taken over grants
 		// requests of its own: other teams wait behind one that gets more than it bought.
-		"buckets taken over again and again": {seed: 0x27f, rate: fuzzPooled, perSecond: 223, troubles: 8},
+		"buckets taken over again and again": {seed: 0x27f, rate: fuzzPooled, perSecond: 223, faults: 8},
 	}
 	for name, day := range tests {
-		t.Run(name, func(t *testing.T) { playFleet(t, day) })
+		t.Run(name, func(t *testing.T) { simulateFleet(t, day) })
 	}
 }
 
-// fleetDay is what a played day hangs on.
-type fleetDay struct {
-	seed                uint64
-	rate                float64
-	perSecond, troubles int
-	places              bool
+// fleetScenario is what a played day hangs on.
+type fleetScenario struct {
+	seed              uint64
+	rate              float64
+	perSecond, faults int
+	endpointFaults    bool
 }
 
-func playFleet(t failer, d fleetDay) {
+func simulateFleet(t failer, d fleetScenario) {
 	w := &fleetWorld{
-		t:         t,
-		random:    rand.New(rand.NewPCG(d.seed, 7)),
-		version:   1,
-		withdrawn: map[string]clock.Time{},
-		requests:  map[CallID]*told{},
-		rate:      d.rate,
-		places:    d.places,
-		evacuated: map[identifier.FailureDomain]bool{},
+		t:              t,
+		random:         rand.New(rand.NewPCG(d.seed, 7)),
+		version:        1,
+		withdrawn:      map[string]clock.Time{},
+		requests:       map[CallID]*requestRecord{},
+		rate:           d.rate,
+		endpointFaults: d.endpointFaults,
+		evacuated:      map[identifier.FailureDomain]bool{},
 	}
 	for range fuzzNodes {
 		w.nodes = append(w.nodes, &fuzzNode{})
 	}
 	for i := range w.nodes {
-		w.boot(i)
+		w.startNode(i)
 	}
-	for range d.troubles {
-		w.after(clock.Duration(w.random.Int64N(fuzzLength)), w.trouble)
+	for range d.faults {
+		w.after(clock.Duration(w.random.Int64N(fuzzLength)), w.injectFault)
 	}
 	for at := clock.Duration(0); at < fuzzLength; at += 1 + clock.Duration(w.random.Int64N(int64(2000/d.perSecond)+1)) {
 		w.after(at, func() {
 			w.send(w.random.IntN(len(w.nodes)), fmt.Sprintf("k%d", w.random.IntN(3)), w.random.IntN(2) == 0)
 		})
 	}
-	for len(w.agenda) > 0 && w.now < fuzzLength {
-		next := heap.Pop(&w.agenda).(scheduled)
+	for len(w.eventQueue) > 0 && w.now < fuzzLength {
+		next := heap.Pop(&w.eventQueue).(scheduled)
 		w.now = next.at
 		next.run()
 	}
-	w.judgeRate()
-	w.judgeCold()
+	w.checkRate()
+	w.checkColdRate()
 }
 
-func (w *fleetWorld) judgeRate() {
+func (w *fleetWorld) checkRate() {
 	most := (w.rate*fuzzWindow/1000+w.rate)*1.1 + 20
-	for first := range w.ran {
+	for first := range w.runSentAt {
 		count := 0
-		for _, at := range w.ran {
-			if at >= w.ran[first] && at < w.ran[first].Add(fuzzWindow) {
+		for _, at := range w.runSentAt {
+			if at >= w.runSentAt[first] && at < w.runSentAt[first].Add(fuzzWindow) {
 				count++
 			}
 		}
 		if float64(count) > most {
-			w.t.Fatalf("%d requests of a team were sent and run in %d ms from %d, want at most %.0f", count, fuzzWindow, w.ran[first], most)
+			w.t.Fatalf("%d requests of a team were sent and run in %d ms from %d, want at most %.0f", count, fuzzWindow, w.runSentAt[first], most)
 		}
 	}
 }
--- a/internal/conductor/world_test.go
+++ b/internal/conductor/helpers_test.go
@@ -22,7 +22,7 @@
 			Node: "self", Deliver: "10.0.0.1:1", Peer: "10.0.0.1:2", Domain: "west", Service: service, Incarnation: 1,
 		},
 		Bounds: Bounds{
-			Revoke: 5000, InForce: 2000, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10000,
+			RevokeWithin: 5000, ApplyWithin: 2000, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10000,
 			Rate: apportioner.Tolerance{Window: 5, Part: 0.1, Requests: 20},
 		},
 		EndpointAddress: "10.0.0.1:80",
@@ -61,13 +61,13 @@
 	}
 }
 
-func learn(c *Conductor, members ...exchanger.Member) {
+func learnMembers(c *Conductor, members ...exchanger.Member) {
 	for _, m := range members {
 		c.Apply(MemberLearned{Member: m}, 0)
 	}
 }
 
-func announce(c *Conductor, slots, sequence int64, leaving bool, now clock.Time) []Effect {
+func announceEndpoint(c *Conductor, slots, sequence int64, leaving bool, now clock.Time) []Effect {
 	return c.Apply(EndpointAnnounced{Announcement: registrar.Announcement{
 		Endpoint: "i-self", Service: c.options.Self.Service, Address: "10.0.0.1:80", Slots: slots, Started: 1,
 		Sequence: sequence, Leaving: leaving,
@@ -78,7 +78,7 @@
 	return RequestArrived{ID: id, Host: "h", Path: path, Key: "k", Left: 5000, Boot: boot}
 }
 
-func one[E Effect](t *testing.T, effects []Effect) E {
+func onlyEffect[E Effect](t *testing.T, effects []Effect) E {
 	t.Helper()
 	assert.Equal(t, len(effects), 1, "%+v", effects)
 	e, ok := effects[0].(E)
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -13,8 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// silentAfter is the age of a node's last report from which it is suspected: five reports in a row missing.
-const silentAfter = 2500 * clock.Millisecond
+// suspectAfter is the age of a node's last report from which it is suspected: five reports in a row missing.
+const suspectAfter = 2500 * clock.Millisecond
 
 func (c *Conductor) learnMember(e MemberLearned, now clock.Time) {
 	m := e.Member
@@ -41,8 +41,8 @@
 	c.router.Remove(m.Endpoint)
 	delete(c.members, node)
 	c.table.MembersChanged()
-	delete(c.learned, node)
-	delete(c.othersCold, node)
+	delete(c.incarnationLearnedAt, node)
+	delete(c.otherColdUntil, node)
 	c.detector.Forget(node)
 	c.table.Drop(node)
 	c.apportioner.Forget(node)
@@ -62,11 +62,11 @@
 		c.table.MembersChanged()
 	}
 	if !ok || m.Incarnation != known.Incarnation {
-		c.learned[m.Node] = now
+		c.incarnationLearnedAt[m.Node] = now
 	}
 	c.apportioner.SetNodes(len(c.members))
 	if m.Node != c.self.Node && m.ColdLeft > 0 {
-		c.othersCold[m.Node] = now.Add(m.ColdLeft)
+		c.otherColdUntil[m.Node] = now.Add(m.ColdLeft)
 	}
 	if m.Endpoint == "" {
 		return
@@ -75,11 +75,11 @@
 		c.router.Remove(m.Endpoint)
 		return
 	}
-	c.route(m, now, false)
+	c.putEndpoint(m, now, false)
 }
 
-// route tells the router of a member's endpoint.
-func (c *Conductor) route(m exchanger.Member, now clock.Time, silent bool) {
+// putEndpoint tells the router of a member's endpoint.
+func (c *Conductor) putEndpoint(m exchanger.Member, now clock.Time, silent bool) {
 	silent = silent || c.detector.Lost(m.Node)
 	state := router.Ready
 	switch {
@@ -118,7 +118,7 @@
 	switch {
 	case local.Known && local.Leaving:
 		c.self.State = exchanger.Leaving
-	case c.stopping && local.Known && now.Sub(c.stopAsked) >= stillServing:
+	case c.stopping && local.Known && now.Sub(c.stopRequestedAt) >= stoppingReadyTime:
 		c.self.State = exchanger.Stopping
 	case local.Known:
 		c.self.State = exchanger.Ready
@@ -140,7 +140,7 @@
 }
 
 func (c *Conductor) peerFailed(e PeerFailed, now clock.Time) {
-	c.unanswered = true
+	c.exchangeFailed = true
 	c.detector.Doubt(e.Node, now)
 	if !e.Sought {
 		c.table.Failed(e.Node, now)
@@ -149,42 +149,42 @@
 
 func (c *Conductor) peerAnswered(e PeerAnswered, now clock.Time) {
 	c.table.Answered(e.Node)
-	c.answered, c.unanswered = now, false
+	c.lastExchangeAt, c.exchangeFailed = now, false
 	c.detector.Word(e.Node, now)
 	c.takeReports(c.table.Hear(e.Node, e.Answer), c.members[e.Node], now)
 }
 
 func (c *Conductor) takeReports(reports []exchanger.Report, from exchanger.Member, now clock.Time) {
-	heard := make([]apportioner.Heard, 0, len(reports))
+	demands := make([]apportioner.Heard, 0, len(reports))
 	for _, r := range reports {
 		if r.Member.Node == c.self.Node {
-			c.supersede(r.Member, now)
+			c.supersedeRecord(r.Member, now)
 			continue
 		}
 		if !c.table.Put(r, from, now) {
 			continue
 		}
 		c.learnMember(MemberLearned{Member: r.Member}, now)
-		c.learnOthersCold(r, now)
+		c.learnOtherCold(r, now)
 		c.router.Learn(r.Member.Endpoint, runTimesOf(r))
-		heard = append(heard, apportioner.Heard{Node: r.Member.Node, Demand: r.Demand, Made: now.Add(-r.Age)})
+		demands = append(demands, apportioner.Heard{Node: r.Member.Node, Demand: r.Demand, Made: now.Add(-r.Age)})
 	}
-	c.apportioner.Hear(heard, now)
+	c.apportioner.Hear(demands, now)
 }
 
-// silencePeriod is how often silence is judged, a tenth of the time that it takes to be suspected.
-const silencePeriod = 250 * clock.Millisecond
+// silenceCheckPeriod is how often silence is judged, a tenth of the time that it takes to be suspected.
+const silenceCheckPeriod = 250 * clock.Millisecond
 
-// judgeSilence suspects members whose reports have stopped or never come. The store keeps the records of machines that
+// checkSilence suspects members whose reports have stopped or never come. The store keeps the records of machines that
 // are gone; a node that starts after they went has no report of them, and would dial them for each request.
-func (c *Conductor) judgeSilence(now clock.Time) {
-	if now.Sub(c.judged) < silencePeriod {
+func (c *Conductor) checkSilence(now clock.Time) {
+	if now.Sub(c.silenceCheckedAt) < silenceCheckPeriod {
 		return
 	}
-	c.judged = now
+	c.silenceCheckedAt = now
 	for node, m := range c.members {
 		if m.State == exchanger.Ready {
-			c.route(m, now, c.silent(node, now))
+			c.putEndpoint(m, now, c.silent(node, now))
 		}
 	}
 }
@@ -196,17 +196,17 @@
 	}
 	age, heard := c.table.Age(node, now)
 	if !heard {
-		age = now.Sub(c.learned[node])
+		age = now.Sub(c.incarnationLearnedAt[node])
 	}
-	return age > silentAfter
+	return age > suspectAfter
 }
 
 // Report makes this node's next report.
 func (c *Conductor) Report(now clock.Time) exchanger.Report {
-	c.reported++
+	c.reportNumber++
 	r := exchanger.Report{
 		Member: c.self,
-		Number: c.reported,
+		Number: c.reportNumber,
 		Demand: c.apportioner.Demand(now),
 		Excess: c.throttler.Excess(),
 		Load:   c.throttler.Demand(),
@@ -242,21 +242,21 @@
 
 const (
 	// exchangePeriod is the time between two exchanges of a node on a calm day, pressedPeriod while some service has more
-	// load than it can take: the excess moves by a twentieth in that time.
+	// serviceLoad than it can take: the excess moves by a twentieth in that time.
 	exchangePeriod = 500 * clock.Millisecond
 	pressedPeriod  = 200 * clock.Millisecond
-	// quickPeriod is the time between two exchanges of collectors, by which news cross failure domains, and of a node that
+	// shortPeriod is the time between two exchanges of collectors, by which news cross failure domains, and of a node that
 	// has just started: until it knows the teams' demands elsewhere it refuses what others leave unused.
-	quickPeriod = 100 * clock.Millisecond
-	// startingFor is how long a node counts as just started.
-	startingFor = 3 * clock.Second
+	shortPeriod = 100 * clock.Millisecond
+	// startingTime is how long a node counts as just started.
+	startingTime = 3 * clock.Second
 )
 
 // ExchangePeriod returns the time between two exchanges of reports at this moment.
 func (c *Conductor) ExchangePeriod(now clock.Time) clock.Duration {
 	switch {
-	case now.Sub(c.started) < startingFor || c.CollectsForDomain(now) && !c.CollectsForFleet(now):
-		return quickPeriod
+	case now.Sub(c.started) < startingTime || c.CollectsForDomain(now) && !c.CollectsForFleet(now):
+		return shortPeriod
 	case c.Pressed(now):
 		return pressedPeriod
 	default:
@@ -264,8 +264,8 @@
 	}
 }
 
-// Asking is the next exchange of reports.
-type Asking struct {
+// ReportExchange is the next exchange of reports.
+type ReportExchange struct {
 	Member   exchanger.Member
 	Question exchanger.Question
 	// Seeks tells that the member is looked for: nothing is known of it, and it may be gone for good.
@@ -274,26 +274,26 @@
 
 // Ask returns the next exchange. The fleet's collector has nobody to ask; it looks for members that are missing, and where
 // all are there it has none.
-func (c *Conductor) Ask(now clock.Time) (Asking, bool) {
+func (c *Conductor) Ask(now clock.Time) (ReportExchange, bool) {
 	own := c.Report(now)
 	if node := c.table.Next(c.members, now); node != c.self.Node {
-		return Asking{Member: c.members[node], Question: c.table.Ask(c.members[node], own, now)}, true
+		return ReportExchange{Member: c.members[node], Question: c.table.Ask(c.members[node], own, now)}, true
 	}
 	node, ok := c.table.Missing(c.members, now)
 	if !ok {
-		return Asking{}, false
+		return ReportExchange{}, false
 	}
-	return Asking{Member: c.members[node], Question: c.table.Seek(c.members[node], own), Seeks: true}, true
+	return ReportExchange{Member: c.members[node], Question: c.table.Seek(c.members[node], own), Seeks: true}, true
 }
 
-// coveredByReports is how long an exchange shows that reports bring every change of the members: three periods.
-const coveredByReports = 1500 * clock.Millisecond
+// reportsTrustedFor is how long an exchange shows that reports bring every change of the members: three periods.
+const reportsTrustedFor = 1500 * clock.Millisecond
 
 // FollowsStore tells whether this node has to follow the store by itself. One that exchanges reports hears of each change of
 // the members by them; the node that the others ask follows the store for all. If all did, each new or leaving endpoint
 // would cost a call of every node.
 func (c *Conductor) FollowsStore(now clock.Time) bool {
-	covered := c.answered > 0 && !c.unanswered && now.Sub(c.answered) <= coveredByReports
+	covered := c.lastExchangeAt > 0 && !c.exchangeFailed && now.Sub(c.lastExchangeAt) <= reportsTrustedFor
 	return !covered || c.CollectsForFleet(now)
 }
 
--- a/internal/conductor/missing_service.go
+++ b/internal/conductor/missing_service.go
@@ -17,25 +17,25 @@
 const missingAfter = 300 * clock.Millisecond
 
 // planMissing works out which part of the requests of each origin meets a missing service.
-func (c *Conductor) planMissing(costs map[origin]map[identifier.Service]float64, there presence, now clock.Time) {
+func (c *Conductor) planMissing(costs map[origin]map[identifier.Service]float64, available serviceDomains, now clock.Time) {
 	for from, services := range costs {
 		for below, times := range services {
-			if below != from.service && c.missing(below, len(there[below]) > 0, now) {
-				c.plan.missing[from] = max(c.plan.missing[from], min(1, times))
+			if below != from.service && c.isMissing(below, len(available[below]) > 0, now) {
+				c.plan.missingRatio[from] = max(c.plan.missingRatio[from], min(1, times))
 			}
 		}
 	}
 }
 
-// missing tells whether a service has been without an endpoint for long enough.
-func (c *Conductor) missing(service identifier.Service, there bool, now clock.Time) bool {
-	if there {
-		delete(c.missed, service)
+// missingRatio tells whether a service has been without an endpoint for long enough.
+func (c *Conductor) isMissing(service identifier.Service, available bool, now clock.Time) bool {
+	if available {
+		delete(c.missingSince, service)
 		return false
 	}
-	since, known := c.missed[service]
+	since, known := c.missingSince[service]
 	if !known {
-		c.missed[service] = now
+		c.missingSince[service] = now
 		return false
 	}
 	return now.Sub(since) >= missingAfter
@@ -43,6 +43,6 @@
 
 // lacksService tells whether a request is refused since what it leads to is not there.
 func (c *Conductor) lacksService(r *call) bool {
-	part := c.plan.missing[r.origin()]
+	part := c.plan.missingRatio[r.origin()]
 	return part > 0 && c.random.Float64() < part
 }
--- a/internal/conductor/missing_service_test.go
+++ b/internal/conductor/missing_service_test.go
@@ -11,30 +11,30 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// chained is a node of a fleet whose portal runs "obs", which calls clock four times, and "plain", which calls nothing.
-type chained struct {
+// chainFixture is a node of a fleet whose portal runs "obs", which calls clock four times, and "plain", which calls nothing.
+type chainFixture struct {
 	*Conductor
 	id     CallID
 	excess float64
 }
 
-func newChained(t *testing.T) *chained {
+func newChainFixture(t *testing.T) *chainFixture {
 	inner := route("in", "clock", matcher.Idempotent)
 	inner.Public = true
-	c := &chained{Conductor: newConductor("x")}
+	c := &chainFixture{Conductor: newConductor("x")}
 	configure(t, c.Conductor, configuration(1, route("obs", "portal", matcher.Idempotent),
 		route("plain", "portal", matcher.Idempotent), inner), 0)
-	learn(c.Conductor, peer("a", "portal"), peer("b", "clock"))
+	learnMembers(c.Conductor, peer("a", "portal"), peer("b", "clock"))
 	return c
 }
 
-func (c *chained) report(now clock.Time, clockState exchanger.State) {
+func (c *chainFixture) report(now clock.Time, clockState exchanger.State) {
 	deep := peer("b", "clock")
 	deep.State, deep.Sequence = clockState, int64(now)+2
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{
 		{
 			Member: peer("a", "portal"), Number: int64(now) + 1, Load: 100,
-			Calls: map[identifier.Route]map[identifier.Route]float64{"obs": {"in": 4}, "plain": {}, unknownRun: {"in": 0.0}},
+			Calls: map[identifier.Route]map[identifier.Route]float64{"obs": {"in": 4}, "plain": {}, unknownRoute: {"in": 0.0}},
 		},
 		{
 			Member: deep, Number: int64(now) + 1, Load: 100, Excess: c.excess,
@@ -44,8 +44,8 @@
 	c.Apply(Ticked{}, now)
 }
 
-// play asks for both routes for a while and returns, by path, how many were refused for a reason, and all.
-func (c *chained) play(from, to clock.Time, clockState exchanger.State, reason Reason) map[string]int {
+// simulate asks for both routes for a while and returns, by path, how many were refused for a reason, and all.
+func (c *chainFixture) simulate(from, to clock.Time, clockState exchanger.State, reason Reason) map[string]int {
 	refused := map[string]int{}
 	for now := from; now < to; now += 5 {
 		if now%100 == 0 {
@@ -66,33 +66,33 @@
 
 // The service at the end of a chain has too much to do. A request at the same endpoint as those that lead there, which
 // makes no calls itself, is none of its load: refused with them, its caller loses an answer that cost that service nothing.
-func TestRequestWithoutCallsIsNotRefusedForAChain(t *testing.T) {
-	c := newChained(t)
+func TestRequestWithoutNestedCallsIsNotShed(t *testing.T) {
+	c := newChainFixture(t)
 	c.excess = 0.5
-	refused := c.play(0, 4000, exchanger.Ready, Pressure)
+	refused := c.simulate(0, 4000, exchanger.Ready, Pressure)
 	assert.Assert(t, refused["/obs/x"] > 250, "%v", refused)
 	assert.Equal(t, refused["/plain/x"], 0)
 }
 
 // The last endpoint of a service is gone. Whatever leads there would run to the point where it is needed and fail; callers
 // are told at once, and when to come back. What does not lead there goes on, and all does when the service is back.
-func TestSeveredChainsAreRefusedAtTheRoot(t *testing.T) {
-	c := newChained(t)
-	assert.Equal(t, len(c.play(0, 1000, exchanger.Ready, NoEndpoint)), 0)
-	short := c.play(1000, 1200, exchanger.Absent, NoEndpoint)
+func TestMissingServiceRefusesRootRequests(t *testing.T) {
+	c := newChainFixture(t)
+	assert.Equal(t, len(c.simulate(0, 1000, exchanger.Ready, NoEndpoint)), 0)
+	short := c.simulate(1000, 1200, exchanger.Absent, NoEndpoint)
 	assert.Equal(t, short["/obs/x"], 0)
-	refused := c.play(1200, 3200, exchanger.Absent, NoEndpoint)
+	refused := c.simulate(1200, 3200, exchanger.Absent, NoEndpoint)
 	assert.Assert(t, refused["/obs/x"] > 350, "%v", refused)
 	assert.Equal(t, refused["/plain/x"], 0)
-	c.play(3200, 3300, exchanger.Ready, NoEndpoint)
-	assert.Equal(t, len(c.play(3300, 4300, exchanger.Ready, NoEndpoint)), 0)
+	c.simulate(3200, 3300, exchanger.Ready, NoEndpoint)
+	assert.Equal(t, len(c.simulate(3300, 4300, exchanger.Ready, NoEndpoint)), 0)
 }
 
 // Nodes whose reports are missing may still serve: a fleet that took silence for absence would refuse everything whenever
-// reports are late.
-func TestSilenceSeversNothing(t *testing.T) {
-	c := newChained(t)
-	c.play(0, 1000, exchanger.Ready, NoEndpoint)
+// reportCount are late.
+func TestSilentNodesDoNotMakeServiceMissing(t *testing.T) {
+	c := newChainFixture(t)
+	c.simulate(0, 1000, exchanger.Ready, NoEndpoint)
 	refused := 0
 	for now := clock.Time(1000); now < 8000; now += 25 {
 		c.Apply(Ticked{}, now)
@@ -108,7 +108,7 @@
 }
 
 // Calls are counted to the run that makes them, where their ids tell it, and else to all.
-func TestCallsAreCountedByTheirRun(t *testing.T) {
+func TestNestedCallsAreCountedByParentRoute(t *testing.T) {
 	inner := route("in", "clock", matcher.Idempotent)
 	inner.Public = true
 	for name, c := range map[string]struct {
@@ -122,10 +122,10 @@
 		t.Run(name, func(t *testing.T) {
 			k := newConductor("portal")
 			configure(t, k, configuration(1, route("obs", "portal", matcher.Idempotent), route("plain", "portal", matcher.Idempotent), inner), 0)
-			learn(k, peer("b", "clock"))
-			announce(k, 10, 1, false, 0)
+			learnMembers(k, peer("b", "clock"))
+			announceEndpoint(k, 10, 1, false, 0)
 			for id := CallID(1); id <= 60; id += 3 {
-				one[Run](t, k.Apply(DeliveryArrived{ID: id, Request: "r", Host: "h", Path: "/obs/x", Endpoint: "i-self", Deadline: 9000, Due: 900}, 0))
+				onlyEffect[Run](t, k.Apply(DeliveryArrived{ID: id, Request: "r", Host: "h", Path: "/obs/x", Endpoint: "i-self", Deadline: 9000, Due: 900}, 0))
 				for range 2 {
 					nested := arrival(id+1, "/in/x")
 					nested.Key, nested.Parent = "", c.parent
@@ -133,12 +133,12 @@
 					k.Apply(RequestClosed{ID: id + 1}, 0)
 				}
 				k.Apply(DeliveryEnded{ID: id, Outcome: Answered}, 10)
-				one[Run](t, k.Apply(DeliveryArrived{ID: id + 2, Request: "p", Host: "h", Path: "/plain/x", Endpoint: "i-self", Deadline: 9000, Due: 900}, 10))
+				onlyEffect[Run](t, k.Apply(DeliveryArrived{ID: id + 2, Request: "p", Host: "h", Path: "/plain/x", Endpoint: "i-self", Deadline: 9000, Due: 900}, 10))
 				k.Apply(DeliveryEnded{ID: id + 2, Outcome: Answered}, 20)
 			}
 			calls := k.Report(20).Calls
 			assert.Equal(t, calls["obs"]["in"], c.own)
-			assert.Equal(t, calls[unknownRun]["in"], c.unknown)
+			assert.Equal(t, calls[unknownRoute]["in"], c.unknown)
 			assert.Equal(t, len(calls["plain"]), 0)
 		})
 	}
--- a/internal/conductor/placing.go
+++ b/internal/conductor/placement.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxTries bounds the nodes that are asked for room, of which only some pass the request to an endpoint.
-	maxTries = 4
+	// maxAttempts bounds the nodes that are asked for room, of which only some pass the request to an endpoint.
+	maxAttempts = 4
 	// minTimeLeft is the least time with which an attempt makes sense: a round trip and some work.
 	minTimeLeft = 10 * clock.Millisecond
-	// rootQueueParts and nestedQueueParts are the parts of an objective, and of the time left, that a request may be
+	// rootQueueDivisor and nestedQueueParts are the parts of an objective, and of the time left, that a request may be
 	// queued. A root that waits longer than an eighth of its objective is late more often than not; a nested call
 	// has a parent whose work would be lost.
-	rootQueueParts   = 4
-	nestedQueueParts = 3
+	rootQueueDivisor   = 4
+	nestedQueueDivisor = 3
 )
 
 // due is when the answer is expected: the route's objective after the arrival, the deadline where there is none.
@@ -39,12 +39,12 @@
 	return origin{route: identifier.Route(r.route.Name), service: r.service}
 }
 
-// need is what the placement goes by. Uploads stay in their failure domain while it has room, however slow: their bodies are
-// most of what would cross.
-func (c *Conductor) need(r *call) router.Need {
+// routerNeed is what the placement goes by. Uploads stay in their failure domain while it has room, however slow: their bodies are
+// maxTokens of what would cross.
+func (c *Conductor) routerNeed(r *call) router.Need {
 	from := r.origin()
-	c.sent[from] = true
-	n := router.Need{Within: r.route.Objective, Nested: r.nested, Domains: c.plan.homes[from], Allowed: r.allowed}
+	c.sentOrigins[from] = true
+	n := router.Need{Within: r.route.Objective, Nested: r.nested, Domains: c.plan.preferredDomains[from], Allowed: r.permittedDomains}
 	if r.route.Kind == matcher.Upload {
 		n.Within = 0
 	}
@@ -57,7 +57,7 @@
 		c.rejectCall(r, Deadline, now)
 		return
 	}
-	if r.allowed != nil && len(r.allowed) == 0 {
+	if r.permittedDomains != nil && len(r.permittedDomains) == 0 {
 		c.rejectCall(r, NoEndpoint, now)
 		return
 	}
@@ -71,9 +71,9 @@
 	c.rejectCall(r, reason, now)
 }
 
-// place sends a request to the next endpoint, if there is one.
+// endpoint sends a request to the next endpoint, if there is one.
 func (c *Conductor) place(r *call, now clock.Time) bool {
-	endpoint, ok := c.router.PickWithin(r.service, now, r.excluded, c.need(r))
+	endpoint, ok := c.router.PickWithin(r.service, now, r.excluded, c.routerNeed(r))
 	if ok && slices.Contains(r.excluded, endpoint.ID) {
 		c.router.Done(endpoint.ID, router.Result{Outcome: router.Cancelled}, now)
 		ok = false
@@ -81,42 +81,42 @@
 	if !ok {
 		return false
 	}
-	if r.tries == 0 {
-		c.earnRepeat(r.service, now)
+	if r.attempts == 0 {
+		c.earnRetry(r.service, now)
 	}
-	r.tries++
+	r.attempts++
 	r.picked = endpoint.ID
 	r.sent = now
 	member := c.members[endpoint.Node]
 	local := endpoint.Node == c.self.Node
 	if !local {
-		r.at = endpoint.Node
-		c.detector.Sent(r.at, now)
+		r.attemptNode = endpoint.Node
+		c.detector.Sent(r.attemptNode, now)
 	}
 	team := identifier.Team("")
 	if r.team != nil {
 		team = r.team.Name
 	}
 	c.emit(Send{
-		ID:            r.id,
-		Local:         local,
-		Address:       member.Deliver,
-		Node:          endpoint.Node,
-		Endpoint:      endpoint.ID,
-		Service:       r.service,
-		Team:          team,
-		Rank:          r.rank,
-		Nested:        r.nested,
-		Repeat:        r.arrivals > 0,
-		Again:         r.counted,
-		RateUnchecked: r.rateUnchecked,
-		Idempotent:    r.route.Kind == matcher.Idempotent,
-		Deadline:      r.deadline,
-		QueueTimeout:  c.queueTimeout(r, now),
-		Due:           r.due(),
-		Route:         r.route.Name,
-		Version:       r.version,
-		Crossing:      endpoint.Crossing,
+		ID:             r.id,
+		Local:          local,
+		Address:        member.Deliver,
+		Node:           endpoint.Node,
+		Endpoint:       endpoint.ID,
+		Service:        r.service,
+		Team:           team,
+		Rank:           r.rank,
+		Nested:         r.nested,
+		Retry:          r.endpointArrivals > 0,
+		ArrivalCounted: r.arrivalCounted,
+		RateUnchecked:  r.rateUnchecked,
+		Idempotent:     r.route.Kind == matcher.Idempotent,
+		Deadline:       r.deadline,
+		QueueTimeout:   c.queueTimeout(r, now),
+		Due:            r.due(),
+		Route:          r.route.Name,
+		Version:        r.version,
+		Crossing:       endpoint.Crossing,
 	})
 	return true
 }
@@ -124,7 +124,7 @@
 func (c *Conductor) queueTimeout(r *call, now clock.Time) clock.Duration {
 	left := r.deadline.Sub(now)
 	if r.nested || r.route.Objective <= 0 {
-		return left / nestedQueueParts
+		return left / nestedQueueDivisor
 	}
-	return min(left, r.route.Objective/rootQueueParts)
+	return min(left, r.route.Objective/rootQueueDivisor)
 }
--- a/internal/conductor/plan_bench_test.go
+++ b/internal/conductor/plan_bench_test.go
@@ -25,12 +25,12 @@
 			services := []identifier.Service{"portal", "desk", "clock"}
 			var reports []exchanger.Report
 			for i := range nodes {
-				calls := map[identifier.Route]map[identifier.Route]float64{"obs": {"in": 1}, "ord": {"in": 4}, unknownRun: {}}
+				calls := map[identifier.Route]map[identifier.Route]float64{"obs": {"in": 1}, "ord": {"in": 4}, unknownRoute: {}}
 				reports = append(reports, exchanger.Report{
 					Member: peer(identifier.Node(fmt.Sprint("n", i)), services[i%3]), Number: 1, Load: 100, Excess: 0.1, Calls: calls,
 				})
 			}
-			c.Apply(ReportsHeard{Reports: reports}, 0)
+			c.Apply(ReportsReceived{Reports: reports}, 0)
 			c.Apply(arrival(1, "/obs/x"), 0)
 			c.Apply(arrival(2, "/ord/x"), 0)
 			for b.Loop() {
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -31,20 +31,20 @@
 		if node == c.self.Node || m.State == exchanger.Stopping {
 			continue
 		}
-		if w := pooler.Weight(team, node); w > weight && c.hears(node, now) {
+		if w := pooler.Weight(team, node); w > weight && c.isReporting(node, now) {
 			best, weight = m, w
 		}
 	}
 	return best
 }
 
-// hears tells whether a member reports, or has only just become known.
-func (c *Conductor) hears(node identifier.Node, now clock.Time) bool {
+// isReporting tells whether a member reports, or has only just become known.
+func (c *Conductor) isReporting(node identifier.Node, now clock.Time) bool {
 	age, heard := c.table.Age(node, now)
 	if !heard {
-		age = now.Sub(c.learned[node])
+		age = now.Sub(c.incarnationLearnedAt[node])
 	}
-	return age <= silentAfter
+	return age <= suspectAfter
 }
 
 // draw takes a token of a pooled team; where it returns false, the request was refused or waits for TokenDrawn.
@@ -81,11 +81,11 @@
 }
 
 func (c *Conductor) overRate(r *call, wait clock.Duration) {
-	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.spread(min(max(wait, retryOverRate), mostOverRate)))
+	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(min(max(wait, minRetryAfterOverRate), maxRetryAfterOverRate)))
 }
 
-// mostOverRate bounds the time after which a caller over its team's rate may come back: it has some seconds in all.
-const mostOverRate = 2 * clock.Second
+// maxRetryAfterOverRate bounds the time after which a caller over its team's rate may come back: it has some seconds in all.
+const maxRetryAfterOverRate = 2 * clock.Second
 
 func (c *Conductor) tokenDrawn(e TokenDrawn, now clock.Time) {
 	r, ok := c.calls[e.ID]
@@ -106,14 +106,14 @@
 		grant = c.pooler.Alone(team, len(c.members), now)
 	}
 	if !c.granted(r, grant) {
-		c.close(r.id)
+		c.closeCall(r.id)
 		return
 	}
 	c.attempt(r, now)
 }
 
 // give answers another node's question, also while this node stops: the others hear of that and turn to another one.
-func (c *Conductor) grantToken(e TokenAsked, now clock.Time) {
+func (c *Conductor) grantToken(e TokenRequested, now clock.Time) {
 	if !c.pools(e.Team) {
 		c.emit(Give{ID: e.ID})
 		return
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -22,7 +22,7 @@
 	nodes map[identifier.Node]*Conductor
 	names []identifier.Node
 	last  CallID
-	// asked and passed are what tally has counted.
+	// requests and passed are what tally has counted.
 	asked, passed int
 	// cut tells whether a question between two nodes gets no answer.
 	cut func(from, to identifier.Node) bool
@@ -42,7 +42,7 @@
 		c := New(Options{
 			Self: self,
 			Bounds: Bounds{
-				Revoke: 5000, InForce: 2000, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10000,
+				RevokeWithin: 5000, ApplyWithin: 2000, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10000,
 				Rate: apportioner.Tolerance{Window: 5, Part: 0.1, Requests: 20},
 			},
 			EndpointAddress: "e",
@@ -74,7 +74,7 @@
 		}
 	}
 	for to, reports := range heard {
-		f.nodes[to].Apply(ReportsHeard{Reports: reports}, now)
+		f.nodes[to].Apply(ReportsReceived{Reports: reports}, now)
 	}
 	for _, c := range f.nodes {
 		c.Apply(Ticked{}, now)
@@ -85,14 +85,14 @@
 func (f *poolFleet) ask(at identifier.Node, now clock.Time) bool {
 	f.last++
 	c := f.nodes[at]
-	effect := one[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
+	effect := onlyEffect[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
 	if d, ok := effect.(Draw); ok {
 		drawn := TokenDrawn{ID: d.ID, Node: d.Node}
 		if !f.cut(at, d.Node) {
-			g := one[Give](f.t, f.nodes[d.Node].Apply(TokenAsked{ID: 1, Team: d.Team, Back: d.Back}, now))
+			g := onlyEffect[Give](f.t, f.nodes[d.Node].Apply(TokenRequested{ID: 1, Team: d.Team, Back: d.Back}, now))
 			drawn.Answered, drawn.Grant = g.Known, g.Grant
 		}
-		effect = one[Effect](f.t, c.Apply(drawn, now))
+		effect = onlyEffect[Effect](f.t, c.Apply(drawn, now))
 	}
 	_, sent := effect.(Send)
 	if sent {
@@ -102,8 +102,8 @@
 	return sent
 }
 
-// tally asks, and counts what is asked from a time on, when the fleet has learned what comes.
-func (f *poolFleet) tally(at identifier.Node, now, from clock.Time) {
+// askAndCount asks, and counts what is asked from a time on, when the fleet has learned what comes.
+func (f *poolFleet) askAndCount(at identifier.Node, now, from clock.Time) {
 	allowed := f.ask(at, now)
 	if now < from {
 		return
@@ -134,7 +134,7 @@
 					if random.Float64() >= 16.0/float64(c.active)/1000 {
 						continue
 					}
-					f.tally(f.names[i], now, 10000)
+					f.askAndCount(f.names[i], now, 10000)
 				}
 			}
 			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d let through", f.passed, f.asked)
@@ -154,7 +154,7 @@
 		if random.Float64() >= 13.0/1000 {
 			continue
 		}
-		f.tally(f.names[random.IntN(len(f.names))], now, 5000)
+		f.askAndCount(f.names[random.IntN(len(f.names))], now, 5000)
 	}
 	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d let through", f.passed, f.asked)
 }
@@ -162,7 +162,7 @@
 // A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere. Each
 // side has a bucket of its own then, and both together must not give out what one may: the other teams would wait
 // behind it.
-func TestSmallTeamsRateHoldsAcrossACut(t *testing.T) {
+func TestSmallTeamsRateHoldsAcrossPartition(t *testing.T) {
 	const rate = 26.0
 	for shift := range 8 {
 		f := newPoolFleet(t, 88, rate)
@@ -183,7 +183,7 @@
 				passed = append(passed, now)
 			}
 		}
-		most := mostIn(passed, 5*clock.Second)
+		most := maxInWindow(passed, 5*clock.Second)
 		allowed := (rate*5+rate)*1.1 + 20
 		assert.Assert(t, float64(most) <= allowed, "shift %d: %d requests in 5 s, want at most %.0f", shift, most, allowed)
 	}
@@ -191,7 +191,7 @@
 
 // The node with a team's bucket is killed. Until the others have noticed, each lets one request of the team through, and
 // then another node has the bucket.
-func TestBucketMovesWhenItsNodeIsGone(t *testing.T) {
+func TestBucketMovesWhenHolderFails(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	for now := clock.Time(0); now <= 3500; now += 500 {
 		f.report(now)
@@ -220,42 +220,42 @@
 	if c.holder("parish", 0).Node == "n00" {
 		c = f.nodes["n01"]
 	}
-	d := one[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
-	refused := one[Refuse](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Wait: 100}}, 2))
+	d := onlyEffect[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
+	refused := onlyEffect[Refuse](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Wait: 100}}, 2))
 	assert.Equal(t, refused.Status, 429)
 	assert.Assert(t, refused.RetryAfter > 0)
-	one[Refuse](t, c.Apply(arrival(2, "/obs/x"), 50))
-	one[Draw](t, c.Apply(arrival(3, "/obs/x"), 103))
+	onlyEffect[Refuse](t, c.Apply(arrival(2, "/obs/x"), 50))
+	onlyEffect[Draw](t, c.Apply(arrival(3, "/obs/x"), 103))
 	c.Apply(RequestClosed{ID: 3}, 104)
 	assert.Assert(t, c.Idle())
 }
 
 // A token was drawn and the request was refused in the end, so that it has not run: the token goes back with the next
 // question, or the team would lose what it bought.
-func TestUnusedTokenGoesBack(t *testing.T) {
+func TestUnusedTokenIsReturned(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
 	if c.holder("parish", 0).Node == "n00" {
 		c = f.nodes["n01"]
 	}
-	d := one[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
-	one[Send](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Allowed: true}}, 2))
-	one[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full}, 3))
-	assert.Equal(t, one[Draw](t, c.Apply(arrival(2, "/obs/x"), 10)).Back, 1)
+	d := onlyEffect[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
+	onlyEffect[Send](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Allowed: true}}, 2))
+	onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full}, 3))
+	assert.Equal(t, onlyEffect[Draw](t, c.Apply(arrival(2, "/obs/x"), 10)).Back, 1)
 }
 
 // The node with a greedy team's bucket stands still for a second and a half, or its endpoint leaves. The nodes find out at
 // different moments, and if some turn to another node at once, two buckets give out the rate side by side: with real
 // processes 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
-func TestRateHoldsWhileTheBucketsNodeIsInTrouble(t *testing.T) {
+func TestRateHoldsWhileBucketHolderFails(t *testing.T) {
 	const rate = 20.0
 	f := newPoolFleet(t, 6, rate)
 	holder := f.nodes["n00"].holder("parish", 0).Node
 	random := rand.New(rand.NewPCG(3, 8))
 	var passed []clock.Time
 	for now := clock.Time(0); now < 16000; now++ {
-		stands := now >= 9000 && now < 10500
-		f.cut = func(from, to identifier.Node) bool { return stands && (from == holder || to == holder) }
+		frozen := now >= 9000 && now < 10500
+		f.cut = func(from, to identifier.Node) bool { return frozen && (from == holder || to == holder) }
 		if now%500 == 0 {
 			f.report(now)
 		}
@@ -273,11 +273,11 @@
 			continue
 		}
 		// Nobody asks at a node that stands still.
-		if at := f.names[random.IntN(len(f.names))]; (at != holder || !stands) && f.ask(at, now) {
+		if at := f.names[random.IntN(len(f.names))]; (at != holder || !frozen) && f.ask(at, now) {
 			passed = append(passed, now)
 		}
 	}
-	most := mostIn(passed, 5*clock.Second)
+	most := maxInWindow(passed, 5*clock.Second)
 	t.Logf("%d requests in 5 s", most)
 	assert.Assert(t, float64(most) <= (rate*5+rate)*1.1+20, "%d requests in 5 s", most)
 }
@@ -290,8 +290,8 @@
 	}}, now)
 }
 
-// mostIn returns the most moments that lie within one window.
-func mostIn(passed []clock.Time, window clock.Duration) int {
+// maxInWindow returns the most moments that lie within one window.
+func maxInWindow(passed []clock.Time, window clock.Duration) int {
 	most, first := 0, 0
 	for last := range passed {
 		for passed[last].Sub(passed[first]) >= window {
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -18,19 +18,19 @@
 
 // learnReachability takes from the end of an attempt whether its node can be reached.
 func (c *Conductor) learnReachability(r *call, o Outcome, now clock.Time) {
-	if r.at == "" {
+	if r.attemptNode == "" {
 		return
 	}
-	word := o == Answered || o == Moved || o == Full || o == Declined || o == Over
-	c.detector.Ended(r.at, word, now)
+	responded := o == Answered || o == Moved || o == Full || o == Declined || o == Over
+	c.detector.Ended(r.attemptNode, responded, now)
 	if o == Unreached || o == Broken {
-		c.detector.Doubt(r.at, now)
+		c.detector.Doubt(r.attemptNode, now)
 	}
-	r.at = ""
+	r.attemptNode = ""
 }
 
-// probe has the nodes probed that owe a word.
-func (c *Conductor) probe(now clock.Time) {
+// sendProbes has the nodes probed that owe a word.
+func (c *Conductor) sendProbes(now clock.Time) {
 	for _, node := range c.detector.Tick(now) {
 		c.emit(Probe{Node: node, Address: c.members[node].Deliver})
 	}
@@ -43,12 +43,12 @@
 	for _, node := range c.detector.Probed(e.Node, e.Reached, now) {
 		c.table.Failed(node, now)
 		if m := c.members[node]; m.Endpoint != "" && m.State != exchanger.Absent {
-			c.route(m, now, true)
+			c.putEndpoint(m, now, true)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
 		r := c.calls[id]
-		if r.at != "" && r.route.Kind == matcher.Idempotent && c.detector.Lost(r.at) {
+		if r.attemptNode != "" && r.route.Kind == matcher.Idempotent && c.detector.Lost(r.attemptNode) {
 			c.emit(Abort{ID: id})
 		}
 	}
--- a/internal/conductor/reachability_test.go
+++ b/internal/conductor/reachability_test.go
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-func in(domain identifier.FailureDomain, m exchanger.Member) exchanger.Member {
+func memberIn(domain identifier.FailureDomain, m exchanger.Member) exchanger.Member {
 	m.Domain = domain
 	return m
 }
@@ -19,13 +19,13 @@
 // A failure domain is cut off while lookups and an order are under way there. The lookups' callers would wait until their
 // time is up; the order may have run and must not be answered as if it had not. From then on nothing more may go there: an
 // order sent on a connection that leads nowhere can't be sent again.
-func TestCutOffDomainIsLeftWithinASecond(t *testing.T) {
+func TestUnreachableDomainIsAvoidedWithinASecond(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent), route("ord", "clock", matcher.NonIdempotent)), 0)
-	learn(c, in("east", peer("a", "portal")), in("east", peer("b", "clock")))
-	assert.Equal(t, one[Send](t, c.Apply(arrival(1, "/obs/x"), 1000)).Node, identifier.Node("a"))
-	assert.Equal(t, one[Send](t, c.Apply(arrival(2, "/ord/x"), 1000)).Node, identifier.Node("b"))
-	learn(c, in("north", peer("c", "portal")), in("north", peer("d", "clock")))
+	learnMembers(c, memberIn("east", peer("a", "portal")), memberIn("east", peer("b", "clock")))
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 1000)).Node, identifier.Node("a"))
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(2, "/ord/x"), 1000)).Node, identifier.Node("b"))
+	learnMembers(c, memberIn("north", peer("c", "portal")), memberIn("north", peer("d", "clock")))
 	var probes []identifier.Node
 	for now := clock.Time(1025); now <= 1300; now += 25 {
 		for _, e := range c.Apply(Ticked{}, now) {
@@ -33,25 +33,25 @@
 		}
 	}
 	assert.DeepEqual(t, probes, []identifier.Node{"a", "b"})
-	assert.Equal(t, one[Abort](t, c.Apply(Probed{Node: "a"}, 1550)).ID, CallID(1))
-	one[Abort](t, c.Apply(Probed{Node: "b"}, 1550))
+	assert.Equal(t, onlyEffect[Abort](t, c.Apply(Probed{Node: "a"}, 1550)).ID, CallID(1))
+	onlyEffect[Abort](t, c.Apply(Probed{Node: "b"}, 1550))
 	// The lookup goes elsewhere, and so does everything that comes.
-	assert.Equal(t, one[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 1551)).Node, identifier.Node("c"))
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 1551)).Node, identifier.Node("c"))
 	for id := CallID(10); id < 30; id++ {
-		assert.Equal(t, one[Send](t, c.Apply(arrival(id, "/ord/x"), 1600)).Node, identifier.Node("d"))
+		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id, "/ord/x"), 1600)).Node, identifier.Node("d"))
 	}
 	// The order is told that it may have run, when its attempt ends.
-	assert.Equal(t, one[Refuse](t, c.Apply(AttemptEnded{ID: 2, Outcome: Late, Replayable: true}, 6000)).Status, 504)
+	assert.Equal(t, onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 2, Outcome: Late, Replayable: true}, 6000)).Status, 504)
 }
 
 // A node answers again after a cut. It gets requests as before, without waiting for a report.
-func TestReachedNodeIsUsedAgain(t *testing.T) {
-	c := ready(t, matcher.Idempotent, in("east", peer("a", "portal")))
+func TestReachableNodeIsUsedAgain(t *testing.T) {
+	c := readyConductor(t, matcher.Idempotent, memberIn("east", peer("a", "portal")))
 	c.Apply(arrival(1, "/obs/x"), 1000)
 	c.Apply(Probed{Node: "a"}, 1550)
 	assert.Assert(t, c.detector.Lost("a"))
 	c.Apply(Probed{Node: "a", Reached: true}, 2100)
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{{Member: in("east", peer("a", "portal")), Number: 1}}}, 2200)
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{{Member: memberIn("east", peer("a", "portal")), Number: 1}}}, 2200)
 	c.Apply(Ticked{}, 2500)
-	assert.Equal(t, one[Send](t, c.Apply(arrival(2, "/obs/x"), 2600)).Node, identifier.Node("a"))
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(2, "/obs/x"), 2600)).Node, identifier.Node("a"))
 }
--- a/internal/conductor/region_test.go
+++ b/internal/conductor/region_test.go
@@ -32,7 +32,7 @@
 			config := configuration(3, r)
 			config.Teams[0].Regions = test.team
 			configure(t, c, config, 0)
-			learn(c, inDomain(peer("a", "portal"), "west"), inDomain(peer("b", "portal"), "east"), inDomain(peer("c", "portal"), "cape"))
+			learnMembers(c, inDomain(peer("a", "portal"), "west"), inDomain(peer("b", "portal"), "east"), inDomain(peer("c", "portal"), "cape"))
 			used := map[identifier.Endpoint]bool{}
 			id := CallID(0)
 			ask := func() {
@@ -54,7 +54,7 @@
 			assert.Equal(t, len(used), len(test.want))
 			silent := peer("a", "portal")
 			silent.State, silent.Sequence = exchanger.Leaving, 2
-			learn(c, inDomain(silent, "west"))
+			learnMembers(c, inDomain(silent, "west"))
 			evacuate(c, 0, "east")
 			for range 30 {
 				ask()
@@ -64,14 +64,14 @@
 }
 
 // A request that no region may serve is refused at once as not run, and does not wait for an endpoint.
-func TestRequestWithoutARegionIsRefused(t *testing.T) {
+func TestRequestWithoutPermittedRegionIsRefused(t *testing.T) {
 	c := newConductor("desk")
 	c.options.Regions = map[identifier.FailureDomain]identifier.Region{"west": "north"}
 	r := route("obs", "portal", matcher.Idempotent)
 	r.Regions = []identifier.Region{"south"}
 	configure(t, c, configuration(3, r), 0)
-	learn(c, peer("a", "portal"))
-	refused := one[Refuse](t, c.Apply(arrival(1, "/obs/x"), 0))
+	learnMembers(c, peer("a", "portal"))
+	refused := onlyEffect[Refuse](t, c.Apply(arrival(1, "/obs/x"), 0))
 	assert.Equal(t, refused.Status, 503)
 	assert.Equal(t, refused.Reason, NoEndpoint)
 }
--- a/internal/conductor/restart.go
+++ b/internal/conductor/restart.go
@@ -11,17 +11,17 @@
 	"github.com/jackdawtide/jackdawtide/internal/exchanger"
 )
 
-// assumeFor is how long after its start a node relies on its own record: one and a half periods of the heartbeats. An
+// assumedRecordTime is how long after its start a node relies on its own record: one and a half periods of the heartbeats. An
 // endpoint that left while nobody could write that down would else get requests for as long as it goes on running.
-const assumeFor = 2200 * clock.Millisecond
+const assumedRecordTime = 2200 * clock.Millisecond
 
 // learnSelf takes over this node's own record from before its start.
 func (c *Conductor) learnSelf(m exchanger.Member, now clock.Time) {
-	if c.supersede(m, now) || m.Incarnation == c.self.Incarnation {
+	if c.supersedeRecord(m, now) || m.Incarnation == c.self.Incarnation {
 		return
 	}
 	stayed := m.State == exchanger.Ready || m.State == exchanger.Stopping
-	if !stayed || m.Service != c.self.Service || now.Sub(c.started) > assumeFor {
+	if !stayed || m.Service != c.self.Service || now.Sub(c.started) > assumedRecordTime {
 		return
 	}
 	if c.registrar.Assume(m.Endpoint, int64(m.Slots)) {
@@ -31,9 +31,9 @@
 	}
 }
 
-// supersede makes this node's word later than that of the process that it took over from, whose start had a later time of day:
+// supersedeRecord makes this node's word later than that of the process that it took over from, whose start had a later time of day:
 // clocks jump back. The others would else take every word of this node for an old one, and suspect it for good.
-func (c *Conductor) supersede(m exchanger.Member, now clock.Time) bool {
+func (c *Conductor) supersedeRecord(m exchanger.Member, now clock.Time) bool {
 	if m.Incarnation < c.self.Incarnation || m.Incarnation == c.self.Incarnation && m.Sequence <= c.self.Sequence {
 		return false
 	}
@@ -42,10 +42,10 @@
 	return true
 }
 
-// expireAssumed ends the reliance on the record where no heartbeat has confirmed it.
-func (c *Conductor) expireAssumed(now clock.Time) {
+// expireAssumedEndpoint ends the reliance on the record where no heartbeat has confirmed it.
+func (c *Conductor) expireAssumedEndpoint(now clock.Time) {
 	local := c.registrar.Local()
-	if local.Known && local.Assumed && now.Sub(c.started) > assumeFor && c.registrar.Suspend(local.Endpoint) {
+	if local.Known && local.Assumed && now.Sub(c.started) > assumedRecordTime && c.registrar.Suspend(local.Endpoint) {
 		c.shedQueue(now)
 		c.publish(now)
 	}
--- a/internal/conductor/restart_test.go
+++ b/internal/conductor/restart_test.go
@@ -9,8 +9,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// before is the record that this node's last process left.
-func before(c *Conductor, state exchanger.State) exchanger.Member {
+// recordBeforeRestart is the record that this node's last process left.
+func recordBeforeRestart(c *Conductor, state exchanger.State) exchanger.Member {
 	m := peer("self", c.self.Service)
 	m.Endpoint, m.State, m.Incarnation, m.Sequence = "i-self", state, 0, 9
 	return m
@@ -21,45 +21,45 @@
 func TestRestartedNodeUsesItsEndpointAtOnce(t *testing.T) {
 	c := newConductor("portal")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
-	p := one[Publish](t, c.Apply(MemberLearned{Member: before(c, exchanger.Ready)}, 10))
+	p := onlyEffect[Publish](t, c.Apply(MemberLearned{Member: recordBeforeRestart(c, exchanger.Ready)}, 10))
 	assert.Equal(t, p.Member.State, exchanger.Ready)
-	s := one[Send](t, c.Apply(arrival(1, "/obs/x"), 20))
+	s := onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 20))
 	assert.Assert(t, s.Local)
-	one[Run](t, c.Apply(DeliveryArrived{ID: 2, Endpoint: "i-self", Deadline: 1000, QueueTimeout: 100}, 20))
+	onlyEffect[Run](t, c.Apply(DeliveryArrived{ID: 2, Endpoint: "i-self", Deadline: 1000, QueueTimeout: 100}, 20))
 	// The heartbeat confirms it: nothing to tell the others.
-	assert.Equal(t, len(announce(c, 10, 40, false, 900)), 0)
+	assert.Equal(t, len(announceEndpoint(c, 10, 40, false, 900)), 0)
 	assert.Equal(t, len(c.Apply(Ticked{}, 3000)), 0)
-	one[Run](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 4000, QueueTimeout: 100}, 3000))
+	onlyEffect[Run](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 4000, QueueTimeout: 100}, 3000))
 }
 
 // The endpoint was lost with the node, or had left and nobody could write that down: it says nothing, and after two
 // seconds the node must no longer rely on its record.
-func TestRecordIsNotReliedOnForLong(t *testing.T) {
+func TestAssumedRecordExpires(t *testing.T) {
 	c := newConductor("portal")
-	c.Apply(MemberLearned{Member: before(c, exchanger.Ready)}, 10)
-	assert.Equal(t, one[Publish](t, c.Apply(Ticked{}, 2225)).Member.State, exchanger.Absent)
-	assert.Equal(t, one[TurnAway](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 4000}, 2300)).Outcome, Moved)
+	c.Apply(MemberLearned{Member: recordBeforeRestart(c, exchanger.Ready)}, 10)
+	assert.Equal(t, onlyEffect[Publish](t, c.Apply(Ticked{}, 2225)).Member.State, exchanger.Absent)
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(DeliveryArrived{ID: 3, Endpoint: "i-self", Deadline: 4000}, 2300)).Outcome, Moved)
 }
 
 // The endpoint had said that it leaves. A request that reached it after the restart would be cut off when it ends.
 func TestLeavingEndpointIsNotAssumed(t *testing.T) {
 	for _, state := range []exchanger.State{exchanger.Leaving, exchanger.Absent} {
 		c := newConductor("portal")
-		assert.Equal(t, len(c.Apply(MemberLearned{Member: before(c, state)}, 10)), 0)
+		assert.Equal(t, len(c.Apply(MemberLearned{Member: recordBeforeRestart(c, state)}, 10)), 0)
 		assert.Assert(t, !c.registrar.Local().Known)
 	}
 }
 
 // The time of day jumps back and the node is started anew meanwhile. Its record and reports would look older than those of
 // the process before, and the others would suspect it until it is started once more.
-func TestRestartAfterAClockThatJumpedBack(t *testing.T) {
+func TestRestartAfterClockWentBack(t *testing.T) {
 	other := newConductor("desk")
 	old := peer("self", "portal")
 	old.Incarnation, old.Sequence = 5000, 9
-	learn(other, old)
+	learnMembers(other, old)
 
 	c := newConductor("portal")
-	assert.Equal(t, one[Publish](t, c.Apply(MemberLearned{Member: old}, 10)).Member.Incarnation, int64(5001))
+	assert.Equal(t, onlyEffect[Publish](t, c.Apply(MemberLearned{Member: old}, 10)).Member.Incarnation, int64(5001))
 	// Its own word, when it comes back to it, is no other process's.
 	assert.Equal(t, len(c.Apply(MemberLearned{Member: c.Self()}, 20)), 0)
 	other.Apply(MemberLearned{Member: c.Self()}, 30)
@@ -67,6 +67,6 @@
 
 	// It may hear of the process before only by others' reports.
 	c = newConductor("portal")
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{{Member: old, Number: 70}}}, 10)
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{{Member: old, Number: 70}}}, 10)
 	assert.Equal(t, c.Self().Incarnation, int64(5001))
 }
--- a/internal/conductor/repeat_test.go
+++ b/internal/conductor/retry_budget_test.go
@@ -17,8 +17,8 @@
 type sheddingFleet struct {
 	node            *Conductor
 	random          *rand.Rand
-	served, repeats int
-	asked           int
+	served, retries int
+	requests        int
 }
 
 const (
@@ -26,7 +26,7 @@
 	nestedNodes = 3
 	// fleetLoad is the calls a second that come to the service, of which fleetRoots are root requests.
 	fleetLoad, fleetRoots = 1250.0, 150.0
-	declinedPart          = 0.55
+	declinedRatio         = 0.55
 )
 
 func newSheddingFleet(t *testing.T) *sheddingFleet {
@@ -39,7 +39,7 @@
 		if i < 3 {
 			service = "clock"
 		}
-		learn(f.node, peer(identifier.Node(fmt.Sprint("n", i)), service))
+		learnMembers(f.node, peer(identifier.Node(fmt.Sprint("n", i)), service))
 	}
 	return f
 }
@@ -52,12 +52,12 @@
 			Calls: map[identifier.Route]map[identifier.Route]float64{"obs": {}, "in": {}},
 		})
 	}
-	f.node.Apply(ReportsHeard{Reports: reports}, now)
+	f.node.Apply(ReportsReceived{Reports: reports}, now)
 	f.node.Apply(Ticked{}, now)
 }
 
-// play lets roots and nested calls come to the node for ten seconds.
-func (f *sheddingFleet) play(rootsPerSecond, nestedPerSecond float64) {
+// simulate lets roots and nested calls come to the node for ten seconds.
+func (f *sheddingFleet) simulate(rootsPerSecond, nestedPerSecond float64) {
 	id := CallID(0)
 	for now := clock.Time(0); now < 10_000; now++ {
 		if now%200 == 0 {
@@ -79,16 +79,16 @@
 	if path == "/in/x" {
 		e.Key = ""
 	}
-	f.asked++
+	f.requests++
 	for effects := f.node.Apply(e, now); len(effects) == 1; {
 		s, ok := effects[0].(Send)
 		if !ok {
 			break
 		}
-		if s.Repeat {
-			f.repeats++
+		if s.Retry {
+			f.retries++
 		}
-		if f.random.Float64() >= declinedPart {
+		if f.random.Float64() >= declinedRatio {
 			f.served++
 			f.node.Apply(AttemptEnded{ID: id, Outcome: Answered, Status: 200, Headroom: 100}, now)
 			break
@@ -101,15 +101,15 @@
 // The deepest service declines more than half of all that comes, though it is not full. Each of its own callers needs one
 // success, which a second try gives more often than not; a chain that needs four can hardly be saved. By its own few
 // roots alone a node might repeat one in ten of them, while the allowance that the many nested calls make goes unused.
-func TestRootsOfASheddingServiceAreTriedAgain(t *testing.T) {
+func TestRootRequestsAreRetriedAtSheddingService(t *testing.T) {
 	roots := newSheddingFleet(t)
-	roots.play(fleetRoots/fleetNodes, 0)
+	roots.simulate(fleetRoots/fleetNodes, 0)
 	nested := newSheddingFleet(t)
-	nested.play(0, (fleetLoad-fleetRoots)/nestedNodes)
-	served := float64(roots.served) / float64(roots.asked)
-	repeats := float64(fleetNodes*roots.repeats+nestedNodes*nested.repeats) / 10
-	told := fmt.Sprintf("%.2f of %d roots served, %.0f repeats a second in the fleet", served, roots.asked, repeats)
-	t.Log(told)
-	assert.Assert(t, served > 0.6, told)
-	assert.Assert(t, repeats < 0.2*fleetLoad, told)
+	nested.simulate(0, (fleetLoad-fleetRoots)/nestedNodes)
+	served := float64(roots.served) / float64(roots.requests)
+	retries := float64(fleetNodes*roots.retries+nestedNodes*nested.retries) / 10
+	summary := fmt.Sprintf("%.2f of %d roots served, %.0f repeats a second in the fleet", served, roots.requests, retries)
+	t.Log(summary)
+	assert.Assert(t, served > 0.6, summary)
+	assert.Assert(t, retries < 0.2*fleetLoad, summary)
 }
--- a/internal/conductor/run_time_test.go
+++ b/internal/conductor/run_time_test.go
@@ -8,7 +8,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-func TestPaceFollowsTheRuns(t *testing.T) {
+func TestRunTimeFollowsRuns(t *testing.T) {
 	var p runTime
 	assert.Equal(t, p.time(), clock.Duration(0))
 	p.learn(40)
@@ -17,10 +17,10 @@
 		p.learn(20)
 	}
 	assert.Assert(t, p.time() >= 20 && p.time() <= 22, "%d", p.time())
-	p.atLeast(10)
+	p.learnLowerBound(10)
 	assert.Assert(t, p.time() >= 20, "%d", p.time())
 	for range 100 {
-		p.atLeast(300)
+		p.learnLowerBound(300)
 	}
 	assert.Assert(t, p.time() >= 280, "%d", p.time())
 }
--- a/internal/conductor/runs.go
+++ b/internal/conductor/runs.go
@@ -1,7 +1,7 @@
 package conductor
 
 // Which services a request leads to is learned: each node counts the nested calls that the endpoint beside it makes, by the
-// route of the run that makes them. Counted by service, a request without nested calls would pass for one that makes
+// putEndpoint of the run that makes them. Counted by service, a request without nested calls would pass for one that makes
 // four, since others at the same endpoint do, and be refused for a service that it never needs.
 //
 // Example: 100 runs of "charge" make no call, 300 runs of "ledger" make 1,200 of "rack": 0 and 4 a run.
@@ -10,8 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// unknownRun is the route under which calls stand of which nobody can say whose they are.
-const unknownRun identifier.Route = ""
+// unknownRoute is the route under which calls stand of which nobody can say whose they are.
+const unknownRoute identifier.Route = ""
 
 // runCounter counts runs at the local endpoint and the nested calls that it makes.
 type runCounter struct {
@@ -25,9 +25,9 @@
 }
 
 const (
-	// chainSample is how many runs are weighed before the counts are halved, so that a changed release is followed within
+	// maxRunSample is how many runs are weighed before the counts are halved, so that a changed release is followed within
 	// some seconds.
-	chainSample = 400
+	maxRunSample = 400
 	// minRuns is how many runs a count of nested calls must rest on.
 	minRuns = 10
 	// minCalls is the number of nested calls a run below which they do not count as part of a chain.
@@ -46,17 +46,17 @@
 	return k
 }
 
-// started counts a run, of its route and of all.
-func (r *runCounter) started(route identifier.Route) {
-	if route != unknownRun {
-		r.countsOf(route).started()
+// runStarted counts a run, of its route and of all.
+func (r *runCounter) runStarted(route identifier.Route) {
+	if route != unknownRoute {
+		r.countsOf(route).addRun()
 	}
-	r.countsOf(unknownRun).started()
+	r.countsOf(unknownRoute).addRun()
 }
 
-func (k *runCounts) started() {
+func (k *runCounts) addRun() {
 	k.runs++
-	if k.runs < chainSample {
+	if k.runs < maxRunSample {
 		return
 	}
 	k.runs /= 2
@@ -65,15 +65,15 @@
 	}
 }
 
-// called counts a nested call of a run of a route.
-func (r *runCounter) called(of, route identifier.Route) {
+// nestedCallMade counts a nested call of a run of a route.
+func (r *runCounter) nestedCallMade(of, route identifier.Route) {
 	r.countsOf(of).nested[route]++
 }
 
 // retain drops what was counted of routes that are gone.
-func (r *runCounter) retain(routes map[identifier.Route]share) {
+func (r *runCounter) retain(routes map[identifier.Route]serviceShares) {
 	for route := range r.byRoute {
-		if _, ok := routes[route]; !ok && route != unknownRun {
+		if _, ok := routes[route]; !ok && route != unknownRoute {
 			delete(r.byRoute, route)
 		}
 	}
--- a/internal/conductor/shed_test.go
+++ b/internal/conductor/shed_test.go
@@ -11,9 +11,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// leafPlay asks a node for orders, browses and lookups in equal numbers while the leaf that they lead to has too much, and
+// admittedRatios asks a node for orders, browses and lookups in equal numbers while the leaf that they lead to has too much, and
 // returns which part of each is let in. Orders and browses make eight calls there, a lookup is one.
-func leafPlay(t *testing.T, excess float64, lowTeams bool) map[string]float64 {
+func admittedRatios(t *testing.T, excess float64, lowTeams bool) map[string]float64 {
 	t.Helper()
 	browse, order := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent)
 	lookup, inner := route("fast", "clock", matcher.Idempotent), route("in", "clock", matcher.Idempotent)
@@ -25,14 +25,14 @@
 	c := newConductor("x")
 	configure(t, c, config, 0)
 	eight := map[identifier.Route]float64{"in": 8}
-	c.Apply(ReportsHeard{Reports: []exchanger.Report{
+	c.Apply(ReportsReceived{Reports: []exchanger.Report{
 		{Member: peer("a", "portal"), Number: 1, Load: 100, Calls: map[identifier.Route]map[identifier.Route]float64{"obs": eight}},
 		{Member: peer("b", "desk"), Number: 1, Load: 100, Calls: map[identifier.Route]map[identifier.Route]float64{"ord": eight}},
 		{Member: peer("e", "clock"), Number: 1, Load: 100, Excess: excess, Calls: map[identifier.Route]map[identifier.Route]float64{
 			"in": {}, "fast": {},
 		}},
 	}}, 0)
-	asked, let := map[string]float64{}, map[string]float64{}
+	asked, admitted := map[string]float64{}, map[string]float64{}
 	id := CallID(0)
 	for now := clock.Time(0); now < 2000; now++ {
 		for _, path := range []string{"/obs/x", "/ord/x", "/fast/x"} {
@@ -45,34 +45,34 @@
 			asked[name]++
 			for _, e := range c.Apply(r, now) {
 				if _, ok := e.(Send); ok {
-					let[name]++
+					admitted[name]++
 				}
 			}
 			c.Apply(RequestClosed{ID: id}, now)
 		}
 	}
 	for name := range asked {
-		let[name] /= asked[name]
+		admitted[name] /= asked[name]
 	}
-	return let
+	return admitted
 }
 
 // A leaf has too much. What makes eight calls there is refused before what is hardly less important and makes one: refusing all
 // lookups instead would leave room for an eighth as many orders.
-func TestRequestsThatCostMoreAreRefusedFirst(t *testing.T) {
+func TestExpensiveRequestsAreShedFirst(t *testing.T) {
 	// Browses are 8 of 17 parts of the load, orders 8, lookups 1.
-	let := leafPlay(t, 0.6, false)
+	let := admittedRatios(t, 0.6, false)
 	assert.Assert(t, let["/obs/x"] < 0.05, "%v", let)
 	assert.Assert(t, let["/ord/x"] > 0.6 && let["/ord/x"] < 0.85, "%v", let)
 	assert.Assert(t, let["/fast/x"] > 0.95, "%v", let)
 	// Only when all orders are refused, lookups are.
-	let = leafPlay(t, 0.95, false)
+	let = admittedRatios(t, 0.95, false)
 	assert.Assert(t, let["/ord/x"] < 0.15 && let["/fast/x"] > 0.7, "%v", let)
 }
 
 // A less important team is refused first, whatever its requests cost.
-func TestTeamGoesBeforeCost(t *testing.T) {
-	let := leafPlay(t, 0.5, true)
+func TestTeamRankPrecedesCost(t *testing.T) {
+	let := admittedRatios(t, 0.5, true)
 	for _, path := range []string{"/obs/x low", "/ord/x low", "/fast/x low"} {
 		assert.Assert(t, let[path] < 0.1, "%v", let)
 	}
--- a/internal/conductor/stop_test.go
+++ b/internal/conductor/stop_test.go
@@ -11,38 +11,38 @@
 )
 
 // The nodes are restarted one after the other while a failure domain is cut off, so that the only endpoint in reach is the
-// one beside a stopping node. It is well and its node still passes requests on; without it, callers get refusals for
+// onlyEffect beside a stopping node. It is well and its node still passes requests on; without it, callers get refusals for
 // as long as the restart takes.
-func TestStoppingNodeTakesWhatHasNowhereElseToGo(t *testing.T) {
+func TestStoppingNodeIsLastChoice(t *testing.T) {
 	stopping := peer("a", "portal")
 	stopping.State = exchanger.Stopping
-	c := ready(t, matcher.Idempotent, stopping)
-	assert.Equal(t, one[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).Node, identifier.Node("a"))
-	learn(c, peer("b", "portal"))
+	c := readyConductor(t, matcher.Idempotent, stopping)
+	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0)).Node, identifier.Node("a"))
+	learnMembers(c, peer("b", "portal"))
 	for id := CallID(2); id < 50; id++ {
-		assert.Equal(t, one[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Node, identifier.Node("b"))
+		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id, "/obs/x"), 0)).Node, identifier.Node("b"))
 	}
 }
 
 // An endpoint that has said itself that it leaves takes nothing more, whatever its node does.
-func TestLeavingEndpointOfAStoppingNodeTakesNothing(t *testing.T) {
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	leaving := peer("a", "portal")
 	leaving.State = exchanger.Leaving
-	c := ready(t, matcher.Idempotent, leaving)
-	one[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
+	c := readyConductor(t, matcher.Idempotent, leaving)
+	onlyEffect[Hold](t, c.Apply(arrival(1, "/obs/x"), 0))
 	assert.Equal(t, len(c.Apply(Ticked{}, 25)), 0)
-	assert.Equal(t, one[Refuse](t, c.Apply(Ticked{}, 200)).Reason, NoEndpoint)
+	assert.Equal(t, onlyEffect[Refuse](t, c.Apply(Ticked{}, 200)).Reason, NoEndpoint)
 }
 
 // A stopping node that took requests to its end would break the last ones off; it turns them away while their senders can
 // still look for another endpoint.
 func TestStoppingNodeTurnsLateRequestsAway(t *testing.T) {
 	c := newConductor("portal")
-	announce(c, 10, 1, false, 0)
-	c.Apply(StopAsked{}, 1000)
+	announceEndpoint(c, 10, 1, false, 0)
+	c.Apply(StopRequested{}, 1000)
 	inTime := DeliveryArrived{ID: 1, Endpoint: "i-self", Deadline: 9000, QueueTimeout: 100, Due: 9000}
-	one[Run](t, c.Apply(inTime, 2900))
+	onlyEffect[Run](t, c.Apply(inTime, 2900))
 	late := inTime
 	late.ID = 2
-	assert.Equal(t, one[TurnAway](t, c.Apply(late, 3100)).Outcome, Moved)
+	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(late, 3100)).Outcome, Moved)
 }
--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -160,7 +160,7 @@
 		return
 	}
 	n.recorder.Event("woken", "suspendedMs", int64(gap))
-	n.relayer.Tell(conductor.Woken{After: gap})
+	n.relayer.Tell(conductor.VMResumed{After: gap})
 	n.exchangeSoon()
 }
 
@@ -198,7 +198,7 @@
 
 func (n *node) stop(context.Context) error {
 	n.recorder.Event("node stopping")
-	n.relayer.Tell(conductor.StopAsked{})
+	n.relayer.Tell(conductor.StopRequested{})
 	begun := n.clock.Now()
 	n.relayer.Stop()
 	last := begun
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -142,11 +142,11 @@
 
 func boundsOf(b loader.SidecarBounds) conductor.Bounds {
 	return conductor.Bounds{
-		Revoke:       b.Revoke,
-		InForce:      b.ConfigurationInForce,
-		RepeatRatio:  b.RepeatRatio,
-		RepeatSlack:  b.RepeatSlack,
-		RepeatWindow: b.RepeatWindow,
+		RevokeWithin: b.Revoke,
+		ApplyWithin:  b.ConfigurationInForce,
+		RetryRatio:   b.RepeatRatio,
+		RetrySlack:   b.RepeatSlack,
+		RetryWindow:  b.RepeatWindow,
 		Cold:         conductor.ColdBound{Excess: b.ColdExcess, Slack: b.ColdSlack},
 		Rate: apportioner.Tolerance{
 			Window:   float64(b.RateWindow) / float64(clock.Second),
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -75,7 +75,7 @@
 
 // exchangeOnce asks one node, and tells whether another one should be asked instead.
 func (n *node) exchangeOnce(ctx context.Context) bool {
-	var asking conductor.Asking
+	var asking conductor.ReportExchange
 	var ok bool
 	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { asking, ok = c.Ask(now) })
 	if !ok {
@@ -102,7 +102,7 @@
 	ctx context.Context,
 	member exchanger.Member,
 	question exchanger.Question,
-) (exchanger.Answer, *conductor.ProofHeard, error) {
+) (exchanger.Answer, *conductor.ProofReceived, error) {
 	body, err := exchanger.EncodeQuestion(question)
 	if err != nil {
 		return exchanger.Answer{}, nil, err
@@ -132,7 +132,7 @@
 	if !ok {
 		return answer, nil, nil
 	}
-	return answer, &conductor.ProofHeard{From: member.Node, Version: proof.Version, AsOf: proof.AsOf, Next: proof.Next}, nil
+	return answer, &conductor.ProofReceived{From: member.Node, Version: proof.Version, AsOf: proof.AsOf, Next: proof.Next}, nil
 }
 
 func (n *node) peerRouter() http.Handler {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -49,7 +49,7 @@
 			patience:      s.QueueTimeout,
 			due:           s.Due,
 			nested:        s.Nested,
-			again:         s.Again,
+			again:         s.ArrivalCounted,
 			rateUnchecked: rateUnchecked(s),
 		})
 		r.View(func(c *conductor.Conductor, now clock.Time) { a.headroom, a.wait = c.Headroom(now), c.QueueDelay(now) })
@@ -68,7 +68,7 @@
 		due:           s.Due.Sub(now),
 		rank:          s.Rank,
 		nested:        s.Nested,
-		again:         s.Again,
+		again:         s.ArrivalCounted,
 		endpoint:      s.Endpoint,
 		rateUnchecked: rateUnchecked(s),
 	}.String()}
--- a/internal/relayer/crossing.go
+++ b/internal/relayer/crossing.go
@@ -42,7 +42,7 @@
 
 func crossingCause(s conductor.Send) string {
 	switch {
-	case s.Repeat:
+	case s.Retry:
 		return "repeat"
 	case s.Nested:
 		return "nested"
--- a/internal/relayer/delivery.go
+++ b/internal/relayer/delivery.go
@@ -78,22 +78,22 @@
 	}
 }
 
-// deliver runs a request at the local endpoint.
+// deliveryArrived runs a request at the local endpoint.
 func (r *Relayer) deliver(ctx context.Context, p parcel) answer {
 	id := r.newID()
 	effect := r.apply(id, conductor.DeliveryArrived{
-		ID:            id,
-		Request:       identifier.Request(p.id),
-		Host:          p.request.Host,
-		Path:          pathOf(p.request.URI),
-		Endpoint:      p.endpoint,
-		Rank:          p.rank,
-		Deadline:      p.deadline,
-		QueueTimeout:  p.patience,
-		Due:           p.due,
-		Nested:        p.nested,
-		Again:         p.again,
-		RateUnchecked: p.rateUnchecked,
+		ID:             id,
+		Request:        identifier.Request(p.id),
+		Host:           p.request.Host,
+		Path:           pathOf(p.request.URI),
+		Endpoint:       p.endpoint,
+		Rank:           p.rank,
+		Deadline:       p.deadline,
+		QueueTimeout:   p.patience,
+		Due:            p.due,
+		Nested:         p.nested,
+		ArrivalCounted: p.again,
+		RateUnchecked:  p.rateUnchecked,
 	})
 	if h, ok := effect.(held); ok {
 		woken, err := r.wait(ctx, h)
--- a/internal/relayer/harness_test.go
+++ b/internal/relayer/harness_test.go
@@ -88,7 +88,7 @@
 			Node: identifier.Node(name), Deliver: strings.TrimPrefix(n.inbound.URL, "http://"), Peer: "127.0.0.1:1",
 			Domain: "west", Service: service, Incarnation: 1,
 		},
-		Bounds:          conductor.Bounds{Revoke: 5 * clock.Second, InForce: 2 * clock.Second, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10 * clock.Second},
+		Bounds:          conductor.Bounds{RevokeWithin: 5 * clock.Second, ApplyWithin: 2 * clock.Second, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * clock.Second},
 		EndpointAddress: address,
 		Random:          rand.New(rand.NewPCG(1, 2)),
 	}, c.Now())
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -81,7 +81,7 @@
 	id := r.newID()
 	// A question without the field gives nothing back.
 	back, _ := strconv.Atoi(request.Header.Get(backField))
-	effect := r.apply(id, conductor.TokenAsked{
+	effect := r.apply(id, conductor.TokenRequested{
 		ID:   id,
 		Team: identifier.Team(request.Header.Get(teamField)),
 		Back: back,
