--- a/internal/conductor/chain_placement_test.go
+++ b/internal/conductor/chain_placement_test.go
@@ -13,9 +13,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// The last endpoint of a service in a failure domain has been taken away, and each run of the service above calls it four
-// times. Run here, each would send four messages to another domain one after the other and wait for the way four times;
-// run there, one.
+// A failure domain has lost its last endpoint of a service, and each run of the calling service calls it four times. A
+// run in that failure domain would send four consecutive calls to another failure domain and pay the latency four
+// times; sending the run itself there crosses once.
 func TestRunIsPlacedInDomainServingItsCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		calls    float64
@@ -23,11 +23,11 @@
 		headroom uint8
 		want     router.Crossing
 	}{
-		"several calls, none served here":    {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.ForItsCalls},
-		"one call":                           {calls: 1, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.Inside},
-		"served here as well":                {calls: 4, clocks: []identifier.FailureDomain{"east", "west"}, headroom: 200, want: router.Inside},
-		"served where no one can run it":     {calls: 4, clocks: []identifier.FailureDomain{"north"}, headroom: 200, want: router.Inside},
-		"no room where its calls are served": {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 0, want: router.Inside},
+		"several calls, none served here":      {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.ForItsCalls},
+		"one call":                             {calls: 1, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.Inside},
+		"served here as well":                  {calls: 4, clocks: []identifier.FailureDomain{"east", "west"}, headroom: 200, want: router.Inside},
+		"served where the run has no endpoint": {calls: 4, clocks: []identifier.FailureDomain{"north"}, headroom: 200, want: router.Inside},
+		"no room where its calls are served":   {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 0, want: router.Inside},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inner := route("in", "clock", matcher.Idempotent)
--- a/internal/conductor/chain_rank_test.go
+++ b/internal/conductor/chain_rank_test.go
@@ -9,8 +9,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// All nested calls of a request must have its rank. With ranks of their own, an overloaded service drops some calls of every
-// request, and each request fails after most of its work.
+// All nested calls of a request must have its rank. With independent ranks, an overloaded service drops some calls of
+// every request, and each request fails after most of its work.
 func TestNestedCallsInheritRankOfRoot(t *testing.T) {
 	c := newConductor("desk")
 	nested := route("calc", "clock", matcher.Idempotent)
@@ -27,7 +27,7 @@
 		assert.Equal(t, s.Rank, rank)
 		assert.Assert(t, s.Nested)
 	}
-	// A call of which nobody knows whose it is goes before all that could be shed.
+	// A call with an unknown parent takes precedence over everything that can be shed.
 	s := onlyEffect[Send](t, c.Apply(RequestArrived{ID: 30, Host: "h", Path: "/calc/x", Parent: "gone", Left: 700, Boot: boot}, 10))
 	assert.Equal(t, s.Rank.Priority(), identifier.Urgent)
 }
--- a/internal/conductor/cold_test.go
+++ b/internal/conductor/cold_test.go
@@ -14,11 +14,11 @@
 
 const (
 	coldStartTime = 3 * clock.Second
-	// maxColdRunsPerSecond is what a cold endpoint may get in one second: 8.7 x 1.5 + 8.
+	// maxColdRunsPerSecond is how many requests a cold endpoint may get in one second: 8.7 x 1.5 + 8.
 	maxColdRunsPerSecond = 21
 )
 
-// coldConductor is one beside an endpoint of desk, in a fleet that bounds what cold endpoints get.
+// coldConductor returns the conductor beside an endpoint of desk, in a fleet that limits requests to cold endpoints.
 func coldConductor(t *testing.T) *Conductor {
 	t.Helper()
 	c := newConductor("desk")
@@ -45,7 +45,8 @@
 	}}, now)
 }
 
-// runsPerSecond offers a call each 5 ms, ends each run after 40 ms, and returns the most runs begun within any second.
+// runsPerSecond offers a call every 5 ms, ends each run after 40 ms, and returns the largest number of runs begun
+// within any second.
 func runsPerSecond(c *Conductor, id identifier.Endpoint, from, until clock.Time) int {
 	var begun []clock.Time
 	ends := map[clock.Time][]CallID{}
@@ -83,14 +84,15 @@
 	return most
 }
 
-// However an endpoint comes to be cold, more calls a second than it bears would crash it, and it would come back cold.
+// For whatever reason an endpoint is cold, more calls a second than it can take would crash it, and it would be cold
+// again after its restart.
 func TestColdEndpointRequestRateIsLimited(t *testing.T) {
 	tests := map[string]func(t *testing.T, c *Conductor) identifier.Endpoint{
 		"started": func(_ *testing.T, c *Conductor) identifier.Endpoint {
 			announceCold(c, "i-1", 1, coldStartTime, 0)
 			return "i-1"
 		},
-		"cold again under its id": func(_ *testing.T, c *Conductor) identifier.Endpoint {
+		"cold again under the same id": func(_ *testing.T, c *Conductor) identifier.Endpoint {
 			announceCold(c, "i-1", 1, 0, 0)
 			announceCold(c, "i-1", 2, coldStartTime, 0)
 			return "i-1"
@@ -99,13 +101,13 @@
 			c.Apply(MemberLearned{Member: ownRecord()}, 0)
 			return "i-1"
 		},
-		"assumed, and cold by its own word": func(t *testing.T, c *Conductor) identifier.Endpoint {
+		"assumed, answers that it is cold": func(t *testing.T, c *Conductor) identifier.Endpoint {
 			effects := c.Apply(MemberLearned{Member: ownRecord()}, 0)
 			assert.Equal(t, effects[0].(CheckEndpoint).Path, "/health")
 			c.Apply(EndpointChecked{Endpoint: "i-1", ColdLeft: coldStartTime, Known: true}, 5)
 			return "i-1"
 		},
-		"assumed, and its word can't be read": func(_ *testing.T, c *Conductor) identifier.Endpoint {
+		"assumed, answer not understood": func(_ *testing.T, c *Conductor) identifier.Endpoint {
 			c.Apply(MemberLearned{Member: ownRecord()}, 0)
 			c.Apply(EndpointChecked{Endpoint: "i-1"}, 5)
 			return "i-1"
@@ -116,12 +118,12 @@
 			c := coldConductor(t)
 			id := start(t, c)
 			most := runsPerSecond(c, id, 10, 2000)
-			assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs begun within a second", most)
+			assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs began within one second, expected 8 to maxColdRunsPerSecond", most)
 		})
 	}
 }
 
-// Before a configuration is known the rate is not either, and requests of other nodes come all the same.
+// Before a configuration is known the cold rate is unknown too, but requests from other nodes arrive already.
 func TestColdEndpointIsLimitedBeforeConfiguration(t *testing.T) {
 	c := newConductor("desk")
 	c.options.Bounds.Cold = ColdBound{Excess: 1.5, Slack: 8}
@@ -129,7 +131,7 @@
 	assert.Assert(t, runsPerSecond(c, "i-1", 10, 2000) <= maxColdRunsPerSecond)
 }
 
-// If only the node was started anew, its endpoint is warm and must be used at once.
+// If only the node was restarted, its endpoint is warm and must be used at once.
 func TestAssumedWarmEndpointIsNotLimited(t *testing.T) {
 	c := coldConductor(t)
 	c.Apply(MemberLearned{Member: ownRecord()}, 0)
@@ -137,8 +139,8 @@
 	assert.Assert(t, runsPerSecond(c, "i-1", 10, 1200) > 150)
 }
 
-// An endpoint that gives no clear answer is asked again: taken for cold for the whole cold start, a fleet whose processes were
-// all killed would refuse nearly everything for three seconds beside endpoints that are warm.
+// An endpoint that gives no clear answer is asked again. If it counted as cold for the whole cold start, a fleet whose
+// node processes were all killed would refuse nearly everything for three seconds although its endpoints are warm.
 func TestAssumedEndpointIsCheckedUntilKnown(t *testing.T) {
 	c := coldConductor(t)
 	c.Apply(MemberLearned{Member: ownRecord()}, 0)
@@ -156,7 +158,8 @@
 	assert.Assert(t, runsPerSecond(c, "i-1", 1010, 2500) > 150)
 }
 
-// An endpoint that has warmed up must be used in full at once; measured while it was cold, it would pass for slow for seconds.
+// A warmed-up endpoint must be used in full at once. If its capacity had been estimated while it was cold, it would
+// count as slow for seconds.
 func TestWarmedUpEndpointIsNotLimited(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, coldStartTime, 0)
@@ -166,7 +169,7 @@
 	assert.Assert(t, runsPerSecond(c, "i-1", 3130, 4200) > 150)
 }
 
-// Requests go to warm endpoints while there are any, and to a cold one rather than to none.
+// Requests go to warm endpoints while there are any, and to a cold endpoint only if there is no other.
 func TestColdEndpointIsTheLastChoice(t *testing.T) {
 	c := coldConductor(t)
 	cold, warm := peer("a", "desk"), peer("b", "desk")
@@ -177,7 +180,7 @@
 	for id := range CallID(20) {
 		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id+2, "/obs/x"), 0)).Endpoint, identifier.Endpoint("i-b"))
 	}
-	// The node beside it says that it is warm.
+	// The node beside the cold endpoint now reports it as warm.
 	report := exchanger.Report{Member: cold, Number: 1}
 	c.Apply(ReportsReceived{Reports: []exchanger.Report{report}}, 100)
 	used := map[identifier.Endpoint]bool{}
--- a/internal/conductor/configuration_proof_test.go
+++ b/internal/conductor/configuration_proof_test.go
@@ -19,14 +19,14 @@
 		after   clock.Duration
 		want    clock.Duration
 	}{
-		"a fresh proof elsewhere":           {version: 3, age: 900, after: 300, want: coveredWait},
-		"an old proof elsewhere":            {version: 3, age: 3100, after: 0, want: revoke / revokeWaitDivisor},
-		"a proof that has grown old":        {version: 3, age: 2200, after: 1000, want: revoke / revokeWaitDivisor},
-		"a proof as old as a change may be": {version: 3, age: 1500, after: 200, want: revoke / revokeWaitDivisor},
-		"nothing heard for long":            {version: 3, age: 0, after: 1600, want: revoke / revokeWaitDivisor},
-		"a newer configuration, just now":   {version: 4, age: 100, after: 100, want: coveredWait},
-		"a newer configuration, and again":  {version: 4, age: 100, after: 300, want: newerWait},
-		"an older configuration elsewhere":  {version: 2, age: 100, after: 300, want: coveredWait},
+		"recent proof from a peer":            {version: 3, age: 900, after: 300, want: coveredWait},
+		"old proof from a peer":               {version: 3, age: 3100, after: 0, want: revoke / revokeWaitDivisor},
+		"proof became too old":                {version: 3, age: 2200, after: 1000, want: revoke / revokeWaitDivisor},
+		"proof slightly older than allowed":   {version: 3, age: 1500, after: 200, want: revoke / revokeWaitDivisor},
+		"no exchange for too long":            {version: 3, age: 0, after: 1600, want: revoke / revokeWaitDivisor},
+		"newer configuration, within timeout": {version: 4, age: 100, after: 100, want: coveredWait},
+		"newer configuration, after timeout":  {version: 4, age: 100, after: 300, want: newerWait},
+		"peer has older configuration":        {version: 2, age: 100, after: 300, want: coveredWait},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,15 +38,15 @@
 			assert.Equal(t, c.ReadWait(heard.Add(test.after), boot.Add(test.after)), test.want)
 		})
 	}
-	// A node that nobody answers is the one that the others will ask.
+	// A node without a peer that answers is the fleet's collector.
 	c := newConductor("desk")
 	assert.Equal(t, c.ReadWait(heard, boot), firstWait)
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
 	assert.Equal(t, c.ReadWait(heard, boot), 2000*collectorWaitTenths/10*clock.Millisecond)
 }
 
-// The node that provides the proofs is cut off from the store without a word, and a new configuration is accepted. The others
-// must read the store while there is still time to put it in force.
+// The node that provides the proofs is cut off from the store unnoticed, and a new configuration is accepted. The other
+// nodes must read the store while there is still time to apply the configuration.
 func TestStaleProofTriggersStoreRead(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
@@ -59,13 +59,13 @@
 		}}}, now)
 		c.Apply(ProofReceived{From: "a", Version: 3, AsOf: proved}, now)
 		source, relayed := c.ConfigurationSource(now, proved.Add(after))
-		assert.Equal(t, relayed, after <= 1600, "at %d", after)
-		assert.Equal(t, relayed, c.ReadWait(now, proved.Add(after)) == coveredWait, "at %d", after)
-		assert.Equal(t, relayed, source.Node == "a", "at %d", after)
+		assert.Equal(t, relayed, after <= 1600, "%d ms after the proof", after)
+		assert.Equal(t, relayed, c.ReadWait(now, proved.Add(after)) == coveredWait, "%d ms after the proof", after)
+		assert.Equal(t, relayed, source.Node == "a", "%d ms after the proof", after)
 	}
 }
 
-// A collector that is gone, or a newer configuration that it does not hand out, must not keep a node from reading the store.
+// A failed collector, or one that does not pass on a newer configuration, must not keep a node from reading the store.
 func TestConfigurationSourceIsAbandoned(t *testing.T) {
 	tests := map[string]Event{
 		"no answer":       PeerFailed{Node: "a"},
@@ -87,7 +87,8 @@
 	}
 }
 
-// The fleet's collector looks for members that are missing, and must not take their word for the store's: they rely on it.
+// The fleet's collector searches for missing members, but must not accept their proofs in place of the store's: they
+// rely on its own.
 func TestFleetCollectorReadsStore(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
@@ -101,9 +102,9 @@
 	assert.Assert(t, !relayed)
 }
 
-// A configuration comes by the read that has been open for long, so that its answer proves nothing of the last seconds.
-// What another node proved a second ago still holds; were it forgotten, every change would be followed by refusals of
-// all keyed requests until the next proof.
+// A configuration arrives by a read that has been open for long, so its answer proves nothing about the last seconds.
+// What another node proved a second ago still holds; if it were dropped, all keyed requests would be refused after
+// every change until the next proof.
 func TestNewConfigurationKeepsTheProof(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
@@ -114,15 +115,16 @@
 	// A proof of a version that this node lacks proves nothing here.
 	c.Apply(ConfigurationProved{Version: 5, AsOf: boot.Add(9000)}, 9000)
 	assert.Assert(t, !c.keysProved(boot.Add(9000)))
-	// One of an older version does up to the moment when the newer one came: nothing newer was there before.
+	// A proof of an older version holds up to the moment when the newer one arrived: until then there was nothing
+	// newer.
 	c.Apply(ConfigurationProved{Version: 3, AsOf: boot.Add(900)}, 9000)
 	assert.Assert(t, c.keysProved(boot.Add(5800)))
 	c.Apply(ConfigurationProved{Version: 3, AsOf: boot.Add(9000)}, 9000)
 	assert.Assert(t, !c.keysProved(boot.Add(9000)))
 }
 
-// Nodes that exchange reports leave the members' topic to the one that they ask. When that one is gone, each follows the
-// topic itself, or a node that is started meanwhile would not be known.
+// Nodes that exchange reports leave it to the fleet's collector to follow the members' topic. When the collector fails,
+// each node follows the topic itself; otherwise a node started in the meantime would stay unknown.
 func TestNodeFollowsStoreWithoutReports(t *testing.T) {
 	c := newConductor("desk")
 	learnMembers(c, peer("a", "portal"))
@@ -137,8 +139,8 @@
 	assert.Assert(t, c.FollowsStore(2900))
 }
 
-// Slow news after a restart of all nodes keep each team at equal parts of its rate, and callers within it are refused; slow
-// news between collectors would make a failure domain's view old.
+// If reports spread slowly after a restart of all nodes, each node keeps an equal share of a team's rate and refuses
+// callers within the rate; if they spread slowly between collectors, a failure domain works with outdated reports.
 func TestExchangePeriods(t *testing.T) {
 	c := newConductor("desk")
 	announceEndpoint(c, 10, 1, false, 0)
@@ -154,7 +156,7 @@
 	assert.Equal(t, c.ExchangePeriod(100), shortPeriod)
 	receiveReport(peer("a", "portal"), 4000)
 	assert.Equal(t, c.ExchangePeriod(4000), exchangePeriod)
-	// Its collector is silent, so it collects for its domain and asks the other's.
+	// The domain's other node is silent, so this node collects for its domain and asks the other domain's collector.
 	receiveReport(other, 8000)
 	assert.Equal(t, c.ExchangePeriod(8000), shortPeriod)
 }
--- a/internal/conductor/control_bench_test.go
+++ b/internal/conductor/control_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// benchFleet returns a node of a fleet of 68 in four failure domains with 76 teams, and what its collector answers: reports of
-// all others, each with the demand of 20 teams.
+// benchFleet returns a node of a fleet of 68 in four failure domains with 76 teams, and a function that creates its
+// collector's answers: reports of all other nodes, each with the demand of 20 teams.
 func benchFleet(b *testing.B) (*Conductor, func(round int64) exchanger.Answer) {
 	b.Helper()
 	c := newConductor("desk")
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkExchange is one exchange of reports, as each node has two to five times a second.
+// BenchmarkExchange measures one exchange of reports, which each node makes two to five times a second.
 func BenchmarkExchange(b *testing.B) {
 	c, answer := benchFleet(b)
 	round := int64(0)
@@ -73,8 +73,8 @@
 	b.ReportMetric(float64(len(data)), "bytes")
 }
 
-// BenchmarkControlTick is what passes every 25 ms at each node: 70 us with silence judged at each tick, 31 us with it judged each
-// 100 ms.
+// BenchmarkControlTick measures the work of each node every 25 ms. Checking members for silence at each tick would more
+// than double it.
 func BenchmarkControlTick(b *testing.B) {
 	c, answer := benchFleet(b)
 	announceEndpoint(c, 40, 1, false, 0)
--- a/internal/conductor/delivery_test.go
+++ b/internal/conductor/delivery_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(Ticked{}, 320)).Outcome, Full)
 }
 
-// Another incarnation of the endpoint has taken the address. A request for the first one must not run at it.
+// Another incarnation of the endpoint has the same address. A request for the previous one must not run on it.
 func TestDeliveryForOtherEndpointIsTurnedAway(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 3, 1, false, 0)
@@ -36,8 +36,8 @@
 	assert.Equal(t, onlyEffect[TurnAway](t, c.Apply(d, 0)).Outcome, Moved)
 }
 
-// The endpoint says that it leaves while requests wait for it. They have not reached it, and other endpoints can run
-// them; what runs goes on to its end.
+// The endpoint announces that it leaves while requests are queued for it. They have not reached it and can run on other
+// endpoints; running requests finish.
 func TestLeavingEndpointTurnsQueueAway(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 2, 1, false, 0)
@@ -62,8 +62,8 @@
 	assert.Assert(t, c.Idle())
 }
 
-// The endpoint takes no connection: it has crashed. Other nodes must hear of it, and its next announcement brings it
-// back.
+// The endpoint accepts no connection because it has crashed. Other nodes must learn of it, and its next announcement
+// makes it usable again.
 func TestUnreachableEndpoint(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 3, 1, false, 0)
@@ -75,11 +75,12 @@
 	onlyEffect[Run](t, c.Apply(deliveryTo(2), 1500))
 }
 
-// maxPropagationTime is the longest that a change of a record takes to be everywhere in a fleet that is well.
+// maxPropagationTime is the longest time in which a changed record reaches all nodes of a healthy fleet.
 const maxPropagationTime = 600 * clock.Millisecond
 
-// A planned stop: callers go elsewhere at once. The endpoint beside goes on running and making nested calls, and is used while
-// what it is given can still end; before the node takes no more, the others must know.
+// In a planned stop, callers are sent elsewhere at once. The local endpoint keeps running and making nested calls, and
+// is used while its requests can still finish; the other nodes must know of the stop before this node stops accepting
+// deliveries.
 func TestStopping(t *testing.T) {
 	c := newConductor("portal")
 	configure(t, c, configuration(3, route("obs", "portal", 1)), 0)
@@ -97,8 +98,8 @@
 	assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 1240)).Node, peer("a", "portal").Node)
 }
 
-// Nothing is forgotten and nothing is answered twice, whatever order the events come in: the counts of open requests
-// and deliveries return to none.
+// Whatever the order of events, no delivery is lost or answered twice: the numbers of open requests and deliveries
+// return to zero.
 func TestNoDeliveryStaysOpen(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 4, 1, false, 0)
@@ -122,9 +123,9 @@
 	assert.Assert(t, c.Idle())
 }
 
-// All but one endpoint of the deepest service are gone. Its calls wait long enough for most callers to give up while they
-// run, which frees slots, so that as many calls start as come. Users see nothing but timeouts; the node must say that
-// its endpoint has too much to do, or nobody will refuse anything.
+// The deepest service has lost all but one endpoint. Its calls wait so long that most callers give up while they run,
+// which frees slots, so that calls start as fast as they arrive. Users see only timeouts; the node must report its
+// endpoint as overloaded, otherwise no node sheds any load.
 func TestAbandonedRunsDoNotCountAsCapacity(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 11, 1, false, 0)
@@ -137,7 +138,7 @@
 				running = append(running, r.ID)
 			}
 		}
-		// Slots come free at half the rate of arrivals, by callers that leave three times of four.
+		// Slots become free at half the arrival rate; three times out of four because the caller disconnected.
 		if now%2 == 0 && len(running) > 9 {
 			outcome := Abandoned
 			if now%8 == 0 {
@@ -158,5 +159,5 @@
 			}
 		}
 	}
-	assert.Assert(t, c.throttler.Excess() > 0.75, "excess %v", c.throttler.Excess())
+	assert.Assert(t, c.throttler.Excess() > 0.75, "got excess %v, expected more than 0.75", c.throttler.Excess())
 }
--- a/internal/conductor/endpoint_wait_test.go
+++ b/internal/conductor/endpoint_wait_test.go
@@ -23,8 +23,8 @@
 	return m
 }
 
-// All endpoints of a service are away for a moment, as after a loss of power. A backend server's nested call that is refused
-// then fails the request that it is part of, after all its work; the caller gets an error and has to begin again.
+// A service has no endpoint for a moment, for instance after a power loss. If a backend server's nested call is refused
+// then, the request that it belongs to fails after all its work, and the caller has to start again.
 func TestNestedCallWaitsForAnEndpoint(t *testing.T) {
 	c := newConductor("desk")
 	r := route("obs", "portal", matcher.Idempotent)
@@ -41,8 +41,8 @@
 	assert.Equal(t, onlyEffect[Send](t, c.Apply(Ticked{}, 225)).Endpoint, identifier.Endpoint("i-anew"))
 }
 
-// No endpoint comes. The request has certainly not run and says so, and its caller is told to come back late enough for
-// an endpoint to be there, and soon enough to be served.
+// No endpoint appears. The request has certainly not run and is refused as such; its caller is told to retry late
+// enough for an endpoint to be available, and soon enough to be served.
 func TestRequestIsRefusedAfterEndpointWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		key         string
@@ -50,10 +50,10 @@
 		refusedAt   clock.Time
 		least, most clock.Duration
 	}{
-		"a root":                    {key: "k", left: 5000, refusedAt: 150, least: 500, most: 1500},
-		"a root with little time":   {key: "k", left: 900, refusedAt: 150, least: 75, most: 300},
-		"a nested call":             {left: 700, refusedAt: 250, least: 75, most: 225},
-		"a nested call with plenty": {left: 2100, refusedAt: 700, least: 75, most: 467},
+		"root request":                  {key: "k", left: 5000, refusedAt: 150, least: 500, most: 1500},
+		"root request with little time": {key: "k", left: 900, refusedAt: 150, least: 75, most: 300},
+		"nested call":                   {left: 700, refusedAt: 250, least: 75, most: 225},
+		"nested call with much time":    {left: 2100, refusedAt: 700, least: 75, most: 467},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newConductor("desk")
@@ -71,14 +71,14 @@
 			}
 			refusal := onlyEffect[Refuse](t, effects)
 			assert.Equal(t, refusal.Status, 503)
-			assert.Assert(t, now <= c.refusedAt, "refused at %d", now)
-			assert.Assert(t, refusal.RetryAfter >= c.least && refusal.RetryAfter <= c.most, "%d", refusal.RetryAfter)
+			assert.Assert(t, now <= c.refusedAt, "refused at %d, expected no later than refusedAt", now)
+			assert.Assert(t, refusal.RetryAfter >= c.least && refusal.RetryAfter <= c.most, "got RetryAfter %d, expected least to most", refusal.RetryAfter)
 			assert.Assert(t, k.Idle())
 		})
 	}
 }
 
-// The caller leaves while its request waits: nothing may be sent for it any more.
+// The caller disconnects while its request waits: nothing may be sent for it any more.
 func TestClosedRequestStopsWaiting(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	learnMembers(c, absentMember("a"))
@@ -89,7 +89,7 @@
 	assert.Assert(t, c.Idle())
 }
 
-// An order was sent and no answer came, and no endpoint is left. It may have run: it must not wait to be sent again.
+// An order was sent, no answer arrived, and no endpoint is left. It may have run, so it must not wait to be sent again.
 func TestOrderThatMayHaveRunDoesNotWait(t *testing.T) {
 	c := readyConductor(t, matcher.NonIdempotent, peer("a", "portal"))
 	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
--- a/internal/conductor/entry_test.go
+++ b/internal/conductor/entry_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// The store has been out of reach for as long as a withdrawn key may live. A node that served on would let a key
-// through that operators have taken away.
+// The store has been unreachable for as long as a withdrawn key may be accepted. A node that continued to serve would
+// accept a key that operators have withdrawn.
 func TestKeysNeedARecentProof(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	at := func(b clock.Time) Effect {
@@ -77,15 +77,15 @@
 	c.Apply(ConfigurationProved{Version: 3, AsOf: boot + 4000}, 0)
 	_, sent = at(boot + 8000).(Send)
 	assert.Assert(t, sent)
-	// A proof of another version, or an older one, proves nothing.
+	// A proof of another version, or an older proof, proves nothing.
 	c.Apply(ConfigurationProved{Version: 2, AsOf: boot + 9000}, 0)
 	c.Apply(ConfigurationProved{Version: 3, AsOf: boot + 1000}, 0)
 	_, refused = at(boot + 9000).(Refuse)
 	assert.Assert(t, refused)
 }
 
-// An old record turns up after a newer one, by a late answer or another node. Going back would serve withdrawn keys
-// and removed routes.
+// An old record arrives after a newer one, in a late answer or from another node. Applying it would accept withdrawn
+// keys and restore removed routes.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	configure(t, c, configuration(2, route("old", "portal", matcher.Idempotent)), 0)
@@ -93,8 +93,8 @@
 	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
 }
 
-// A new version may have taken the key away, so that key is refused at once. The other keys go on being served on the proof
-// of the version before, as long as it holds and no longer: what the operators withdrew later is in neither.
+// A new version may have withdrawn a key, which is then refused at once. The other keys are accepted with the proof of
+// the previous version for as long as that proof is valid: a later withdrawal is in neither version.
 func TestNewVersionIsServedOnTheOldProof(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"))
 	next := configuration(4, route("obs", "portal", matcher.Idempotent))
@@ -128,19 +128,19 @@
 		again      bool
 		status     int
 	}{
-		"moved":                       {matcher.NonIdempotent, Moved, false, true, 0},
-		"full":                        {matcher.NonIdempotent, Full, false, true, 0},
-		"unreached":                   {matcher.NonIdempotent, Unreached, false, true, 0},
-		"declined":                    {matcher.NonIdempotent, Declined, false, true, 0},
-		"broken order":                {matcher.NonIdempotent, Broken, false, false, 502},
-		"broken lookup":               {matcher.Idempotent, Broken, false, true, 0},
-		"broken upload":               {matcher.Upload, Broken, false, false, 502},
-		"late order":                  {matcher.NonIdempotent, Late, false, false, 504},
-		"late lookup":                 {matcher.Idempotent, Late, false, false, 504},
-		"moved, body gone":            {matcher.NonIdempotent, Moved, true, false, 503},
-		"broken lookup, body gone":    {matcher.Idempotent, Broken, true, false, 502},
-		"declined upload, body gone":  {matcher.Upload, Declined, true, false, 503},
-		"full, though body was taken": {matcher.Upload, Full, true, false, 503},
+		"moved":                                {matcher.NonIdempotent, Moved, false, true, 0},
+		"full":                                 {matcher.NonIdempotent, Full, false, true, 0},
+		"unreached":                            {matcher.NonIdempotent, Unreached, false, true, 0},
+		"declined":                             {matcher.NonIdempotent, Declined, false, true, 0},
+		"broken order":                         {matcher.NonIdempotent, Broken, false, false, 502},
+		"broken lookup":                        {matcher.Idempotent, Broken, false, true, 0},
+		"broken upload":                        {matcher.Upload, Broken, false, false, 502},
+		"late order":                           {matcher.NonIdempotent, Late, false, false, 504},
+		"late lookup":                          {matcher.Idempotent, Late, false, false, 504},
+		"moved, body not replayable":           {matcher.NonIdempotent, Moved, true, false, 503},
+		"broken lookup, body not replayable":   {matcher.Idempotent, Broken, true, false, 502},
+		"declined upload, body not replayable": {matcher.Upload, Declined, true, false, 503},
+		"full upload, body not replayable":     {matcher.Upload, Full, true, false, 503},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// An order may have run at the first endpoint; whatever happens later, the caller must not be told that it has not.
+// A request may have run at the first endpoint; whatever happens later, the caller must not be told that it has not.
 func TestPossibleRunIsRemembered(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"))
 	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
@@ -166,8 +166,8 @@
 	assert.Equal(t, e.Status, 502)
 }
 
-// A whole service declines. Each request that is sent again is one more for endpoints that are already too busy, so the
-// retryBudgets of a node stay a small part of its requests.
+// All endpoints of a service decline requests. Each retry adds load to endpoints that are already overloaded, so a
+// node's retries must stay a small part of its requests.
 func TestRetriesAreBounded(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("a", "portal"), peer("b", "portal"), peer("d", "portal"))
 	retries := 0
@@ -184,10 +184,11 @@
 			effects = c.Apply(AttemptEnded{ID: id, Outcome: Declined, Replayable: true}, clock.Time(id))
 		}
 	}
-	assert.Assert(t, retries > 0 && retries <= 30, "%d repeats of 1000", retries)
+	assert.Assert(t, retries > 0 && retries <= 30, "%d retries of 1000 requests, expected 1 to 30", retries)
 }
 
-// Parts of a split get their weights, whatever room they have: operators judge a new version by it.
+// The parts of a split get requests by their weights, regardless of their capacity: operators evaluate new versions
+// with it.
 func TestSplitKeepsItsWeights(t *testing.T) {
 	r := route("obs", "portal", matcher.Idempotent)
 	r.Parts = []matcher.Part{{Service: "portal", Weight: 90}, {Service: "clock", Weight: 10}}
@@ -202,8 +203,8 @@
 	assert.DeepEqual(t, counts, map[identifier.Service]int{"portal": 900, "clock": 100})
 }
 
-// The service at the end of the chain has too much to do. The lookups that lead there are refused before any work, the
-// less important ones first; uploads to another service and the nested calls of what was let in are not.
+// The service at the end of the chain is overloaded. Lookups that lead to it are refused before any work, the less
+// important ones first; uploads to another service and the nested calls of admitted requests are not refused.
 func TestRootRequestsAreShedForOverloadedDependency(t *testing.T) {
 	browse, order, other := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent), route("up", "desk2", matcher.Upload)
 	browse.Rank, order.Rank, other.Rank = 2, 0, 2
@@ -246,8 +247,8 @@
 	assert.Equal(t, refused["/in/x"], 0)
 }
 
-// Chance has emptied this node's bucket while the team keeps its rate. The node beside the endpoint has a token to spare
-// for it; only where that one has none either is the team told that it is over its rate.
+// This node's bucket for a team is empty by chance although the team keeps its rate. The node beside the endpoint has a
+// spare token for it; the team is refused as over its rate only if that node has none either.
 func TestTokenIsTakenAtEndpointNode(t *testing.T) {
 	config := configuration(3, route("obs", "portal", matcher.Idempotent))
 	config.Teams[0].Rate, config.Teams[0].Burst = 10, 10
@@ -273,8 +274,8 @@
 	assert.Equal(t, onlyEffect[Refuse](t, refused).Status, 429)
 }
 
-// A request that was let in on another node's token is turned away there after all; the token must come back, or a busy
-// endpoint would cost teams their rate.
+// A request admitted with another node's token is turned away there after all. The token must be returned, or a busy
+// endpoint would reduce the teams' rates.
 func TestTokenIsReturnedOnCancellation(t *testing.T) {
 	config := configuration(3, route("obs", "portal", matcher.Idempotent))
 	config.Teams[0].Rate, config.Teams[0].Burst = 10, 10
@@ -290,9 +291,9 @@
 	}
 }
 
-// Machines were taken away for good, and all nodes have been started anew since. The store still has the records of
-// the dead; nobody has heard of them. Dialled first for half of the requests, they would cost each of these a quarter
-// of a second, and in a chain of nested calls the caller's whole time.
+// Some VMs were removed for good, and all nodes have been restarted since. The store still has the records of the
+// removed nodes, but no reports arrive from them. If they were tried first for half of the requests, each attempt would
+// cost a quarter of a second, and in a chain of nested calls the caller's whole time.
 func TestNodesWithoutReportsAreLastChoice(t *testing.T) {
 	c := readyConductor(t, matcher.Idempotent, peer("alive", "portal"), peer("dead", "portal"), peer("gone", "portal"))
 	for now := clock.Time(0); now < 4000; now += 100 {
@@ -308,7 +309,8 @@
 	}
 }
 
-// A request that found only dead nodes has been counted nowhere; one that a full node turned away has.
+// A request that found only dead nodes has not been counted as an arrival anywhere; one that a full node turned away
+// has.
 func TestArrivalsAreCountedOnce(t *testing.T) {
 	tests := map[string]struct {
 		outcome Outcome
--- a/internal/conductor/evacuation_test.go
+++ b/internal/conductor/evacuation_test.go
@@ -19,7 +19,7 @@
 	return c.Apply(DomainsEvacuated{Domains: domains}, now)
 }
 
-// The endpoints of an evacuated domain must get nothing, whoever picks them and however the others fare.
+// The endpoints of an evacuated domain must get no requests, regardless of the state of the other endpoints.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	c := coldConductor(t)
 	learnMembers(c, inDomain(peer("a", "desk"), "west"), inDomain(peer("b", "desk"), "east"))
@@ -35,7 +35,7 @@
 	}
 }
 
-// With the only domain of a service evacuated, its requests are refused at once as not run.
+// If the only domain of a service is evacuated, its requests are refused as not run.
 func TestEvacuationOfTheOnlyDomain(t *testing.T) {
 	c := coldConductor(t)
 	learnMembers(c, inDomain(peer("a", "desk"), "west"))
@@ -49,7 +49,8 @@
 	onlyEffect[Send](t, c.Apply(arrival(2, "/obs/x"), 700))
 }
 
-// A node in an evacuated domain turns away what is queued and what others, who have not heard yet, still send; what runs ends.
+// A node in an evacuated domain turns away queued requests and those still sent by nodes that do not know of the
+// evacuation yet; running requests finish.
 func TestEvacuatedNodeTurnsDeliveriesAway(t *testing.T) {
 	c := coldConductor(t)
 	announceEndpoint(c, 1, 1, false, 0)
@@ -63,7 +64,8 @@
 	assert.Equal(t, len(c.Apply(DeliveryEnded{ID: 1, Outcome: Answered}, 50)), 0)
 }
 
-// Endpoints of a domain that is taken back may be cold. They get what they bear, by their own node and by those that send.
+// The endpoints of a domain that returns from evacuation may be cold. Their own node and the sending nodes limit them
+// to their cold rate.
 func TestReturnedDomainIsCold(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, 0, 0)
@@ -75,10 +77,10 @@
 	}
 	assert.Assert(t, checked)
 	most := runsPerSecond(c, "i-1", 8010, 10000)
-	assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs begun within a second", most)
+	assert.Assert(t, most >= 8 && most <= maxColdRunsPerSecond, "%d runs began within one second, expected 8 to maxColdRunsPerSecond", most)
 }
 
-// One that says that it is warm is used in full at once.
+// An endpoint that reports itself as warm after the evacuation is used in full at once.
 func TestReturnedDomainReportedWarm(t *testing.T) {
 	c := coldConductor(t)
 	announceCold(c, "i-1", 1, 0, 0)
@@ -88,7 +90,7 @@
 	assert.Assert(t, runsPerSecond(c, "i-1", 8010, 9500) > 150)
 }
 
-// Requests are not sent where domains have just been taken back while others are warm.
+// Requests are not sent to a domain that has just returned from evacuation while another domain has warm endpoints.
 func TestReturnedDomainIsLastChoice(t *testing.T) {
 	c := coldConductor(t)
 	learnMembers(c, inDomain(peer("a", "desk"), "east"), inDomain(peer("b", "desk"), "west"))
@@ -99,8 +101,8 @@
 	}
 }
 
-// A node that hears of later orders than it knows asks the store for them: it would else send to an evacuated domain for as
-// long as its own read stays silent.
+// A node that learns of later orders than its own reads them from the store; otherwise it would send requests to an
+// evacuated domain until its open read returns.
 func TestNewerOrdersTriggerStoreRead(t *testing.T) {
 	c := coldConductor(t)
 	learnMembers(c, peer("a", "desk"))
--- a/internal/conductor/fuzz_cold_test.go
+++ b/internal/conductor/fuzz_cold_test.go
@@ -10,20 +10,20 @@
 const (
 	fuzzColdRate  = 8.7
 	fuzzColdStart = 1500 * clock.Millisecond
-	// fuzzDownTime is how long a crashed endpoint is down; its heartbeat is the first that is heard of its return.
+	// fuzzDownTime is how long a crashed endpoint is down; its return becomes known by its heartbeat.
 	fuzzDownTime = 600 * clock.Millisecond
-	// fuzzEndpointFaultsRate is high enough for cold endpoints to be asked for more than they bear.
+	// fuzzEndpointFaultsRate is high enough for cold endpoints to be offered more requests than they can take.
 	fuzzEndpointFaultsRate = 2000.0
 )
 
-// endpointState is what is true of an endpoint and its failure domain.
+// endpointState is the actual state of an endpoint and its failure domain.
 type endpointState struct {
 	down      bool
 	restarts  int64
 	coldUntil clock.Time
-	// begun are the runs that began while the endpoint was cold.
+	// begun are the times at which runs began while the endpoint was cold.
 	begun []clock.Time
-	// knowsEvacuated tells that the node beside it was told that its domain is evacuated.
+	// knowsEvacuated is set when the node beside the endpoint knows that its domain is evacuated.
 	knowsEvacuated bool
 }
 
@@ -68,7 +68,7 @@
 	w.apply(i, 0, DomainsEvacuated{Domains: domains})
 }
 
-// toggleEvacuation changes what operators ask of a domain; the endpoints of one that is taken back are cold.
+// toggleEvacuation evacuates a domain or ends its evacuation; after the evacuation its endpoints are cold.
 func (w *fleetWorld) toggleEvacuation(d identifier.FailureDomain) {
 	if w.storeDown {
 		return
@@ -81,14 +81,14 @@
 	}
 }
 
-// turnCold has an endpoint say at once that it is cold, where its node can hear that.
+// turnCold makes an endpoint cold; it sends a heartbeat that says so at once if its node can receive it.
 func (w *fleetWorld) turnCold(i int) {
 	n := w.nodes[i]
 	n.endpoint.coldUntil = w.now.Add(fuzzColdStart)
 	w.sendMissedHeartbeat(i)
 }
 
-// sendMissedHeartbeat hands a node the heartbeat that waited for it.
+// sendMissedHeartbeat sends a heartbeat to a node that could not receive it before.
 func (w *fleetWorld) sendMissedHeartbeat(i int) {
 	if n := w.nodes[i]; w.endpointFaults && n.up && !n.frozen {
 		w.heartbeat(i)
@@ -109,7 +109,7 @@
 	})
 }
 
-// reachesEndpoint tells whether a request that was let through reaches its endpoint, and judges that it may.
+// reachesEndpoint reports whether a dispatched request reaches its endpoint, and checks that it may.
 func (w *fleetWorld) reachesEndpoint(to int, local CallID, done func(Outcome)) bool {
 	n := w.nodes[to]
 	if n.endpoint.down {
@@ -119,7 +119,7 @@
 		return false
 	}
 	if n.endpoint.knowsEvacuated {
-		w.t.Fatalf("%d: endpoint i%d got a request though its node knows that its domain is evacuated", w.now, to)
+		w.t.Fatalf("%d: endpoint i%d got a request although its node knows that its domain is evacuated", w.now, to)
 	}
 	if w.now < n.endpoint.coldUntil {
 		n.endpoint.begun = append(n.endpoint.begun, w.now)
@@ -140,7 +140,7 @@
 				}
 			}
 			if float64(count) > fuzzColdRate*1.5+8 {
-				w.t.Fatalf("%d runs began within a second from %d on at endpoint i%d, which is cold", count, from, i)
+				w.t.Fatalf("%d runs began within one second from %d at cold endpoint i%d, more than its limit", count, from, i)
 			}
 		}
 	}
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -17,15 +17,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/registrar"
 )
 
-// A fleet of real conductors lives in one loop with played time: a store that goes away, keys that are withdrawn, nodes
-// that are killed, frozen and started again knowing nothing, endpoints that leave, lose answers and decline. What must
-// hold is judged from what endpoints ran and callers were told, not from what the nodes say of themselves.
+// A fleet of real conductors runs in one loop with simulated time. The store fails, keys are withdrawn, nodes are
+// killed, frozen and restarted without state, and endpoints leave, lose answers and decline requests. The invariants
+// are checked against what endpoints ran and callers were told, not against the nodes' own state.
 
 const (
 	fuzzNodes  = 5
 	fuzzRevoke = 2000
 	fuzzLength = 12000
-	// fuzzRate is divided among the nodes, fuzzPooled kept in one bucket.
+	// fuzzRate is divided among the nodes, fuzzPooled is kept in one shared bucket.
 	fuzzRate    = 40.0
 	fuzzPooled  = 15.0
 	fuzzWindow  = 5000
@@ -55,23 +55,23 @@
 	return last
 }
 
-// fuzzNode is a VM: its conductor dies and is made anew, its endpoint lives on.
+// fuzzNode is a VM: its conductor is killed and replaced by a new one, its endpoint keeps running.
 type fuzzNode struct {
 	c *Conductor
-	// start is when the process started; its clock counts from there, less the time it was frozen.
+	// generation counts the starts of the node's process, so that callbacks of an earlier process are ignored.
 	generation         int
 	frozen             bool
 	up                 bool
 	leaving            bool
 	leavingAnnouncedAt clock.Time
 	sequence           int64
-	// waiting holds what goes on when a held delivery is decided, aborts what ends an attempt under way.
+	// waiting holds the continuation of each held delivery, aborts the function that ends each attempt in flight.
 	waiting  map[CallID]func(Effect)
 	aborts   map[CallID]func()
 	endpoint endpointState
 }
 
-// requestRecord is one request as its caller and the endpoints saw it.
+// requestRecord is the outcome of one request as its caller and the endpoints saw it.
 type requestRecord struct {
 	key        string
 	sentAt     clock.Time
@@ -80,7 +80,7 @@
 	refused    int
 }
 
-// failer is a test, with played seeds or given ones.
+// failer is a test with generated or fixed seeds.
 type failer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
@@ -94,15 +94,15 @@
 	order      int
 	nodes      []*fuzzNode
 	storeDown  bool
-	// version in the store, and since when each key is withdrawn.
+	// version is the version in the store, withdrawn the time since which each key is withdrawn.
 	version   identifier.Version
 	withdrawn map[string]clock.Time
 	requests  map[CallID]*requestRecord
 	lastID    CallID
 	runSentAt []clock.Time
-	// rate is the team's, with as much burst.
+	// rate is the team's rate, and also its burst.
 	rate float64
-	// endpointFaults tells that endpoints crash and turn cold, and that failure domains are evacuated.
+	// endpointFaults is set when endpoints crash and become cold, and failure domains are evacuated.
 	endpointFaults bool
 	evacuated      map[identifier.FailureDomain]bool
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// poll asks the store; the answer may take long, and proves only what held when it was asked for.
+// poll reads the store; the answer may take long, and proves only the state at the time of the request.
 func (w *fleetWorld) poll(i int) {
 	if w.storeDown {
 		return
@@ -225,7 +225,7 @@
 	}
 }
 
-// apply tells a node of an event, hands effects on other requests on, and returns the one on the given request.
+// apply applies an event to a node, passes on effects on other requests, and returns the effect on the given request.
 func (w *fleetWorld) apply(i int, own CallID, e Event) Effect {
 	n := w.nodes[i]
 	var mine Effect
@@ -291,7 +291,7 @@
 	w.performEffect(i, n.generation, id, w.apply(i, id, RequestArrived{ID: id, Host: "h", Path: path, Key: key, Left: 900, Boot: w.now}))
 }
 
-// performEffect performs what a node decided about a request of its own.
+// performEffect performs a node's decision on a request that entered there.
 func (w *fleetWorld) performEffect(i, generation int, id CallID, e Effect) {
 	n := w.nodes[i]
 	switch e := e.(type) {
@@ -323,7 +323,7 @@
 	}
 }
 
-// sendProbes opens a connection to another node: one that is down refuses it, one that is frozen says nothing.
+// probe opens a connection to another node: a node that is down refuses it, a frozen node does not respond.
 func (w *fleetWorld) probe(i int, p Probe) {
 	generation := w.nodes[i].generation
 	wait, reached := clock.Duration(fuzzLatency), true
@@ -337,7 +337,7 @@
 	})
 }
 
-// draw asks another node for a token; one that is down refuses the connection, one that is frozen says nothing.
+// draw requests a token from another node: a node that is down refuses the connection, a frozen node does not respond.
 func (w *fleetWorld) draw(d Draw, done func(TokenDrawn)) {
 	failed := TokenDrawn{ID: d.ID, Node: d.Node}
 	w.after(fuzzLatency, func() {
@@ -399,11 +399,11 @@
 	}))
 }
 
-// runAtEndpoint has the endpoint run a request, decline it, or lose its answer.
+// runAtEndpoint lets the endpoint run a request, decline it, or lose its answer.
 func (w *fleetWorld) runAtEndpoint(to, generation int, id, local CallID, s Send, done func(Outcome)) {
 	n := w.nodes[to]
 	if n.leavingAnnouncedAt != 0 && w.now > n.leavingAnnouncedAt {
-		w.t.Fatalf("%d: endpoint i%d got request %d though it said at %d that it leaves", w.now, to, id, n.leavingAnnouncedAt)
+		w.t.Fatalf("%d: endpoint i%d got request %d although it announced at %d that it leaves", w.now, to, id, n.leavingAnnouncedAt)
 	}
 	if !w.reachesEndpoint(to, local, done) {
 		return
@@ -440,13 +440,13 @@
 	r.runs++
 	w.runSentAt = append(w.runSentAt, r.sentAt)
 	if r.refused > 0 {
-		w.t.Fatalf("%d: request %d runs after its caller was told that it has not and will not", w.now, id)
+		w.t.Fatalf("%d: request %d runs after its caller was refused as not run", w.now, id)
 	}
 	if r.runs > 1 && !r.idempotent {
-		w.t.Fatalf("%d: request %d must run at most once and runs again", w.now, id)
+		w.t.Fatalf("%d: non-idempotent request %d runs a second time", w.now, id)
 	}
 	if gone, ok := w.withdrawn[r.key]; ok && r.sentAt > gone.Add(fuzzRevoke) {
-		w.t.Fatalf("%d: request %d sent at %d runs with a key that was withdrawn at %d", w.now, id, r.sentAt, gone)
+		w.t.Fatalf("%d: request %d sent at %d runs with a key withdrawn at %d", w.now, id, r.sentAt, gone)
 	}
 }
 
@@ -505,8 +505,9 @@
 	w.after(clock.Duration(500+w.random.Int64N(1000)), func() { w.startNode(i) })
 }
 
-// Whatever happens to the fleet: an order runs at most once, a refusal is true, a withdrawn key is dead in time at every
-// node, an endpoint that leaves gets nothing more, and no team gets more than its rate and burst with the tolerance.
+// Whatever happens to the fleet, an order runs at most once, a request refused as not run has not run, a withdrawn key
+// is rejected by every node in time, a leaving endpoint gets no more requests, and no team exceeds its rate and burst
+// by more than the tolerance.
 func TestFuzzFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulateFleet(t, fleetScenario{
@@ -518,8 +519,8 @@
 	})
 }
 
-// The same while endpoints crash and come back cold, and failure domains are evacuated and taken back: a cold endpoint gets
-// what it bears, and one whose node knows that its domain is evacuated gets nothing.
+// The same invariants hold while endpoints crash and restart cold, and failure domains are evacuated and return: a cold
+// endpoint gets no more than its limit, and an endpoint whose node knows that its domain is evacuated gets no requests.
 func TestFuzzFleetWithColdAndEvacuatedEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulateFleet(t, fleetScenario{
@@ -532,19 +533,19 @@
 	})
 }
 
-// Days that broke a promise once.
+// These scenarios have violated an invariant before.
 func TestFleetRegressionSeeds(t *testing.T) {
 	tests := map[string]fleetScenario{
-		// The nodes with the bucket are killed several times within one window, and each bucket that is taken over grants
-		// requests of its own: other teams wait behind one that gets more than it bought.
-		"buckets taken over again and again": {seed: 0x27f, rate: fuzzPooled, perSecond: 223, faults: 8},
+		// The nodes that hold the bucket are killed several times within one window, and each new holder grants
+		// requests from a bucket of its own: the team exceeds its rate, and other teams wait behind it.
+		"repeated change of bucket holder": {seed: 0x27f, rate: fuzzPooled, perSecond: 223, faults: 8},
 	}
 	for name, day := range tests {
 		t.Run(name, func(t *testing.T) { simulateFleet(t, day) })
 	}
 }
 
-// fleetScenario is what a played day hangs on.
+// fleetScenario holds the parameters of a simulated run.
 type fleetScenario struct {
 	seed              uint64
 	rate              float64
@@ -596,7 +597,7 @@
 			}
 		}
 		if float64(count) > most {
-			w.t.Fatalf("%d requests of a team were sent and run in %d ms from %d, want at most %.0f", count, fuzzWindow, w.runSentAt[first], most)
+			w.t.Fatalf("%d requests of a team were sent and run within %d ms from %d, expected at most %.0f", count, fuzzWindow, w.runSentAt[first], most)
 		}
 	}
 }
--- a/internal/conductor/missing_service_test.go
+++ b/internal/conductor/missing_service_test.go
@@ -11,7 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// chainFixture is a node of a fleet whose portal runs "obs", which calls clock four times, and "plain", which calls nothing.
+// chainFixture is a node of a fleet in which portal runs "obs", which calls clock four times, and "plain", which makes
+// no calls.
 type chainFixture struct {
 	*Conductor
 	id     CallID
@@ -44,7 +45,7 @@
 	c.Apply(Ticked{}, now)
 }
 
-// simulate asks for both routes for a while and returns, by path, how many were refused for a reason, and all.
+// simulate sends requests for both routes and returns, by path, how many were refused for the given reason.
 func (c *chainFixture) simulate(from, to clock.Time, clockState exchanger.State, reason Reason) map[string]int {
 	refused := map[string]int{}
 	for now := from; now < to; now += 5 {
@@ -64,8 +65,8 @@
 	return refused
 }
 
-// The service at the end of a chain has too much to do. A request at the same endpoint as those that lead there, which
-// makes no calls itself, is none of its load: refused with them, its caller loses an answer that cost that service nothing.
+// The service at the end of a chain is overloaded. Requests at the same endpoint that make no nested calls add nothing
+// to its load; if they were refused as well, their callers would lose answers that cost that service nothing.
 func TestRequestWithoutNestedCallsIsNotShed(t *testing.T) {
 	c := newChainFixture(t)
 	c.excess = 0.5
@@ -74,8 +75,9 @@
 	assert.Equal(t, refused["/plain/x"], 0)
 }
 
-// The last endpoint of a service is gone. Whatever leads there would run to the point where it is needed and fail; callers
-// are told at once, and when to come back. What does not lead there goes on, and all does when the service is back.
+// A service has lost its last endpoint. Requests that lead to it would run up to the call that needs it and fail, so
+// their callers are refused at once with a time to retry. Other requests are served, and all are when the service
+// returns.
 func TestMissingServiceRefusesRootRequests(t *testing.T) {
 	c := newChainFixture(t)
 	assert.Equal(t, len(c.simulate(0, 1000, exchanger.Ready, NoEndpoint)), 0)
@@ -88,8 +90,8 @@
 	assert.Equal(t, len(c.simulate(3300, 4300, exchanger.Ready, NoEndpoint)), 0)
 }
 
-// Nodes whose reports are missing may still serve: a fleet that took silence for absence would refuse everything whenever
-// reportCount are late.
+// Nodes whose reports are missing may still serve: if silence counted as absence, a fleet would refuse everything
+// whenever reports are late.
 func TestSilentNodesDoNotMakeServiceMissing(t *testing.T) {
 	c := newChainFixture(t)
 	c.simulate(0, 1000, exchanger.Ready, NoEndpoint)
@@ -107,7 +109,7 @@
 	assert.Equal(t, refused, 0)
 }
 
-// Calls are counted to the run that makes them, where their ids tell it, and else to all.
+// Nested calls are counted for the run that makes them if its id is known, otherwise for all runs.
 func TestNestedCallsAreCountedByParentRoute(t *testing.T) {
 	inner := route("in", "clock", matcher.Idempotent)
 	inner.Public = true
@@ -115,9 +117,9 @@
 		parent       identifier.Request
 		own, unknown float64
 	}{
-		"told":    {parent: "r", own: 2},
-		"untold":  {unknown: 1},
-		"foreign": {parent: "other", unknown: 1},
+		"known parent":   {parent: "r", own: 2},
+		"no parent":      {unknown: 1},
+		"unknown parent": {parent: "other", unknown: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newConductor("portal")
--- a/internal/conductor/plan_bench_test.go
+++ b/internal/conductor/plan_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// Every node makes a plan ten times a second from what all nodes report.
+// BenchmarkPlan measures a plan, which every node computes ten times a second from the reports of all nodes.
 func BenchmarkPlan(b *testing.B) {
 	for _, nodes := range []int{13, 88, 1000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -16,15 +16,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/registrar"
 )
 
-// poolFleet is some conductors that exchange reports and ask each other for tokens, without delay.
+// poolFleet is a set of conductors that exchange reports and request tokens from each other without delay.
 type poolFleet struct {
 	t     *testing.T
 	nodes map[identifier.Node]*Conductor
 	names []identifier.Node
 	last  CallID
-	// requests and passed are what tally has counted.
+	// asked and passed are the counts of askAndCount.
 	asked, passed int
-	// cut tells whether a question between two nodes gets no answer.
+	// cut reports whether two nodes can't reach each other.
 	cut func(from, to identifier.Node) bool
 }
 
@@ -62,7 +62,7 @@
 	return f
 }
 
-// report has all nodes tell those that they can reach.
+// report makes all nodes send a report to the nodes that they can reach.
 func (f *poolFleet) report(now clock.Time) {
 	heard := map[identifier.Node][]exchanger.Report{}
 	for _, from := range f.names {
@@ -81,7 +81,7 @@
 	}
 }
 
-// ask sends a request of the team to a node, and tells whether it is let through.
+// ask sends a request of the team to a node, and reports whether it is admitted.
 func (f *poolFleet) ask(at identifier.Node, now clock.Time) bool {
 	f.last++
 	c := f.nodes[at]
@@ -102,7 +102,7 @@
 	return sent
 }
 
-// askAndCount asks, and counts what is asked from a time on, when the fleet has learned what comes.
+// askAndCount calls ask, and counts the requests from a time on at which the fleet has learned the demand.
 func (f *poolFleet) askAndCount(at identifier.Node, now, from clock.Time) {
 	allowed := f.ask(at, now)
 	if now < from {
@@ -114,9 +114,9 @@
 	}
 }
 
-// A small team has its users at a few of very many nodes and keeps its rate. Cut into a part for each node, its rate gives
-// hardly any node a whole request: small congregations are refused a tenth of their requests in the largest
-// deployments, and large ones are not.
+// A small team sends requests to a few of very many nodes and keeps its rate. If its rate were divided among all nodes,
+// hardly any node would get a whole request: in the largest deployments small teams would be refused a tenth of their
+// requests, and large teams none.
 func TestSmallTeamAtFewOfManyNodesIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct{ nodes, active int }{
 		"8 of 88":  {88, 8},
@@ -137,13 +137,13 @@
 					f.askAndCount(f.names[i], now, 10000)
 				}
 			}
-			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d let through", f.passed, f.asked)
+			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
 		})
 	}
 }
 
-// A team sends just what it bought, one request in seven seconds to each of 88 nodes, and gets nearly all of it: what a
-// user of a small team notices is whether the next request is refused although the team keeps its rate.
+// A team that sends exactly its rate, one request in seven seconds to each of 88 nodes, gets nearly all of it: users of
+// a small team notice when a request is refused although the team keeps its rate.
 func TestSmallTeamAtItsRateGetsNearlyAll(t *testing.T) {
 	f := newPoolFleet(t, 88, 13)
 	random := rand.New(rand.NewPCG(7, 8))
@@ -156,12 +156,12 @@
 		}
 		f.askAndCount(f.names[random.IntN(len(f.names))], now, 5000)
 	}
-	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d let through", f.passed, f.asked)
+	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
 }
 
-// A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere. Each
-// side has a bucket of its own then, and both together must not give out what one may: the other teams would wait
-// behind it.
+// A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere.
+// Each side of the partition then has its own bucket, and both together must not grant more than one bucket may: the
+// other teams would wait behind this team.
 func TestSmallTeamsRateHoldsAcrossPartition(t *testing.T) {
 	const rate = 26.0
 	for shift := range 8 {
@@ -185,12 +185,12 @@
 		}
 		most := maxInWindow(passed, 5*clock.Second)
 		allowed := (rate*5+rate)*1.1 + 20
-		assert.Assert(t, float64(most) <= allowed, "shift %d: %d requests in 5 s, want at most %.0f", shift, most, allowed)
+		assert.Assert(t, float64(most) <= allowed, "shift %d: %d requests admitted in 5 s, expected at most %.0f", shift, most, allowed)
 	}
 }
 
-// The node with a team's bucket is killed. Until the others have noticed, each lets one request of the team through, and
-// then another node has the bucket.
+// The node that holds a team's bucket is killed. Until the other nodes have detected this, each admits one request of
+// the team; then another node holds the bucket.
 func TestBucketMovesWhenHolderFails(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	for now := clock.Time(0); now <= 3500; now += 500 {
@@ -212,8 +212,8 @@
 	assert.Assert(t, f.ask(asker, 7000))
 }
 
-// The bucket elsewhere is empty: the caller is refused with the time after which there is a token, and this node does not
-// ask again for each request that comes before.
+// The holder's bucket is empty: the caller is refused with the time until a token is available, and this node does not
+// ask the holder again for requests that arrive before then.
 func TestEmptyBucketIsNotAskedAgainAtOnce(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
@@ -230,8 +230,8 @@
 	assert.Assert(t, c.Idle())
 }
 
-// A token was drawn and the request was refused in the end, so that it has not run: the token goes back with the next
-// question, or the team would lose what it bought.
+// A token was drawn and the request was refused in the end, so it has not run. The token is returned with the next
+// token request, or the team would lose a part of its rate.
 func TestUnusedTokenIsReturned(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
@@ -244,9 +244,9 @@
 	assert.Equal(t, onlyEffect[Draw](t, c.Apply(arrival(2, "/obs/x"), 10)).Back, 1)
 }
 
-// The node with a greedy team's bucket stands still for a second and a half, or its endpoint leaves. The nodes find out at
-// different moments, and if some turn to another node at once, two buckets give out the rate side by side: with real
-// processes 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
+// The node that holds the bucket of a team far over its rate is frozen for a second and a half, or its endpoint leaves.
+// The other nodes detect this at different times. If some of them change to another holder at once, two buckets grant
+// the rate at the same time: 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
 func TestRateHoldsWhileBucketHolderFails(t *testing.T) {
 	const rate = 20.0
 	f := newPoolFleet(t, 6, rate)
@@ -272,17 +272,17 @@
 		if random.Float64() >= 6*rate/1000 {
 			continue
 		}
-		// Nobody asks at a node that stands still.
+		// No request is sent to a frozen node.
 		if at := f.names[random.IntN(len(f.names))]; (at != holder || !frozen) && f.ask(at, now) {
 			passed = append(passed, now)
 		}
 	}
 	most := maxInWindow(passed, 5*clock.Second)
-	t.Logf("%d requests in 5 s", most)
-	assert.Assert(t, float64(most) <= (rate*5+rate)*1.1+20, "%d requests in 5 s", most)
+	t.Logf("%d requests admitted in 5 s", most)
+	assert.Assert(t, float64(most) <= (rate*5+rate)*1.1+20, "%d requests admitted in 5 s, more than the rate with its tolerance", most)
 }
 
-// leave has the endpoint beside a node say that it leaves.
+// leave makes the endpoint beside a node announce that it leaves.
 func (f *poolFleet) leave(node identifier.Node, now clock.Time) {
 	c := f.nodes[node]
 	c.Apply(EndpointAnnounced{Announcement: registrar.Announcement{
@@ -290,7 +290,7 @@
 	}}, now)
 }
 
-// maxInWindow returns the most moments that lie within one window.
+// maxInWindow returns the largest number of times that lie within one window.
 func maxInWindow(passed []clock.Time, window clock.Duration) int {
 	most, first := 0, 0
 	for last := range passed {
--- a/internal/conductor/region_test.go
+++ b/internal/conductor/region_test.go
@@ -10,8 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// Requests that are bound to regions must reach no endpoint elsewhere: not when the allowed ones are full, silent, ejected or
-// evacuated either.
+// Requests that are bound to regions must reach no endpoint elsewhere, not even when the allowed endpoints are full,
+// silent, ejected or evacuated.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	tests := map[string]struct {
 		route, team []identifier.Region
@@ -52,9 +52,9 @@
 				ask()
 			}
 			assert.Equal(t, len(used), len(test.want))
-			silent := peer("a", "portal")
-			silent.State, silent.Sequence = exchanger.Leaving, 2
-			learnMembers(c, inDomain(silent, "west"))
+			leaving := peer("a", "portal")
+			leaving.State, leaving.Sequence = exchanger.Leaving, 2
+			learnMembers(c, inDomain(leaving, "west"))
 			evacuate(c, 0, "east")
 			for range 30 {
 				ask()
--- a/internal/conductor/retry_budget_test.go
+++ b/internal/conductor/retry_budget_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// sheddingFleet is what one node sees of a fleet whose deepest service declines a part of all that comes.
+// sheddingFleet is one node's view of a fleet whose deepest service declines a part of all requests.
 type sheddingFleet struct {
 	node            *Conductor
 	random          *rand.Rand
@@ -24,7 +24,7 @@
 const (
 	fleetNodes  = 13
 	nestedNodes = 3
-	// fleetLoad is the calls a second that come to the service, of which fleetRoots are root requests.
+	// fleetLoad is the rate of calls to the service, of which fleetRoots are root requests, in calls a second.
 	fleetLoad, fleetRoots = 1250.0, 150.0
 	declinedRatio         = 0.55
 )
@@ -56,7 +56,7 @@
 	f.node.Apply(Ticked{}, now)
 }
 
-// simulate lets roots and nested calls come to the node for ten seconds.
+// simulate sends root requests and nested calls to the node for ten seconds.
 func (f *sheddingFleet) simulate(rootsPerSecond, nestedPerSecond float64) {
 	id := CallID(0)
 	for now := clock.Time(0); now < 10_000; now++ {
@@ -98,9 +98,10 @@
 	f.node.Apply(RequestClosed{ID: id}, now)
 }
 
-// The deepest service declines more than half of all that comes, though it is not full. Each of its own callers needs one
-// success, which a second try gives more often than not; a chain that needs four can hardly be saved. By its own few
-// roots alone a node might repeat one in ten of them, while the allowance that the many nested calls make goes unused.
+// The deepest service declines more than half of all requests, though it is not full. Each root request needs one
+// success, which a retry gives more often than not; a chain that needs four successes can hardly be saved. If the
+// budget were computed only from a node's own few root requests, it could retry one in ten of them, while the allowance
+// from the many nested calls would stay unused.
 func TestRootRequestsAreRetriedAtSheddingService(t *testing.T) {
 	roots := newSheddingFleet(t)
 	roots.simulate(fleetRoots/fleetNodes, 0)
@@ -108,7 +109,7 @@
 	nested.simulate(0, (fleetLoad-fleetRoots)/nestedNodes)
 	served := float64(roots.served) / float64(roots.requests)
 	retries := float64(fleetNodes*roots.retries+nestedNodes*nested.retries) / 10
-	summary := fmt.Sprintf("%.2f of %d roots served, %.0f repeats a second in the fleet", served, roots.requests, retries)
+	summary := fmt.Sprintf("%.2f of %d root requests served, %.0f retries a second in the fleet", served, roots.requests, retries)
 	t.Log(summary)
 	assert.Assert(t, served > 0.6, summary)
 	assert.Assert(t, retries < 0.2*fleetLoad, summary)
--- a/internal/conductor/shed_test.go
+++ b/internal/conductor/shed_test.go
@@ -11,8 +11,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// admittedRatios asks a node for orders, browses and lookups in equal numbers while the leaf that they lead to has too much, and
-// returns which part of each is let in. Orders and browses make eight calls there, a lookup is one.
+// admittedRatios sends orders, browses and lookups in equal numbers to a node while the leaf service that they lead to
+// is overloaded, and returns the part of each that is admitted. Orders and browses make eight calls at the leaf
+// service, lookups one.
 func admittedRatios(t *testing.T, excess float64, lowTeams bool) map[string]float64 {
 	t.Helper()
 	browse, order := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent)
@@ -57,20 +58,20 @@
 	return admitted
 }
 
-// A leaf has too much. What makes eight calls there is refused before what is hardly less important and makes one: refusing all
-// lookups instead would leave room for an eighth as many orders.
+// A leaf service is overloaded. Requests that make eight calls there are refused before slightly less important
+// requests that make one: refusing all lookups instead would leave capacity for only an eighth as many orders.
 func TestExpensiveRequestsAreShedFirst(t *testing.T) {
 	// Browses are 8 of 17 parts of the load, orders 8, lookups 1.
 	let := admittedRatios(t, 0.6, false)
 	assert.Assert(t, let["/obs/x"] < 0.05, "%v", let)
 	assert.Assert(t, let["/ord/x"] > 0.6 && let["/ord/x"] < 0.85, "%v", let)
 	assert.Assert(t, let["/fast/x"] > 0.95, "%v", let)
-	// Only when all orders are refused, lookups are.
+	// Lookups are refused only when all orders are refused.
 	let = admittedRatios(t, 0.95, false)
 	assert.Assert(t, let["/ord/x"] < 0.15 && let["/fast/x"] > 0.7, "%v", let)
 }
 
-// A less important team is refused first, whatever its requests cost.
+// A less important team is refused first, regardless of the cost of its requests.
 func TestTeamRankPrecedesCost(t *testing.T) {
 	let := admittedRatios(t, 0.5, true)
 	for _, path := range []string{"/obs/x low", "/ord/x low", "/fast/x low"} {
--- a/internal/conductor/stop_test.go
+++ b/internal/conductor/stop_test.go
@@ -10,9 +10,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// The nodes are restarted one after the other while a failure domain is cut off, so that the only endpoint in reach is the
-// onlyEffect beside a stopping node. It is well and its node still passes requests on; without it, callers get refusals for
-// as long as the restart takes.
+// The nodes are restarted one after the other while a failure domain is cut off, so that the only reachable endpoint is
+// beside a stopping node. The endpoint is healthy and its node still forwards requests; without it, callers would be
+// refused for the duration of the restart.
 func TestStoppingNodeIsLastChoice(t *testing.T) {
 	stopping := peer("a", "portal")
 	stopping.State = exchanger.Stopping
@@ -24,7 +24,7 @@
 	}
 }
 
-// An endpoint that has said itself that it leaves takes nothing more, whatever its node does.
+// An endpoint that has announced that it leaves gets no more requests, regardless of its node's state.
 func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	leaving := peer("a", "portal")
 	leaving.State = exchanger.Leaving
@@ -34,8 +34,8 @@
 	assert.Equal(t, onlyEffect[Refuse](t, c.Apply(Ticked{}, 200)).Reason, NoEndpoint)
 }
 
-// A stopping node that took requests to its end would break the last ones off; it turns them away while their senders can
-// still look for another endpoint.
+// A stopping node that accepted requests until its end would break off the last ones; it turns them away while their
+// senders can still use another endpoint.
 func TestStoppingNodeTurnsLateRequestsAway(t *testing.T) {
 	c := newConductor("portal")
 	announceEndpoint(c, 10, 1, false, 0)
