--- a/internal/conductor/call_graph.go
+++ b/internal/conductor/call_graph.go
@@ -111,17 +111,17 @@
 }
 
 // addCosts adds the calls caused by a number of runs of a route at a service.
-func (g *callGraph) addCosts(costs map[identifier.Service]float64, node origin, times float64, path []origin) {
-	costs[node.service] += times
-	s, ok := g.services[node.service]
+func (g *callGraph) addCosts(costs map[identifier.Service]float64, target origin, runs float64, path []origin) {
+	costs[target.service] += runs
+	s, ok := g.services[target.service]
 	if !ok || len(path) == maxDepth {
 		return
 	}
-	path = append(slices.Clone(path), node)
-	for next, n := range s.callsOf(node.route, g.shares) {
+	path = append(slices.Clone(path), target)
+	for next, n := range s.callsOf(target.route, g.shares) {
 		// Services that call each other would cause an endless recursion.
-		if times*n >= minCost && !slices.Contains(path, next) {
-			g.addCosts(costs, next, times*n, path)
+		if runs*n >= minCost && !slices.Contains(path, next) {
+			g.addCosts(costs, next, runs*n, path)
 		}
 	}
 }
--- a/internal/conductor/evacuation.go
+++ b/internal/conductor/evacuation.go
@@ -21,12 +21,12 @@
 	for _, domain := range e.Domains {
 		c.evacuated[domain] = true
 	}
-	own := c.self.Domain
-	if c.evacuated[own] && !before[own] {
+	ownDomain := c.self.Domain
+	if c.evacuated[ownDomain] && !before[ownDomain] {
 		c.shedQueue(now)
 	}
-	if before[own] && !c.evacuated[own] {
-		c.returnFromEvacuation(now)
+	if before[ownDomain] && !c.evacuated[ownDomain] {
+		c.endOwnEvacuation(now)
 	}
 	for node, m := range c.members {
 		if c.evacuated[m.Domain] == before[m.Domain] {
@@ -59,8 +59,8 @@
 	return slices.Sorted(maps.Keys(c.evacuated))
 }
 
-// returnFromEvacuation uses the local endpoint again, as a cold one unless it says that it is warm.
-func (c *Conductor) returnFromEvacuation(now clock.Time) {
+// endOwnEvacuation uses the local endpoint again, as a cold one unless it says that it is warm.
+func (c *Conductor) endOwnEvacuation(now clock.Time) {
 	local := c.registrar.Local()
 	if !local.Usable() {
 		return
--- a/internal/conductor/missing_service.go
+++ b/internal/conductor/missing_service.go
@@ -43,6 +43,6 @@
 
 // lacksService decides whether a request is refused because a service that it leads to is missing.
 func (c *Conductor) lacksService(r *call) bool {
-	part := c.plan.missingRatio[r.origin()]
-	return part > 0 && c.random.Float64() < part
+	ratio := c.plan.missingRatio[r.origin()]
+	return ratio > 0 && c.random.Float64() < ratio
 }
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -24,7 +24,7 @@
 // choice therefore depends only on what all nodes learn from reports within half a second: not on this node's own
 // failure detection, and not on an endpoint's leaving, which its own node knows first.
 func (c *Conductor) holder(team identifier.Team, now clock.Time) exchanger.Member {
-	best, weight := c.self, uint64(0)
+	chosen, weight := c.self, uint64(0)
 	if !c.stopping {
 		weight = pooler.Weight(team, c.self.Node)
 	}
@@ -33,10 +33,10 @@
 			continue
 		}
 		if w := pooler.Weight(team, node); w > weight && c.isReporting(node, now) {
-			best, weight = m, w
+			chosen, weight = m, w
 		}
 	}
-	return best
+	return chosen
 }
 
 // isReporting reports whether a member's reports arrive, or the member has only just become known.
--- a/internal/conductor/restart.go
+++ b/internal/conductor/restart.go
@@ -20,8 +20,8 @@
 	if c.supersedeRecord(m, now) || m.Incarnation == c.self.Incarnation {
 		return
 	}
-	stayed := m.State == exchanger.Ready || m.State == exchanger.Stopping
-	if !stayed || m.Service != c.self.Service || now.Sub(c.started) > assumedRecordTime {
+	usable := m.State == exchanger.Ready || m.State == exchanger.Stopping
+	if !usable || m.Service != c.self.Service || now.Sub(c.started) > assumedRecordTime {
 		return
 	}
 	if c.registrar.Assume(m.Endpoint, int64(m.Slots)) {
--- a/internal/conductor/retry_budget.go
+++ b/internal/conductor/retry_budget.go
@@ -56,10 +56,10 @@
 	b.maxTokens = max(1, usedSlackRatio*c.options.Bounds.RetrySlack/nodes)
 	b.maxRootTokens = b.maxTokens
 	if c.plan.leafServices[service] {
-		passed := float64(now.Sub(b.refilledAt)) / float64(clock.Second)
-		part := leafLoadRatio * c.options.Bounds.RetryRatio * c.plan.arrivalRates[service] / nodes
-		b.maxRootTokens = max(b.maxTokens, maxSavedSeconds*part)
-		b.rootTokens = min(b.maxRootTokens, b.rootTokens+part*passed)
+		elapsedSeconds := float64(now.Sub(b.refilledAt)) / float64(clock.Second)
+		tokensPerSecond := leafLoadRatio * c.options.Bounds.RetryRatio * c.plan.arrivalRates[service] / nodes
+		b.maxRootTokens = max(b.maxTokens, maxSavedSeconds*tokensPerSecond)
+		b.rootTokens = min(b.maxRootTokens, b.rootTokens+tokensPerSecond*elapsedSeconds)
 	}
 	b.refilledAt = now
 	return b
