--- a/internal/conductor/ending.go
+++ b/internal/conductor/attempt_end.go
@@ -1,9 +1,10 @@
 package conductor
 
-// An attempt ends with an answer, or with what is known of the request: it has certainly not run, or it may have. From that
-// follows whether it is tried again elsewhere, and what its caller may be told.
+// An attempt ends with an answer, or with what is known about the request: it has certainly not run, or it may have
+// run. This determines whether it is attempted again elsewhere, and what its caller may be told.
 //
-// Example: Broken for an order is answered with 502, since it may have run; Full for it is tried elsewhere.
+// Example: Broken for an order is answered with 502, since it may have run; after Full the order is attempted
+// elsewhere.
 
 import (
 	"net/http"
@@ -13,8 +14,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// spread returns a time around d: callers that were refused together should not come back together.
-func (c *Conductor) spread(d clock.Duration) clock.Duration {
+// jitter returns a random time around d, so that callers refused at the same time do not retry at the same time.
+func (c *Conductor) jitter(d clock.Duration) clock.Duration {
 	return d/2 + clock.Duration(c.random.Int64N(int64(d)+1))
 }
 
@@ -27,10 +28,11 @@
 	if !ok {
 		return
 	}
-	c.learnAttempt(r, e, now)
+	c.recordAttempt(r, e, now)
 	c.learnReachability(r, e.Outcome, now)
 	if e.Member != nil {
-		// Else each further request would go there as well, until the record comes by the store or a report.
+		// Without this, further requests would go to the same node until the record arrives from the store or in a
+		// report.
 		c.learnMember(MemberLearned{Member: *e.Member}, now)
 	}
 	if e.Outcome == Answered {
@@ -41,15 +43,15 @@
 		return
 	}
 	if e.Outcome == Broken || e.Outcome == Late {
-		r.doubt = true
+		r.mayHaveRun = true
 	}
 	if e.Outcome == Broken || e.Outcome == Late || e.Outcome == Declined {
-		r.arrivals++
+		r.endpointArrivals++
 	}
-	r.counted = r.counted || e.Outcome != Moved && e.Outcome != Unreached && e.Outcome != Over
+	r.arrivalCounted = r.arrivalCounted || e.Outcome != Moved && e.Outcome != Unreached && e.Outcome != Over
 	r.excluded = append(r.excluded, r.picked)
 	r.turnedAway = r.turnedAway || e.Outcome != Moved && e.Outcome != Unreached
-	if c.mayTryAgain(r, e, now) {
+	if c.mayAttemptAgain(r, e, now) {
 		c.attempt(r, now)
 		return
 	}
@@ -59,8 +61,8 @@
 	c.rejectCall(r, reasonOf(e.Outcome), now)
 }
 
-// learnAttempt tells the router how an attempt went.
-func (c *Conductor) learnAttempt(r *call, e AttemptEnded, now clock.Time) {
+// recordAttempt passes the result of an attempt to the router.
+func (c *Conductor) recordAttempt(r *call, e AttemptEnded, now clock.Time) {
 	result := router.Result{Latency: now.Sub(r.sent), Headroom: e.Headroom, Wait: e.Wait}
 	if e.Outcome != Over && !e.Outcome.NotRun() {
 		r.rateUnchecked = false
@@ -81,17 +83,17 @@
 	c.router.Done(r.picked, result, now)
 }
 
-func (c *Conductor) mayTryAgain(r *call, e AttemptEnded, now clock.Time) bool {
-	if !e.Replayable || r.tries >= maxTries || e.Outcome == Late {
+func (c *Conductor) mayAttemptAgain(r *call, e AttemptEnded, now clock.Time) bool {
+	if !e.Replayable || r.attempts >= maxAttempts || e.Outcome == Late {
 		return false
 	}
-	if r.doubt && r.route.Kind != matcher.Idempotent {
+	if r.mayHaveRun && r.route.Kind != matcher.Idempotent {
 		return false
 	}
-	if r.arrivals == 0 {
+	if r.endpointArrivals == 0 {
 		return true
 	}
-	return r.arrivals < r.route.Attempts && c.mayRepeat(r.service, r.nested, now)
+	return r.endpointArrivals < r.route.Attempts && c.takeRetry(r.service, r.nested, now)
 }
 
 func reasonOf(o Outcome) Reason {
@@ -113,29 +115,29 @@
 	}
 }
 
-// rejectCall answers at once. Only what has certainly not run may say so.
+// rejectCall answers the caller at once. Only a request that has certainly not run may be reported as not run.
 func (c *Conductor) rejectCall(r *call, reason Reason, now clock.Time) {
 	switch {
-	case r.doubt && reason == Deadline:
+	case r.mayHaveRun && reason == Deadline:
 		c.refuse(r.id, http.StatusGatewayTimeout, reason, 0)
-	case r.doubt:
+	case r.mayHaveRun:
 		c.refuse(r.id, http.StatusBadGateway, reason, 0)
 	case reason == OverRate:
-		c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.spread(r.wait))
+		c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(r.tokenWait))
 	case reason == NoEndpoint || reason == EndpointGone || reason == EndpointDown:
 		if c.onlyEvacuated(r.service) {
 			reason = Evacuated
 		}
-		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.spread(r.returnsAfter(now)))
+		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.jitter(r.retryAfterNoEndpoint(now)))
 	default:
-		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.spread(retryNoRoom))
+		c.refuse(r.id, http.StatusServiceUnavailable, reason, c.jitter(retryAfterNoRoom))
 	}
-	if !r.doubt && r.arrivals == 0 && r.team != nil && !r.rateUnchecked {
+	if !r.mayHaveRun && r.endpointArrivals == 0 && r.team != nil && !r.rateUnchecked {
 		c.refundToken(r.team.Name, now)
 	}
-	c.close(r.id)
+	c.closeCall(r.id)
 }
 
-func (c *Conductor) close(id CallID) {
+func (c *Conductor) closeCall(id CallID) {
 	delete(c.calls, id)
 }
--- a/internal/conductor/chain_placement.go
+++ b/internal/conductor/chain_placement.go
@@ -1,10 +1,11 @@
 package conductor
 
-// A run whose failure domain has no endpoint of a service that it calls several times sends each of these calls elsewhere. So
-// the run itself is sent where they find one: one message leaves the domain instead of several, and the run waits for the
-// way between domains once.
+// If a run's failure domain has no endpoint of a service that the run calls several times, each of these calls crosses
+// to another failure domain. The run itself is therefore sent to a failure domain that has such endpoints: one message
+// crosses instead of several, and the latency between failure domains is paid once.
 //
-// Example: "ledger" calls "rack" four times, and no endpoint of rack's service is in this domain: ledger runs elsewhere.
+// Example: "ledger" calls "rack" four times, and no endpoint of rack's service is in this domain: ledger runs
+// elsewhere.
 
 import (
 	"maps"
@@ -14,50 +15,51 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// presence is in which failure domains each service has endpoints that may be used.
-type presence map[identifier.Service]map[identifier.FailureDomain]bool
+// serviceDomains holds the failure domains in which each service has usable endpoints.
+type serviceDomains map[identifier.Service]map[identifier.FailureDomain]bool
 
-// presence is taken from what members say themselves and from who can't be reached. Members that are merely silent count as
-// there: a fleet that took silence for absence would refuse everything whenever reports are late.
-func (c *Conductor) presence() presence {
-	there := presence{}
+// usableDomains is derived from the members' own records and from the detector's unreachable nodes. Members that are
+// only silent count as present: otherwise a fleet would refuse everything whenever reports are late.
+func (c *Conductor) usableDomains() serviceDomains {
+	available := serviceDomains{}
 	for _, m := range c.members {
 		usable := m.State == exchanger.Ready || m.State == exchanger.Stopping
 		if !usable || c.detector.Lost(m.Node) || c.evacuated[m.Domain] {
 			continue
 		}
-		domains, ok := there[m.Service]
+		domains, ok := available[m.Service]
 		if !ok {
 			domains = map[identifier.FailureDomain]bool{}
-			there[m.Service] = domains
+			available[m.Service] = domains
 		}
 		domains[m.Domain] = true
 	}
-	return there
+	return available
 }
 
-// leastAway is how many calls a run must make to services that are missing here for it to be sent elsewhere.
-const leastAway = 1.5
+// minRemoteCalls is by how many more nested calls a remote failure domain must serve than the local one for a run to be
+// sent there.
+const minRemoteCalls = 1.5
 
-// planHomes works out, for the runs that are sent from here and whose calls find no endpoint in this domain, in which
-// domains they do.
-func (c *Conductor) planHomes(there presence) {
-	for from := range c.sent {
-		away := map[identifier.FailureDomain]float64{}
-		for service, times := range c.graph.directCalls(from) {
-			for domain := range there[service] {
-				away[domain] += times
+// planPreferredDomains determines, for requests sent from here whose nested calls find no endpoint in the local failure
+// domain, the failure domains that serve these calls.
+func (c *Conductor) planPreferredDomains(available serviceDomains) {
+	for from := range c.sentOrigins {
+		callsServed := map[identifier.FailureDomain]float64{}
+		for service, times := range c.callGraph.directCalls(from) {
+			for domain := range available[service] {
+				callsServed[domain] += times
 			}
 		}
-		best := away[c.self.Domain] + leastAway
-		var homes []identifier.FailureDomain
-		for _, domain := range slices.Sorted(maps.Keys(away)) {
-			if away[domain] >= best && there[from.service][domain] {
-				homes = append(homes, domain)
+		minServed := callsServed[c.self.Domain] + minRemoteCalls
+		var preferredDomains []identifier.FailureDomain
+		for _, domain := range slices.Sorted(maps.Keys(callsServed)) {
+			if callsServed[domain] >= minServed && available[from.service][domain] {
+				preferredDomains = append(preferredDomains, domain)
 			}
 		}
-		if len(homes) > 0 {
-			c.plan.homes[from] = homes
+		if len(preferredDomains) > 0 {
+			c.plan.preferredDomains[from] = preferredDomains
 		}
 	}
 }
--- a/internal/conductor/chain_placement_test.go
+++ b/internal/conductor/chain_placement_test.go
@@ -13,21 +13,21 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// The last endpoint of a service in a failure domain has been taken away, and each run of the service above calls it four
-// times. Run here, each would send four messages to another domain one after the other and wait for the way four times;
-// run there, one.
-func TestRunGoesWhereItsCallsAreServed(t *testing.T) {
+// A failure domain has lost its last endpoint of a service, and each run of the calling service calls it four times. A
+// run in that failure domain would send four consecutive calls to another failure domain and pay the latency four
+// times; sending the run itself there crosses once.
+func TestRunIsPlacedInDomainServingItsCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		calls    float64
 		clocks   []identifier.FailureDomain
 		headroom uint8
 		want     router.Crossing
 	}{
-		"several calls, none served here":    {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.ForItsCalls},
-		"one call":                           {calls: 1, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.Inside},
-		"served here as well":                {calls: 4, clocks: []identifier.FailureDomain{"east", "west"}, headroom: 200, want: router.Inside},
-		"served where no one can run it":     {calls: 4, clocks: []identifier.FailureDomain{"north"}, headroom: 200, want: router.Inside},
-		"no room where its calls are served": {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 0, want: router.Inside},
+		"several calls, none served here":      {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.ForItsCalls},
+		"one call":                             {calls: 1, clocks: []identifier.FailureDomain{"east"}, headroom: 200, want: router.Inside},
+		"served here as well":                  {calls: 4, clocks: []identifier.FailureDomain{"east", "west"}, headroom: 200, want: router.Inside},
+		"served where the run has no endpoint": {calls: 4, clocks: []identifier.FailureDomain{"north"}, headroom: 200, want: router.Inside},
+		"no room where its calls are served":   {calls: 4, clocks: []identifier.FailureDomain{"east"}, headroom: 0, want: router.Inside},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inner := route("in", "clock", matcher.Idempotent)
@@ -42,15 +42,15 @@
 				deep.Domain = domain
 				members = append(members, deep)
 			}
-			learn(k, members...)
+			learnMembers(k, members...)
 			crossed := map[router.Crossing]int{}
 			for id := CallID(1); id <= 200; id++ {
 				now := clock.Time(id * 3)
-				k.Apply(ReportsHeard{Reports: []exchanger.Report{{
+				k.Apply(ReportsReceived{Reports: []exchanger.Report{{
 					Member: near, Number: int64(id), Load: 10,
 					Calls: map[identifier.Route]map[identifier.Route]float64{"obs": {"in": c.calls}},
 				}}}, now)
-				s := one[Send](t, k.Apply(arrival(id, "/obs/x"), now))
+				s := onlyEffect[Send](t, k.Apply(arrival(id, "/obs/x"), now))
 				headroom := uint8(200)
 				if s.Node == "far" {
 					headroom = c.headroom
--- a/internal/conductor/delivery.go
+++ b/internal/conductor/delivery.go
@@ -1,9 +1,10 @@
 package conductor
 
-// The node beside an endpoint is the only way to it. So what the endpoint can take, whether it is leaving and which
-// start of it is meant are all judged here, and a request that is turned away here has not reached it.
+// All requests to an endpoint pass through the node beside it. This node therefore decides how many requests the
+// endpoint can take, whether it is leaving, and which incarnation of it a request is meant for. A request turned away
+// here has not reached the endpoint.
 //
-// Example: 25 slots in use, then a call with 100 ms to wait: Hold, and Run when a slot comes free in time.
+// Example: 25 slots in use, then a call with 100 ms to wait: Hold, and Run when a slot becomes free in time.
 
 import (
 	"math"
@@ -23,8 +24,8 @@
 	route   identifier.Route
 	rank    identifier.Rank
 	started clock.Time
-	// paid is the team that a token was taken from here, to be given back if the request is turned away.
-	paid identifier.Team
+	// chargedTeam is the team that a token was taken from here; the token is returned if the request is turned away.
+	chargedTeam identifier.Team
 }
 
 // parent is a request that runs at the local endpoint and may make nested calls.
@@ -33,22 +34,23 @@
 	rank  identifier.Rank
 }
 
-// slotPart of the announced slots is used. An endpoint that is nearly full works more slowly, and with all slots in
-// use each of its answers comes later than with one in twenty free.
-const slotPart = 0.94
+// usedSlotRatio is the part of the announced slots that is used. An endpoint slows down as it fills up: with all slots
+// in use, each of its answers comes later than with one in twenty free.
+const usedSlotRatio = 0.94
 
-// lastDeliveries is how long a stopping node takes requests for its endpoint: nodes that know of no other endpoint of the
-// service still send some, and what comes later might not be finished when the node ends.
-const lastDeliveries = 2 * clock.Second
+// stoppingAcceptTime is how long a stopping node accepts requests for its endpoint. Nodes that know of no other
+// endpoint of the service still send some; a request accepted later might not finish before the node ends.
+const stoppingAcceptTime = 2 * clock.Second
 
-// stillServing is how long a stopping node's endpoint is used like any other: what it runs in that time ends well before
-// the node does. Left alone from the first moment on, an endpoint that goes on running is out of use for a second more at
-// each restart, and what it could run leaves its failure domain. The rest of lastDeliveries is for the word to get round.
-const stillServing = 1200 * clock.Millisecond
+// stoppingReadyTime is how long the endpoint of a stopping node is used like any other: requests that start in this
+// time end well before the node does. If the endpoint, which keeps running, were avoided at once, it would be unused
+// for a second longer at each restart, and its requests would leave its failure domain. The remainder of
+// stoppingAcceptTime is for the state change to reach all nodes.
+const stoppingReadyTime = 1200 * clock.Millisecond
 
-func (c *Conductor) deliver(e DeliveryArrived, now clock.Time) {
+func (c *Conductor) deliveryArrived(e DeliveryArrived, now clock.Time) {
 	local := c.registrar.Local()
-	stopped := c.stopping && now.Sub(c.stopAsked) > lastDeliveries
+	stopped := c.stopping && now.Sub(c.stopRequestedAt) > stoppingAcceptTime
 	if c.evacuated[c.self.Domain] {
 		c.emit(TurnAway{ID: e.ID, Outcome: Moved, Reason: Evacuated})
 		return
@@ -61,10 +63,10 @@
 		c.emit(TurnAway{ID: e.ID, Outcome: Over, Reason: OverRate})
 		return
 	}
-	if !e.Again {
+	if !e.ArrivalCounted {
 		c.throttler.Arrived()
 	}
-	c.deliveries[e.ID] = &delivery{nested: e.Nested, request: e.Request, route: c.routeOf(e), rank: e.Rank, paid: e.RateUnchecked}
+	c.deliveries[e.ID] = &delivery{nested: e.Nested, request: e.Request, route: c.routeOf(e), rank: e.Rank, chargedTeam: e.RateUnchecked}
 	offered := limiter.Call{
 		ID:        limiter.CallID(e.ID),
 		Rank:      e.Rank,
@@ -73,30 +75,30 @@
 		WaitUntil: now.Add(e.QueueTimeout),
 	}
 	c.verdicts = c.limiter.Offer(offered, now, c.verdicts[:0])
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
-// routeOf returns the route of a delivery, empty where the configuration here has none.
+// routeOf returns the route of a delivery, empty if the local configuration has none for it.
 func (c *Conductor) routeOf(e DeliveryArrived) identifier.Route {
 	if c.matcher == nil {
-		return unknownRun
+		return unknownRoute
 	}
 	route, ok := c.matcher.Match(e.Host, e.Path)
 	if !ok {
-		return unknownRun
+		return unknownRoute
 	}
 	return identifier.Route(route.Name)
 }
 
-// settle turns the limiter's verdicts into effects.
-func (c *Conductor) settle(now clock.Time) {
+// applyVerdicts converts the limiter's verdicts into effects.
+func (c *Conductor) applyVerdicts(now clock.Time) {
 	for _, v := range c.verdicts {
 		id := CallID(v.ID)
 		switch v.Action {
 		case limiter.Dispatch:
 			if d, ok := c.deliveries[id]; ok {
 				d.running, d.started = true, now
-				c.runs.started(d.route)
+				c.runs.runStarted(d.route)
 				if d.request != "" {
 					c.parents[d.request] = parent{route: d.route, rank: d.rank}
 				}
@@ -105,17 +107,17 @@
 		case limiter.Queue:
 			c.emit(Hold{ID: id})
 		case limiter.Shed:
-			c.forget(id)
+			c.dropDelivery(id)
 			c.emit(TurnAway{ID: id, Outcome: Full, Reason: c.shedReason(now)})
 		case limiter.Expire:
-			c.forget(id)
+			c.dropDelivery(id)
 			c.emit(TurnAway{ID: id, Outcome: Full, Reason: Expired})
 		}
 	}
 	c.verdicts = c.verdicts[:0]
 }
 
-// shedReason tells why the local endpoint has no room.
+// shedReason returns why the local endpoint has no capacity.
 func (c *Conductor) shedReason(now clock.Time) Reason {
 	if c.coldLeft(c.self.Node, now) > 0 {
 		return EndpointCold
@@ -123,10 +125,10 @@
 	return NoRoom
 }
 
-// forget drops a delivery that was turned away, and gives back what was taken for it.
-func (c *Conductor) forget(id CallID) {
-	if d, ok := c.deliveries[id]; ok && d.paid != "" {
-		c.apportioner.Return(d.paid)
+// dropDelivery removes a delivery that was turned away, and returns the token taken for it.
+func (c *Conductor) dropDelivery(id CallID) {
+	if d, ok := c.deliveries[id]; ok && d.chargedTeam != "" {
+		c.apportioner.Return(d.chargedTeam)
 	}
 	delete(c.deliveries, id)
 }
@@ -145,10 +147,10 @@
 		c.throttler.Answered()
 		c.runTimes.of(d.nested).learn(took)
 	} else {
-		c.runTimes.of(d.nested).atLeast(took)
+		c.runTimes.of(d.nested).learnLowerBound(took)
 	}
 	c.verdicts = c.limiter.Done(limiter.CallID(e.ID), limiterOutcome(e.Outcome), now, c.verdicts[:0])
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
 func limiterOutcome(o Outcome) limiter.Outcome {
@@ -169,31 +171,31 @@
 	if !ok || d.running {
 		return
 	}
-	c.forget(e.ID)
+	c.dropDelivery(e.ID)
 	if c.limiter == nil {
 		return
 	}
 	c.verdicts = c.limiter.Cancel(limiter.CallID(e.ID), now, c.verdicts[:0])
 	for _, v := range c.verdicts {
 		if v.ID != limiter.CallID(e.ID) {
-			c.settleOne(v, now)
+			c.applyVerdict(v, now)
 		}
 	}
 	c.verdicts = c.verdicts[:0]
 }
 
-func (c *Conductor) settleOne(v limiter.Verdict, now clock.Time) {
+func (c *Conductor) applyVerdict(v limiter.Verdict, now clock.Time) {
 	c.verdicts = []limiter.Verdict{v}
-	c.settle(now)
+	c.applyVerdicts(now)
 }
 
-func (c *Conductor) announced(e EndpointAnnounced, now clock.Time) {
+func (c *Conductor) endpointAnnounced(e EndpointAnnounced, now clock.Time) {
 	changed, err := c.registrar.Announce(e.Announcement, now)
 	if err != nil {
 		return
 	}
 	if !changed {
-		c.announcedAgain(e.Announcement, now)
+		c.learnHeartbeatCold(e.Announcement, now)
 		return
 	}
 	local := c.registrar.Local()
@@ -210,20 +212,20 @@
 	c.publish(now)
 }
 
-// announcedAgain takes from a heartbeat that changes nothing else whether the endpoint has become cold again.
-func (c *Conductor) announcedAgain(a registrar.Announcement, now clock.Time) {
+// learnHeartbeatCold checks whether a heartbeat, otherwise unchanged, says that the endpoint has become cold again.
+func (c *Conductor) learnHeartbeatCold(a registrar.Announcement, now clock.Time) {
 	local := c.registrar.Local()
 	if local.Usable() && local.Endpoint == a.Endpoint && local.Sequence == a.Sequence && c.learnCold(a.ColdLeft, now) {
 		c.publish(now)
 	}
 }
 
-// queuePerSlot bounds the queue. Calls wait for up to a third of what they have left, some 200 ms; at 15 ms a call, 16
-// calls a slot are run in that time. A shorter queue turns calls away that would have been run in time.
+// queuePerSlot bounds the queue. Calls wait for up to a third of their remaining time, some 200 ms; at 15 ms a call, a
+// slot runs about 16 calls in that time. A shorter queue would turn away calls that could have run in time.
 const queuePerSlot = 16
 
 func usedSlots(slots int64) int {
-	return max(1, int(math.Floor(slotPart*float64(slots))))
+	return max(1, int(math.Floor(usedSlotRatio*float64(slots))))
 }
 
 func (c *Conductor) startLimiter(slots int64, coldLeft clock.Duration, now clock.Time) {
@@ -246,7 +248,7 @@
 	c.runTimes = runTimes{}
 }
 
-// shedQueue turns away what is queued; what runs goes on.
+// shedQueue turns away all queued requests; running requests continue.
 func (c *Conductor) shedQueue(now clock.Time) {
 	if c.limiter == nil {
 		return
@@ -254,21 +256,21 @@
 	c.limiter.Drain()
 	c.verdicts = c.limiter.Tick(now, c.verdicts[:0])
 	for _, v := range c.verdicts {
-		c.forget(CallID(v.ID))
+		c.dropDelivery(CallID(v.ID))
 		c.emit(TurnAway{ID: CallID(v.ID), Outcome: Moved, Reason: EndpointGone})
 	}
 	c.verdicts = c.verdicts[:0]
 }
 
-func (c *Conductor) removed(e EndpointRemoved, now clock.Time) {
+func (c *Conductor) endpointRemoved(e EndpointRemoved, now clock.Time) {
 	if c.registrar.Remove(e.Endpoint, now) {
 		c.shedQueue(now)
 		c.publish(now)
 	}
 }
 
-// unreachable takes the endpoint for gone until it announces itself again.
-func (c *Conductor) unreachable(e EndpointUnreachable, now clock.Time) {
+// endpointUnreachable treats the endpoint as gone until it announces itself again.
+func (c *Conductor) endpointUnreachable(e EndpointUnreachable, now clock.Time) {
 	if !c.registrar.Suspend(e.Endpoint) {
 		return
 	}
@@ -284,7 +286,7 @@
 	return c.limiter.QueueDelay(now)
 }
 
-// Headroom returns the free part of the local endpoint as answers carry it.
+// Headroom returns the free part of the local endpoint's capacity, as carried by answers.
 func (c *Conductor) Headroom(now clock.Time) uint8 {
 	if c.limiter == nil {
 		return 0
--- /dev/null
+++ b/internal/conductor/placement.go
@@ -0,0 +1,130 @@
+package conductor
+
+// An admitted request is sent to an endpoint, or waits for one. The message carries what the endpoint's node needs to
+// know: how long the request may be queued there, when the answer is due, and how important it is.
+//
+// Example: a nested call with 700 ms left may be queued for 233 ms.
+
+import (
+	"slices"
+
+	"github.com/jackdawtide/jackdawtide/internal/clock"
+	"github.com/jackdawtide/jackdawtide/internal/identifier"
+	"github.com/jackdawtide/jackdawtide/internal/matcher"
+	"github.com/jackdawtide/jackdawtide/internal/router"
+)
+
+const (
+	// maxAttempts bounds the nodes that are asked for capacity; only some of them pass the request to an endpoint.
+	maxAttempts = 4
+	// minTimeLeft is the shortest remaining time in which an attempt can succeed: a round trip and some work.
+	minTimeLeft = 10 * clock.Millisecond
+	// A root request may be queued for its route's objective divided by rootQueueDivisor, a nested call for its
+	// remaining time divided by nestedQueueDivisor. A root request that waits longer than an eighth of its objective is
+	// late more often than not; a nested call that is refused wastes the work of its parent.
+	rootQueueDivisor   = 4
+	nestedQueueDivisor = 3
+)
+
+// due is when the answer is expected: the arrival plus the route's objective, or the deadline if the route has none.
+func (r *call) due() clock.Time {
+	if r.route.Objective <= 0 {
+		return r.deadline
+	}
+	return min(r.deadline, r.arrived.Add(r.route.Objective))
+}
+
+// origin returns the route and service at which the request enters.
+func (r *call) origin() origin {
+	return origin{route: identifier.Route(r.route.Name), service: r.service}
+}
+
+// routerNeed returns the placement requirements for the router. Uploads stay in their failure domain while it has
+// capacity, however slow it is, because their bodies make up most of the traffic that would cross failure domains.
+func (c *Conductor) routerNeed(r *call) router.Need {
+	from := r.origin()
+	c.sentOrigins[from] = true
+	n := router.Need{Within: r.route.Objective, Nested: r.nested, Domains: c.plan.preferredDomains[from], Allowed: r.permittedDomains}
+	if r.route.Kind == matcher.Upload {
+		n.Within = 0
+	}
+	return n
+}
+
+// attempt sends a request to the next endpoint, makes it wait for one, or rejects it.
+func (c *Conductor) attempt(r *call, now clock.Time) {
+	if r.deadline.Sub(now) < minTimeLeft {
+		c.rejectCall(r, Deadline, now)
+		return
+	}
+	if r.permittedDomains != nil && len(r.permittedDomains) == 0 {
+		c.rejectCall(r, NoEndpoint, now)
+		return
+	}
+	if c.place(r, now) || c.awaitEndpoint(r, now) {
+		return
+	}
+	reason := NoEndpoint
+	if r.rateUnchecked {
+		reason = OverRate
+	}
+	c.rejectCall(r, reason, now)
+}
+
+// place sends a request to the next endpoint; it reports whether there was one.
+func (c *Conductor) place(r *call, now clock.Time) bool {
+	endpoint, ok := c.router.PickWithin(r.service, now, r.excluded, c.routerNeed(r))
+	if ok && slices.Contains(r.excluded, endpoint.ID) {
+		c.router.Done(endpoint.ID, router.Result{Outcome: router.Cancelled}, now)
+		ok = false
+	}
+	if !ok {
+		return false
+	}
+	if r.attempts == 0 {
+		c.earnRetry(r.service, now)
+	}
+	r.attempts++
+	r.picked = endpoint.ID
+	r.sent = now
+	member := c.members[endpoint.Node]
+	local := endpoint.Node == c.self.Node
+	if !local {
+		r.attemptNode = endpoint.Node
+		c.detector.Sent(r.attemptNode, now)
+	}
+	team := identifier.Team("")
+	if r.team != nil {
+		team = r.team.Name
+	}
+	c.emit(Send{
+		ID:             r.id,
+		Local:          local,
+		Address:        member.Deliver,
+		Node:           endpoint.Node,
+		Endpoint:       endpoint.ID,
+		Service:        r.service,
+		Team:           team,
+		Rank:           r.rank,
+		Nested:         r.nested,
+		Retry:          r.endpointArrivals > 0,
+		ArrivalCounted: r.arrivalCounted,
+		RateUnchecked:  r.rateUnchecked,
+		Idempotent:     r.route.Kind == matcher.Idempotent,
+		Deadline:       r.deadline,
+		QueueTimeout:   c.queueTimeout(r, now),
+		Due:            r.due(),
+		Route:          r.route.Name,
+		Version:        r.version,
+		Crossing:       endpoint.Crossing,
+	})
+	return true
+}
+
+func (c *Conductor) queueTimeout(r *call, now clock.Time) clock.Duration {
+	left := r.deadline.Sub(now)
+	if r.nested || r.route.Objective <= 0 {
+		return left / nestedQueueDivisor
+	}
+	return min(left, r.route.Objective/rootQueueDivisor)
+}
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -1,7 +1,8 @@
 package conductor
 
-// Teams with a small rate for each node share one bucket (see pooler). The node that holds it is asked for each request,
-// which takes a round trip between nodes; where it does not answer, this node's own part of the rate has to do.
+// Teams with a small rate per node share one bucket (see pooler). Each request needs a token from the node that holds
+// the bucket, which takes a round trip between nodes; if the holder does not answer, this node uses its own part of the
+// rate.
 //
 // Example: RequestArrived gives Draw{Node: "b", Team: "parish"}, TokenDrawn with a grant gives Send.
 
@@ -18,12 +19,12 @@
 	return c.pooler.Pools(team, len(c.members))
 }
 
-// holder returns the node with a team's bucket: the first in the team's order of those that report and stay. All nodes must
-// find the same one, or two buckets give out the rate side by side. So it hangs only on what all hear within half a
-// second by the reports: not on what this node finds out about others by itself, and not on an endpoint's leaving, which
-// its own node knows first.
+// holder returns the node that holds a team's bucket: the first in the team's order among the nodes that report and are
+// not stopping. All nodes must choose the same holder, otherwise two buckets would grant the rate at the same time. The
+// choice therefore depends only on what all nodes learn from reports within half a second: not on this node's own
+// failure detection, and not on an endpoint's leaving, which its own node knows first.
 func (c *Conductor) holder(team identifier.Team, now clock.Time) exchanger.Member {
-	best, weight := c.self, uint64(0)
+	chosen, weight := c.self, uint64(0)
 	if !c.stopping {
 		weight = pooler.Weight(team, c.self.Node)
 	}
@@ -31,20 +32,20 @@
 		if node == c.self.Node || m.State == exchanger.Stopping {
 			continue
 		}
-		if w := pooler.Weight(team, node); w > weight && c.hears(node, now) {
-			best, weight = m, w
+		if w := pooler.Weight(team, node); w > weight && c.isReporting(node, now) {
+			chosen, weight = m, w
 		}
 	}
-	return best
+	return chosen
 }
 
-// hears tells whether a member reports, or has only just become known.
-func (c *Conductor) hears(node identifier.Node, now clock.Time) bool {
+// isReporting reports whether a member's reports arrive, or the member has only just become known.
+func (c *Conductor) isReporting(node identifier.Node, now clock.Time) bool {
 	age, heard := c.table.Age(node, now)
 	if !heard {
-		age = now.Sub(c.learned[node])
+		age = now.Sub(c.incarnationLearnedAt[node])
 	}
-	return age <= silentAfter
+	return age <= suspectAfter
 }
 
 // draw takes a token of a pooled team; where it returns false, the request was refused or waits for TokenDrawn.
@@ -81,11 +82,12 @@
 }
 
 func (c *Conductor) overRate(r *call, wait clock.Duration) {
-	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.spread(min(max(wait, retryOverRate), mostOverRate)))
+	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(min(max(wait, minRetryAfterOverRate), maxRetryAfterOverRate)))
 }
 
-// mostOverRate bounds the time after which a caller over its team's rate may come back: it has some seconds in all.
-const mostOverRate = 2 * clock.Second
+// maxRetryAfterOverRate bounds the time after which a caller over its team's rate is told to retry; a caller waits only
+// some seconds in total.
+const maxRetryAfterOverRate = 2 * clock.Second
 
 func (c *Conductor) tokenDrawn(e TokenDrawn, now clock.Time) {
 	r, ok := c.calls[e.ID]
@@ -106,14 +108,15 @@
 		grant = c.pooler.Alone(team, len(c.members), now)
 	}
 	if !c.granted(r, grant) {
-		c.close(r.id)
+		c.closeCall(r.id)
 		return
 	}
 	c.attempt(r, now)
 }
 
-// give answers another node's question, also while this node stops: the others hear of that and turn to another one.
-func (c *Conductor) grantToken(e TokenAsked, now clock.Time) {
+// grantToken answers another node's request for a token. It does so also while this node stops: the other nodes learn
+// of the stop and choose another holder.
+func (c *Conductor) grantToken(e TokenRequested, now clock.Time) {
 	if !c.pools(e.Team) {
 		c.emit(Give{ID: e.ID})
 		return
@@ -122,7 +125,7 @@
 	c.emit(Give{ID: e.ID, Known: true, Grant: c.pooler.Give(e.Team, c.apportioner.Reach(now), now)})
 }
 
-// refundToken gives a token back for a request that has certainly not run.
+// refundToken returns the token of a request that has certainly not run.
 func (c *Conductor) refundToken(team identifier.Team, now clock.Time) {
 	switch {
 	case !c.pools(team):
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -16,15 +16,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/registrar"
 )
 
-// poolFleet is some conductors that exchange reports and ask each other for tokens, without delay.
+// poolFleet is a set of conductors that exchange reports and request tokens from each other without delay.
 type poolFleet struct {
 	t     *testing.T
 	nodes map[identifier.Node]*Conductor
 	names []identifier.Node
 	last  CallID
-	// asked and passed are what tally has counted.
+	// asked and passed are the counts of askAndCount.
 	asked, passed int
-	// cut tells whether a question between two nodes gets no answer.
+	// cut reports whether two nodes can't reach each other.
 	cut func(from, to identifier.Node) bool
 }
 
@@ -42,7 +42,7 @@
 		c := New(Options{
 			Self: self,
 			Bounds: Bounds{
-				Revoke: 5000, InForce: 2000, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10000,
+				RevokeWithin: 5000, ApplyWithin: 2000, RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10000,
 				Rate: apportioner.Tolerance{Window: 5, Part: 0.1, Requests: 20},
 			},
 			EndpointAddress: "e",
@@ -62,7 +62,7 @@
 	return f
 }
 
-// report has all nodes tell those that they can reach.
+// report makes all nodes send a report to the nodes that they can reach.
 func (f *poolFleet) report(now clock.Time) {
 	heard := map[identifier.Node][]exchanger.Report{}
 	for _, from := range f.names {
@@ -74,25 +74,25 @@
 		}
 	}
 	for to, reports := range heard {
-		f.nodes[to].Apply(ReportsHeard{Reports: reports}, now)
+		f.nodes[to].Apply(ReportsReceived{Reports: reports}, now)
 	}
 	for _, c := range f.nodes {
 		c.Apply(Ticked{}, now)
 	}
 }
 
-// ask sends a request of the team to a node, and tells whether it is let through.
+// ask sends a request of the team to a node, and reports whether it is admitted.
 func (f *poolFleet) ask(at identifier.Node, now clock.Time) bool {
 	f.last++
 	c := f.nodes[at]
-	effect := one[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
+	effect := onlyEffect[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
 	if d, ok := effect.(Draw); ok {
 		drawn := TokenDrawn{ID: d.ID, Node: d.Node}
 		if !f.cut(at, d.Node) {
-			g := one[Give](f.t, f.nodes[d.Node].Apply(TokenAsked{ID: 1, Team: d.Team, Back: d.Back}, now))
+			g := onlyEffect[Give](f.t, f.nodes[d.Node].Apply(TokenRequested{ID: 1, Team: d.Team, Back: d.Back}, now))
 			drawn.Answered, drawn.Grant = g.Known, g.Grant
 		}
-		effect = one[Effect](f.t, c.Apply(drawn, now))
+		effect = onlyEffect[Effect](f.t, c.Apply(drawn, now))
 	}
 	_, sent := effect.(Send)
 	if sent {
@@ -102,8 +102,8 @@
 	return sent
 }
 
-// tally asks, and counts what is asked from a time on, when the fleet has learned what comes.
-func (f *poolFleet) tally(at identifier.Node, now, from clock.Time) {
+// askAndCount calls ask, and counts the requests from a time on at which the fleet has learned the demand.
+func (f *poolFleet) askAndCount(at identifier.Node, now, from clock.Time) {
 	allowed := f.ask(at, now)
 	if now < from {
 		return
@@ -114,9 +114,9 @@
 	}
 }
 
-// A small team has its users at a few of very many nodes and keeps its rate. Cut into a part for each node, its rate gives
-// hardly any node a whole request: small congregations are refused a tenth of their requests in the largest
-// deployments, and large ones are not.
+// A small team sends requests to a few of very many nodes and keeps its rate. If its rate were divided among all nodes,
+// hardly any node would get a whole request: in the largest deployments small teams would be refused a tenth of their
+// requests, and large teams none.
 func TestSmallTeamAtFewOfManyNodesIsNotRefused(t *testing.T) {
 	for name, c := range map[string]struct{ nodes, active int }{
 		"8 of 88":  {88, 8},
@@ -134,16 +134,16 @@
 					if random.Float64() >= 16.0/float64(c.active)/1000 {
 						continue
 					}
-					f.tally(f.names[i], now, 10000)
+					f.askAndCount(f.names[i], now, 10000)
 				}
 			}
-			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d let through", f.passed, f.asked)
+			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
 		})
 	}
 }
 
-// A team sends just what it bought, one request in seven seconds to each of 88 nodes, and gets nearly all of it: what a
-// user of a small team notices is whether the next request is refused although the team keeps its rate.
+// A team that sends exactly its rate, one request in seven seconds to each of 88 nodes, gets nearly all of it: users of
+// a small team notice when a request is refused although the team keeps its rate.
 func TestSmallTeamAtItsRateGetsNearlyAll(t *testing.T) {
 	f := newPoolFleet(t, 88, 13)
 	random := rand.New(rand.NewPCG(7, 8))
@@ -154,15 +154,15 @@
 		if random.Float64() >= 13.0/1000 {
 			continue
 		}
-		f.tally(f.names[random.IntN(len(f.names))], now, 5000)
+		f.askAndCount(f.names[random.IntN(len(f.names))], now, 5000)
 	}
-	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d let through", f.passed, f.asked)
+	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
 }
 
-// A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere. Each
-// side has a bucket of its own then, and both together must not give out what one may: the other teams would wait
-// behind it.
-func TestSmallTeamsRateHoldsAcrossACut(t *testing.T) {
+// A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere.
+// Each side of the partition then has its own bucket, and both together must not grant more than one bucket may: the
+// other teams would wait behind this team.
+func TestSmallTeamsRateHoldsAcrossPartition(t *testing.T) {
 	const rate = 26.0
 	for shift := range 8 {
 		f := newPoolFleet(t, 88, rate)
@@ -183,15 +183,15 @@
 				passed = append(passed, now)
 			}
 		}
-		most := mostIn(passed, 5*clock.Second)
+		most := maxInWindow(passed, 5*clock.Second)
 		allowed := (rate*5+rate)*1.1 + 20
-		assert.Assert(t, float64(most) <= allowed, "shift %d: %d requests in 5 s, want at most %.0f", shift, most, allowed)
+		assert.Assert(t, float64(most) <= allowed, "shift %d: %d requests admitted in 5 s, expected at most %.0f", shift, most, allowed)
 	}
 }
 
-// The node with a team's bucket is killed. Until the others have noticed, each lets one request of the team through, and
-// then another node has the bucket.
-func TestBucketMovesWhenItsNodeIsGone(t *testing.T) {
+// The node that holds a team's bucket is killed. Until the other nodes have detected this, each admits one request of
+// the team; then another node holds the bucket.
+func TestBucketMovesWhenHolderFails(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	for now := clock.Time(0); now <= 3500; now += 500 {
 		f.report(now)
@@ -212,50 +212,50 @@
 	assert.Assert(t, f.ask(asker, 7000))
 }
 
-// The bucket elsewhere is empty: the caller is refused with the time after which there is a token, and this node does not
-// ask again for each request that comes before.
+// The holder's bucket is empty: the caller is refused with the time until a token is available, and this node does not
+// ask the holder again for requests that arrive before then.
 func TestEmptyBucketIsNotAskedAgainAtOnce(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
 	if c.holder("parish", 0).Node == "n00" {
 		c = f.nodes["n01"]
 	}
-	d := one[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
-	refused := one[Refuse](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Wait: 100}}, 2))
+	d := onlyEffect[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
+	refused := onlyEffect[Refuse](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Wait: 100}}, 2))
 	assert.Equal(t, refused.Status, 429)
 	assert.Assert(t, refused.RetryAfter > 0)
-	one[Refuse](t, c.Apply(arrival(2, "/obs/x"), 50))
-	one[Draw](t, c.Apply(arrival(3, "/obs/x"), 103))
+	onlyEffect[Refuse](t, c.Apply(arrival(2, "/obs/x"), 50))
+	onlyEffect[Draw](t, c.Apply(arrival(3, "/obs/x"), 103))
 	c.Apply(RequestClosed{ID: 3}, 104)
 	assert.Assert(t, c.Idle())
 }
 
-// A token was drawn and the request was refused in the end, so that it has not run: the token goes back with the next
-// question, or the team would lose what it bought.
-func TestUnusedTokenGoesBack(t *testing.T) {
+// A token was drawn and the request was refused in the end, so it has not run. The token is returned with the next
+// token request, or the team would lose a part of its rate.
+func TestUnusedTokenIsReturned(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
 	if c.holder("parish", 0).Node == "n00" {
 		c = f.nodes["n01"]
 	}
-	d := one[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
-	one[Send](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Allowed: true}}, 2))
-	one[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full}, 3))
-	assert.Equal(t, one[Draw](t, c.Apply(arrival(2, "/obs/x"), 10)).Back, 1)
+	d := onlyEffect[Draw](t, c.Apply(arrival(1, "/obs/x"), 0))
+	onlyEffect[Send](t, c.Apply(TokenDrawn{ID: 1, Node: d.Node, Answered: true, Grant: pooler.Grant{Allowed: true}}, 2))
+	onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 1, Outcome: Full}, 3))
+	assert.Equal(t, onlyEffect[Draw](t, c.Apply(arrival(2, "/obs/x"), 10)).Back, 1)
 }
 
-// The node with a greedy team's bucket stands still for a second and a half, or its endpoint leaves. The nodes find out at
-// different moments, and if some turn to another node at once, two buckets give out the rate side by side: with real
-// processes 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
-func TestRateHoldsWhileTheBucketsNodeIsInTrouble(t *testing.T) {
+// The node that holds the bucket of a team far over its rate is frozen for a second and a half, or its endpoint leaves.
+// The other nodes detect this at different times. If some of them change to another holder at once, two buckets grant
+// the rate at the same time: 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
+func TestRateHoldsWhileBucketHolderFails(t *testing.T) {
 	const rate = 20.0
 	f := newPoolFleet(t, 6, rate)
 	holder := f.nodes["n00"].holder("parish", 0).Node
 	random := rand.New(rand.NewPCG(3, 8))
 	var passed []clock.Time
 	for now := clock.Time(0); now < 16000; now++ {
-		stands := now >= 9000 && now < 10500
-		f.cut = func(from, to identifier.Node) bool { return stands && (from == holder || to == holder) }
+		frozen := now >= 9000 && now < 10500
+		f.cut = func(from, to identifier.Node) bool { return frozen && (from == holder || to == holder) }
 		if now%500 == 0 {
 			f.report(now)
 		}
@@ -272,17 +272,17 @@
 		if random.Float64() >= 6*rate/1000 {
 			continue
 		}
-		// Nobody asks at a node that stands still.
-		if at := f.names[random.IntN(len(f.names))]; (at != holder || !stands) && f.ask(at, now) {
+		// No request is sent to a frozen node.
+		if at := f.names[random.IntN(len(f.names))]; (at != holder || !frozen) && f.ask(at, now) {
 			passed = append(passed, now)
 		}
 	}
-	most := mostIn(passed, 5*clock.Second)
-	t.Logf("%d requests in 5 s", most)
-	assert.Assert(t, float64(most) <= (rate*5+rate)*1.1+20, "%d requests in 5 s", most)
+	most := maxInWindow(passed, 5*clock.Second)
+	t.Logf("%d requests admitted in 5 s", most)
+	assert.Assert(t, float64(most) <= (rate*5+rate)*1.1+20, "%d requests admitted in 5 s, more than the rate with its tolerance", most)
 }
 
-// leave has the endpoint beside a node say that it leaves.
+// leave makes the endpoint beside a node announce that it leaves.
 func (f *poolFleet) leave(node identifier.Node, now clock.Time) {
 	c := f.nodes[node]
 	c.Apply(EndpointAnnounced{Announcement: registrar.Announcement{
@@ -290,8 +290,8 @@
 	}}, now)
 }
 
-// mostIn returns the most moments that lie within one window.
-func mostIn(passed []clock.Time, window clock.Duration) int {
+// maxInWindow returns the largest number of times that lie within one window.
+func maxInWindow(passed []clock.Time, window clock.Duration) int {
 	most, first := 0, 0
 	for last := range passed {
 		for passed[last].Sub(passed[first]) >= window {
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -1,8 +1,8 @@
 package conductor
 
-// Which nodes can be reached is learned from this node's own attempts (see detector). A node that can't be gets no more
-// requests, reports are not exchanged with it, and attempts under way there that may run again are given up: their callers
-// can still be served elsewhere. An order that is under way there is not, since it may have run.
+// This node detects unreachable nodes from its own attempts (see detector). An unreachable node gets no more requests
+// and no exchanges of reports. Idempotent attempts in flight there are aborted, so that their callers can be served
+// elsewhere; an order in flight there is not aborted, since it may have run.
 //
 // Example: Probed{Node: "b"} gives Abort for each lookup that waits for b.
 
@@ -16,21 +16,21 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// learnReachability takes from the end of an attempt whether its node can be reached.
+// learnReachability updates the detector from the end of an attempt.
 func (c *Conductor) learnReachability(r *call, o Outcome, now clock.Time) {
-	if r.at == "" {
+	if r.attemptNode == "" {
 		return
 	}
-	word := o == Answered || o == Moved || o == Full || o == Declined || o == Over
-	c.detector.Ended(r.at, word, now)
+	responded := o == Answered || o == Moved || o == Full || o == Declined || o == Over
+	c.detector.Ended(r.attemptNode, responded, now)
 	if o == Unreached || o == Broken {
-		c.detector.Doubt(r.at, now)
+		c.detector.Doubt(r.attemptNode, now)
 	}
-	r.at = ""
+	r.attemptNode = ""
 }
 
-// probe has the nodes probed that owe a word.
-func (c *Conductor) probe(now clock.Time) {
+// sendProbes probes the nodes from which the detector expects an answer.
+func (c *Conductor) sendProbes(now clock.Time) {
 	for _, node := range c.detector.Tick(now) {
 		c.emit(Probe{Node: node, Address: c.members[node].Deliver})
 	}
@@ -43,18 +43,18 @@
 	for _, node := range c.detector.Probed(e.Node, e.Reached, now) {
 		c.table.Failed(node, now)
 		if m := c.members[node]; m.Endpoint != "" && m.State != exchanger.Absent {
-			c.route(m, now, true)
+			c.putEndpoint(m, now, true)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
 		r := c.calls[id]
-		if r.at != "" && r.route.Kind == matcher.Idempotent && c.detector.Lost(r.at) {
+		if r.attemptNode != "" && r.route.Kind == matcher.Idempotent && c.detector.Lost(r.attemptNode) {
 			c.emit(Abort{ID: id})
 		}
 	}
 }
 
-// Lost tells whether another node counts as out of reach.
+// Lost reports whether another node counts as unreachable.
 func (c *Conductor) Lost(node identifier.Node) bool {
 	return c.detector.Lost(node)
 }
--- a/internal/conductor/region_test.go
+++ b/internal/conductor/region_test.go
@@ -10,8 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// Requests that are bound to regions must reach no endpoint elsewhere: not when the allowed ones are full, silent, ejected or
-// evacuated either.
+// Requests that are bound to regions must reach no endpoint elsewhere, not even when the allowed endpoints are full,
+// silent, ejected or evacuated.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	tests := map[string]struct {
 		route, team []identifier.Region
@@ -32,7 +32,7 @@
 			config := configuration(3, r)
 			config.Teams[0].Regions = test.team
 			configure(t, c, config, 0)
-			learn(c, inDomain(peer("a", "portal"), "west"), inDomain(peer("b", "portal"), "east"), inDomain(peer("c", "portal"), "cape"))
+			learnMembers(c, inDomain(peer("a", "portal"), "west"), inDomain(peer("b", "portal"), "east"), inDomain(peer("c", "portal"), "cape"))
 			used := map[identifier.Endpoint]bool{}
 			id := CallID(0)
 			ask := func() {
@@ -52,9 +52,9 @@
 				ask()
 			}
 			assert.Equal(t, len(used), len(test.want))
-			silent := peer("a", "portal")
-			silent.State, silent.Sequence = exchanger.Leaving, 2
-			learn(c, inDomain(silent, "west"))
+			leaving := peer("a", "portal")
+			leaving.State, leaving.Sequence = exchanger.Leaving, 2
+			learnMembers(c, inDomain(leaving, "west"))
 			evacuate(c, 0, "east")
 			for range 30 {
 				ask()
@@ -64,14 +64,14 @@
 }
 
 // A request that no region may serve is refused at once as not run, and does not wait for an endpoint.
-func TestRequestWithoutARegionIsRefused(t *testing.T) {
+func TestRequestWithoutPermittedRegionIsRefused(t *testing.T) {
 	c := newConductor("desk")
 	c.options.Regions = map[identifier.FailureDomain]identifier.Region{"west": "north"}
 	r := route("obs", "portal", matcher.Idempotent)
 	r.Regions = []identifier.Region{"south"}
 	configure(t, c, configuration(3, r), 0)
-	learn(c, peer("a", "portal"))
-	refused := one[Refuse](t, c.Apply(arrival(1, "/obs/x"), 0))
+	learnMembers(c, peer("a", "portal"))
+	refused := onlyEffect[Refuse](t, c.Apply(arrival(1, "/obs/x"), 0))
 	assert.Equal(t, refused.Status, 503)
 	assert.Equal(t, refused.Reason, NoEndpoint)
 }
