--- a/internal/admitter/decision_test.go
+++ b/internal/admitter/admission_test.go
@@ -15,7 +15,7 @@
 
 // A gate must take the ranks in order whatever it was told, refuse no urgent call for a short peak, and be open
 // again soon after the queue is gone: a gate that stays closed turns a short overload into a long outage.
-func TestGateInAnyLoad(t *testing.T) {
+func TestGateUnderRandomLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := admitter.NewGate(admitter.GateOptions{Law: admitter.CapacityLaw})
 		now, strained := clock.Time(1), clock.Time(1)
@@ -57,8 +57,8 @@
 }
 
 // Two peaks of urgent calls come with a calm time between. The gate counted the first peak's windows into the
-// second, and refused bulletins at once; found by TestGateInAnyLoad, seed 4116188274710627431.
-func TestSecondPeakRefusesNoUrgentCallAtOnce(t *testing.T) {
+// second, and refused bulletins at once; found by TestGateUnderRandomLoad, seed 4116188274710627431.
+func TestSecondPeakDoesNotRefuseUrgentCallsAtOnce(t *testing.T) {
 	g := admitter.NewGate(admitter.GateOptions{})
 	for now := clock.Time(1); now < 3000; now++ {
 		peak := now < 1000 || now > 2800
@@ -81,15 +81,15 @@
 
 // A node that refuses all calls to a service gets no answer from it any more. If it kept what it had learned, the
 // service would seem overloaded for ever; a user notices refusals by an idle service.
-func TestBoardForgets(t *testing.T) {
+func TestLearnedThresholdExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := admitter.NewBoard(admitter.BoardOptions{})
+		b := admitter.NewThresholdCache(admitter.ThresholdCacheOptions{})
 		now, last := clock.Time(0), clock.Time(0)
 		lowest := identifier.MaxRank
 		t.Repeat(map[string]func(*rapid.T){
 			"learn": func(t *rapid.T) {
 				r := identifier.Rank(rapid.Uint16().Draw(t, "threshold"))
-				b.Learn("ice", r, now)
+				b.LearnThreshold("ice", r, now)
 				lowest, last = min(lowest, r), now
 			},
 			"wait": func(t *rapid.T) {
@@ -111,14 +111,14 @@
 // A slow ice service must close only the routes that ask it. If it closed all routes of the slot board, agents who
 // only look up slots would be refused because of a service that they never use.
 func TestChainClosesOnlyRoutesThatNeedTheService(t *testing.T) {
-	c := admitter.NewChain(admitter.BoardOptions{})
+	c := admitter.NewChain(admitter.ThresholdCacheOptions{})
 	needs := map[admitter.Route]int{1: 0, 2: 100, 3: 20}
 	for range 5 {
 		for route, percent := range needs {
 			for i := range 100 {
-				c.Started(route)
+				c.CountCall(route)
 				if i < percent {
-					c.Note(route, "ice", 20_000, 1000)
+					c.LearnThreshold(route, "ice", 20_000, 1000)
 				}
 			}
 		}
@@ -129,8 +129,8 @@
 	assert.Equal(t, c.Effective(50_000, 3, 1000), identifier.Rank(50_000))
 	assert.Equal(t, c.Effective(50_000, 2, 3000), identifier.Rank(50_000), "what was learned has aged")
 
-	b := admitter.NewBoard(admitter.BoardOptions{})
-	b.LearnRoute("slots", 2, 20_000, 1000)
+	b := admitter.NewThresholdCache(admitter.ThresholdCacheOptions{})
+	b.LearnRouteThreshold("slots", 2, 20_000, 1000)
 	assert.Assert(t, !b.AdmitRoute("slots", 2, 30_000, 1000))
 	assert.Assert(t, b.AdmitRoute("slots", 1, 30_000, 1000))
 }
@@ -140,7 +140,7 @@
 	for _, teams := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
 			f := admitter.NewFairness(admitter.FairnessOptions{})
-			board := admitter.NewBoard(admitter.BoardOptions{})
+			board := admitter.NewThresholdCache(admitter.ThresholdCacheOptions{})
 			names, services := make([]identifier.Team, teams), make([]identifier.Service, 300)
 			for i := range names {
 				names[i] = identifier.Team(fmt.Sprint("team", i))
@@ -148,18 +148,18 @@
 			}
 			for i := range services {
 				services[i] = identifier.Service(fmt.Sprint("service", i))
-				board.LearnRoute(services[i], 1, 40_000, 0)
+				board.LearnRouteThreshold(services[i], 1, 40_000, 0)
 			}
 			b.ReportAllocs()
 			shares := admitter.NewShares(admitter.FairnessOptions{})
 			for i := range b.N {
 				now := clock.Time(i / 10)
 				team, service := names[i%teams], services[i%len(services)]
-				f.Note(team, now)
+				f.CountCall(team, now)
 				rank := identifier.MakeRank(identifier.Normal, f.Overuse(team, now), uint64(i))
 				board.AdmitRoute(service, 1, rank, now)
-				board.LearnRoute(service, 1, 40_000, now)
-				f.LearnShare(team, shares.Note(team, "entry", now), now)
+				board.LearnRouteThreshold(service, 1, 40_000, now)
+				f.LearnShare(team, shares.CountCall(team, "entry", now), now)
 			}
 		})
 	}
--- a/internal/admitter/chain.go
+++ b/internal/admitter/chain.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	// neededPart is the part of a route's calls that must make the nested call for it to count as needed.
-	neededPart = 0.5
-	// chainSample is how many calls of a route are weighed before their counts are halved.
-	chainSample = 256
+	// minDependencyShare is the part of a route's calls that must make the nested call for it to count as needed.
+	minDependencyShare = 0.5
+	// maxRouteCalls is how many calls of a route are weighed before their counts are halved.
+	maxRouteCalls = 256
 )
 
 // Chain aggregates, for one local service, the thresholds of the services that its routes call.
 type Chain struct {
-	options BoardOptions
+	options ThresholdCacheOptions
 	routes  map[Route]*chainRoute
 }
 
 type chainRoute struct {
-	calls  float64
-	nested []chainNeed
+	calls        float64
+	dependencies []dependency
 }
 
-type chainNeed struct {
+type dependency struct {
 	service identifier.Service
 	count   float64
-	learned learned
+	learned learnedThreshold
 }
 
 // NewChain returns a chain without nested calls.
-func NewChain(o BoardOptions) *Chain {
+func NewChain(o ThresholdCacheOptions) *Chain {
 	return &Chain{options: o.withDefaults(), routes: make(map[Route]*chainRoute)}
 }
 
-// Started counts a call of the route that was handed to the backend server.
-func (c *Chain) Started(route Route) {
+// CountCall counts a call of the route that was handed to the backend server.
+func (c *Chain) CountCall(route Route) {
 	r := c.route(route)
 	r.calls++
-	if r.calls < chainSample {
+	if r.calls < maxRouteCalls {
 		return
 	}
 	r.calls /= 2
-	for i := range r.nested {
-		r.nested[i].count /= 2
+	for i := range r.dependencies {
+		r.dependencies[i].count /= 2
 	}
 }
 
-// Note takes over the threshold of a service, when a call of the route needed it; refused calls count too.
-func (c *Chain) Note(route Route, service identifier.Service, t identifier.Threshold, now clock.Time) {
-	n := c.route(route).need(service)
+// LearnThreshold takes over the threshold of a service, when a call of the route needed it; refused calls count too.
+func (c *Chain) LearnThreshold(route Route, service identifier.Service, t identifier.Threshold, now clock.Time) {
+	n := c.route(route).dependencyOn(service)
 	n.count++
-	n.learned = n.learned.mix(t, now, c.options)
+	n.learned = n.learned.updatedWith(t, now, c.options)
 }
 
 // Effective returns the highest rank that has a chance on the route, given the service's own threshold.
@@ -67,9 +67,9 @@
 		return own
 	}
 	lowest := own
-	for i := range r.nested {
-		n := &r.nested[i]
-		if n.count >= neededPart*r.calls {
+	for i := range r.dependencies {
+		n := &r.dependencies[i]
+		if n.count >= minDependencyShare*r.calls {
 			lowest = min(lowest, n.learned.at(now, c.options))
 		}
 	}
@@ -85,12 +85,12 @@
 	return r
 }
 
-func (r *chainRoute) need(service identifier.Service) *chainNeed {
-	for i := range r.nested {
-		if r.nested[i].service == service {
-			return &r.nested[i]
+func (r *chainRoute) dependencyOn(service identifier.Service) *dependency {
+	for i := range r.dependencies {
+		if r.dependencies[i].service == service {
+			return &r.dependencies[i]
 		}
 	}
-	r.nested = append(r.nested, chainNeed{service: service})
-	return &r.nested[len(r.nested)-1]
+	r.dependencies = append(r.dependencies, dependency{service: service})
+	return &r.dependencies[len(r.dependencies)-1]
 }
--- a/internal/admitter/demand.go
+++ b/internal/admitter/demand.go
@@ -16,12 +16,12 @@
 	bucketBits = 9
 	buckets    = 1 << (16 - bucketBits)
 	bucketSize = 1 << bucketBits
-	// lastUrgent is the highest rank of the urgent class.
-	lastUrgent = identifier.Rank(1<<14 - 1)
-	// demandWeight is the weight of the newest window.
-	demandWeight = 0.4
-	// memory is what remains after one window of a demand that can no longer be seen.
-	memory = 0.995
+	// maxUrgentRank is the highest rank of the urgent class.
+	maxUrgentRank = identifier.Rank(1<<14 - 1)
+	// newestWindowWeight is the weight of the newest window.
+	newestWindowWeight = 0.4
+	// unseenDecay is what remains after one window of a demand that can no longer be seen.
+	unseenDecay = 0.995
 )
 
 // demand holds how many calls a window come in each bucket of ranks: one priority class and overuse level.
@@ -34,18 +34,18 @@
 	d.counts[r>>bucketBits]++
 }
 
-// fold ends a window in which the threshold was t.
-func (d *demand) fold(t identifier.Threshold, windows float64) {
+// updateRates ends a window in which the threshold was t.
+func (d *demand) updateRates(t identifier.Threshold, windows float64) {
 	limit := int(t >> bucketBits)
-	weight := 1 - math.Pow(1-demandWeight, windows)
-	kept := math.Pow(memory, windows)
+	weight := 1 - math.Pow(1-newestWindowWeight, windows)
+	decay := math.Pow(unseenDecay, windows)
 	for i := range d.rates {
-		seen := d.counts[i] / windows
-		mixed := d.rates[i] + weight*(seen-d.rates[i])
+		measured := d.counts[i] / windows
+		smoothed := d.rates[i] + weight*(measured-d.rates[i])
 		if i >= limit && t != identifier.MaxRank {
-			mixed = max(mixed, d.rates[i]*kept)
+			smoothed = max(smoothed, d.rates[i]*decay)
 		}
-		d.rates[i] = mixed
+		d.rates[i] = smoothed
 		d.counts[i] = 0
 	}
 }
@@ -60,12 +60,12 @@
 
 // quantile returns the rank up to which rate calls a window come.
 func (d *demand) quantile(rate float64) identifier.Threshold {
-	for i, here := range d.rates {
-		if here > rate {
-			part := rate / here * bucketSize
+	for i, bucketRate := range d.rates {
+		if bucketRate > rate {
+			part := rate / bucketRate * bucketSize
 			return identifier.Threshold(i<<bucketBits) + identifier.Threshold(part)
 		}
-		rate -= here
+		rate -= bucketRate
 	}
 	return identifier.MaxRank
 }
--- a/internal/admitter/fairness.go
+++ b/internal/admitter/fairness.go
@@ -21,14 +21,14 @@
 
 // FairnessOptions set a fairness up; zero fields take the defaults.
 type FairnessOptions struct {
-	// Memory is the time after which a call counts for a third; default 2 s.
-	Memory clock.Duration
+	// TimeConstant is the time after which a call counts for a third; default 2 s.
+	TimeConstant clock.Duration
 }
 
 const (
-	defaultMemory = 2 * clock.Second
-	// golden is the fractional part of the golden ratio: its multiples spread evenly over 0 to 1.
-	golden = 0.6180339887498949
+	defaultTimeConstant = 2 * clock.Second
+	// goldenFraction is the fractional part of the golden ratio: its multiples spread evenly over 0 to 1.
+	goldenFraction = 0.6180339887498949
 )
 
 // Fairness measures each team's use at this node; it is not safe for concurrent use.
@@ -41,17 +41,17 @@
 
 type teamUse struct {
 	weight float64
-	recent decaying
-	// draw is the place of the last call between nothing and the team's use.
-	draw float64
+	recent decayingCount
+	// levelPosition is the place of the last call between nothing and the team's use.
+	levelPosition float64
 	// share is the part of the team's calls that come in here, as last learned; zero while unknown.
-	share   float64
-	learned clock.Time
+	share          float64
+	shareLearnedAt clock.Time
 }
 
 func (o FairnessOptions) withDefaults() FairnessOptions {
-	if o.Memory <= 0 {
-		o.Memory = defaultMemory
+	if o.TimeConstant <= 0 {
+		o.TimeConstant = defaultTimeConstant
 	}
 	return o
 }
@@ -69,9 +69,9 @@
 	f.weights += t.weight
 }
 
-// Note counts a call of the team.
-func (f *Fairness) Note(team identifier.Team, now clock.Time) {
-	f.team(team).recent.add(now, f.options.Memory)
+// CountCall counts a call of the team.
+func (f *Fairness) CountCall(team identifier.Team, now clock.Time) {
+	f.team(team).recent.add(now, f.options.TimeConstant)
 }
 
 // shareWeight is the weight of one answer in the learned share.
@@ -80,32 +80,32 @@
 // LearnShare takes over, from an answer, which part of the team's calls come in here (see Shares).
 func (f *Fairness) LearnShare(team identifier.Team, share uint8, now clock.Time) {
 	t := f.team(team)
-	told := float64(max(share, 1)) / math.MaxUint8
-	if t.share == 0 || now.Sub(t.learned) > f.options.Memory {
-		t.share = told
+	reported := float64(max(share, 1)) / math.MaxUint8
+	if t.share == 0 || now.Sub(t.shareLearnedAt) > f.options.TimeConstant {
+		t.share = reported
 	}
-	t.share += shareWeight * (told - t.share)
-	t.learned = now
+	t.share += shareWeight * (reported - t.share)
+	t.shareLearnedAt = now
 }
 
 // Overuse returns the overuse level of the team's next call.
 func (f *Fairness) Overuse(team identifier.Team, now clock.Time) uint8 {
 	t := f.team(team)
-	t.draw += golden
-	if t.draw >= 1 {
-		t.draw--
+	t.levelPosition += goldenFraction
+	if t.levelPosition >= 1 {
+		t.levelPosition--
 	}
 	mean := f.weights / float64(len(f.teams))
-	return level(t.draw * f.use(t, now) * mean / t.weight)
+	return level(t.levelPosition * f.use(t, now) * mean / t.weight)
 }
 
 // use is the team's calls a second at all entries, by those that come in here and their part of all.
 func (f *Fairness) use(t *teamUse, now clock.Time) float64 {
-	here := t.recent.at(now, f.options.Memory) * float64(clock.Second) / float64(f.options.Memory)
-	if t.share == 0 || now.Sub(t.learned) > f.options.Memory {
-		return here
+	entryUse := t.recent.at(now, f.options.TimeConstant) * float64(clock.Second) / float64(f.options.TimeConstant)
+	if t.share == 0 || now.Sub(t.shareLearnedAt) > f.options.TimeConstant {
+		return entryUse
 	}
-	return here / t.share
+	return entryUse / t.share
 }
 
 func (f *Fairness) team(name identifier.Team) *teamUse {
@@ -121,14 +121,14 @@
 const (
 	// levelsPerDouble is how many levels each doubling of use takes.
 	levelsPerDouble = 2
-	// lowestUse in calls a second is where level 1 begins; the highest level begins 15 doublings above it.
-	lowestUse = 0.125
+	// levelOneUse in calls a second is where level 1 begins; the highest level begins 15 doublings above it.
+	levelOneUse = 0.125
 )
 
 func level(use float64) uint8 {
-	if use <= lowestUse {
+	if use <= levelOneUse {
 		return 0
 	}
-	steps := 1 + levelsPerDouble*math.Log2(use/lowestUse)
+	steps := 1 + levelsPerDouble*math.Log2(use/levelOneUse)
 	return uint8(min(steps, identifier.MaxOveruse))
 }
--- a/internal/admitter/fairness_test.go
+++ b/internal/admitter/fairness_test.go
@@ -13,10 +13,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// crowd has eight teams of equal weight with 400 calls a second each, but team 0 sends ten times that, all at node
+// oneHeavyTeam has eight teams of equal weight with 400 calls a second each, but team 0 sends ten times that, all at node
 // 0; the others send to the nodes from first on, and most to that one. There is room for 2000, so the fair share
 // is 250.
-func crowd(nodes, first int, told bool) scenario {
+func oneHeavyTeam(nodes, firstNode int, sharesReported bool) scenario {
 	entries := make([]*admitter.Fairness, nodes)
 	for i := range entries {
 		entries[i] = admitter.NewFairness(admitter.FairnessOptions{})
@@ -28,15 +28,15 @@
 	s.rank = func(r *rand.Rand, now clock.Time) (identifier.Rank, origin) {
 		from := origin{team: max(0, r.IntN(17)-9)}
 		if from.team > 0 {
-			from.node = first + r.IntN(1+r.IntN(nodes-first))
+			from.node = firstNode + r.IntN(1+r.IntN(nodes-firstNode))
 		}
 		f := entries[from.node]
-		f.Note(name(from.team), now)
+		f.CountCall(name(from.team), now)
 		return identifier.MakeRank(identifier.Normal, f.Overuse(name(from.team), now), r.Uint64()), from
 	}
 	s.admitted = func(from origin, now clock.Time) {
-		share := shares.Note(name(from.team), identifier.Node(fmt.Sprint(from.node)), now)
-		if told {
+		share := shares.CountCall(name(from.team), identifier.Node(fmt.Sprint(from.node)), now)
+		if sharesReported {
 			entries[from.node].LearnShare(name(from.team), share, now)
 		}
 	}
@@ -47,50 +47,50 @@
 // part; if all its calls count as overuse, it gets nothing at all. Either team notices most of its calls refused.
 func TestEveryTeamGetsItsFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		scenario                  scenario
-		heavy, light, heavyAtMost float64
+		scenario               scenario
+		heavy, light, maxHeavy float64
 	}{
-		"all at one node":               {scenario: crowd(1, 0, true), heavy: 0.9, light: 0.9},
-		"the heavy one at its own node": {scenario: crowd(2, 1, true), heavy: 0.9, light: 0.9},
-		"the others spread":             {scenario: crowd(4, 0, true), heavy: 0.9, light: 0.9},
-		"the others spread widely":      {scenario: crowd(12, 0, true), heavy: 0.9, light: 0.9},
+		"all at one node":               {scenario: oneHeavyTeam(1, 0, true), heavy: 0.9, light: 0.9},
+		"the heavy one at its own node": {scenario: oneHeavyTeam(2, 1, true), heavy: 0.9, light: 0.9},
+		"the others spread":             {scenario: oneHeavyTeam(4, 0, true), heavy: 0.9, light: 0.9},
+		"the others spread widely":      {scenario: oneHeavyTeam(12, 0, true), heavy: 0.9, light: 0.9},
 		// Without shares, each of the others looks a part as heavy as it is, and the heavy one loses by that.
-		"the others spread, for contrast": {scenario: crowd(4, 0, false), light: 0.9, heavyAtMost: 0.6},
+		"the others spread, for contrast": {scenario: oneHeavyTeam(4, 0, false), light: 0.9, maxHeavy: 0.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := run(c.scenario, 1)
 			share := 250 * 25.0
-			worst := r.served[1]
+			worst := r.servedByTeam[1]
 			for team := 1; team < 8; team++ {
-				worst = min(worst, r.served[team])
+				worst = min(worst, r.servedByTeam[team])
 			}
-			t.Logf("heavy team %.3f of its fair share, worst of the others %.3f", r.served[0]/share, worst/share)
-			assert.Assert(t, r.served[0] >= c.heavy*share)
+			t.Logf("heavy team %.3f of its fair share, worst of the others %.3f", r.servedByTeam[0]/share, worst/share)
+			assert.Assert(t, r.servedByTeam[0] >= c.heavy*share)
 			assert.Assert(t, worst >= c.light*share)
-			assert.Assert(t, c.heavyAtMost == 0 || r.served[0] <= c.heavyAtMost*share)
+			assert.Assert(t, c.maxHeavy == 0 || r.servedByTeam[0] <= c.maxHeavy*share)
 		})
 	}
 }
 
 // Entries are replaced all the time. If a delivery node kept the counts of those that are gone, it would grow until
 // it is killed, and its calls with it.
-func TestSharesForgetEntriesThatAreGone(t *testing.T) {
+func TestSharesEvictIdleEntries(t *testing.T) {
 	s := admitter.NewShares(admitter.FairnessOptions{})
 	for i := range 20_000 {
 		now := clock.Time(10 * i)
-		s.Note("a", identifier.Node(fmt.Sprint(i/100)), now)
-		s.Note("b", "steady", now)
+		s.CountCall("a", identifier.Node(fmt.Sprint(i/100)), now)
+		s.CountCall("b", "steady", now)
 	}
-	assert.Assert(t, s.Known() < 20, "%d pairs known", s.Known())
-	assert.Equal(t, s.Note("b", "steady", 200_000), uint8(255))
+	assert.Assert(t, s.Len() < 20, "%d pairs known", s.Len())
+	assert.Equal(t, s.CountCall("b", "steady", 200_000), uint8(255))
 }
 
 // Whatever the rates and weights, and wherever the threshold settles: no team may get less per weight than another
 // one gets, unless it gets all that it sent.
-func TestThresholdCutsTeamsAlike(t *testing.T) {
+func TestThresholdLimitsTeamsByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := admitter.NewFairness(admitter.FairnessOptions{Memory: 500})
+		f := admitter.NewFairness(admitter.FairnessOptions{TimeConstant: 500})
 		teams := rapid.IntRange(2, 12).Draw(t, "teams")
 		rates, weights := make([]int, teams), make([]float64, teams)
 		for i := range teams {
@@ -104,7 +104,7 @@
 			for i, rate := range rates {
 				name := identifier.Team(fmt.Sprint(i))
 				for range rate {
-					f.Note(name, now)
+					f.CountCall(name, now)
 					rank := identifier.MakeRank(identifier.Normal, f.Overuse(name, now), hash.Uint64())
 					if now >= 2500 {
 						ranks[i] = append(ranks[i], rank)
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -32,17 +32,17 @@
 
 // Gate moves one service's threshold at one delivery node; it is not safe for concurrent use.
 type Gate struct {
-	options     GateOptions
-	target      clock.Duration
-	demand      demand
-	threshold   identifier.Threshold
-	windowStart clock.Time
-	pace        pace
-	open        bool
-	// strained counts the windows in a row in which urgent calls alone were too many.
-	strained int
-
-	admitted, served, delays, observations float64
+	options        GateOptions
+	target         clock.Duration
+	demand         demand
+	threshold      identifier.Threshold
+	windowStart    clock.Time
+	rateController rateController
+	open           bool
+	// urgentOverloadWindows counts the windows in a row in which urgent calls alone were too many.
+	urgentOverloadWindows int
+
+	admitted, served, delaySum, observations float64
 }
 
 // NewGate returns a gate that is open.
@@ -53,34 +53,34 @@
 	if o.Window <= 0 {
 		o.Window = defaultWindow
 	}
-	return &Gate{options: o, target: o.Target, threshold: identifier.MaxRank, open: true, pace: newPace(o.Law)}
+	return &Gate{options: o, target: o.Target, threshold: identifier.MaxRank, open: true, rateController: newRateController(o.Law)}
 }
 
 // Observe takes a measured queueing delay; call it with every change of the queue and with ticks.
 func (g *Gate) Observe(queueDelay clock.Duration, now clock.Time) {
-	g.roll(now)
-	g.delays += float64(queueDelay)
+	g.endWindowIfDue(now)
+	g.delaySum += float64(queueDelay)
 	g.observations++
 }
 
-// longestTarget bounds the queue of a service whose callers have time.
-const longestTarget = clock.Second
+// maxTarget bounds the queue of a service whose callers have time.
+const maxTarget = clock.Second
 
 // SetTarget takes over the queueing delay that chance alone causes (the limiter's ExpectedDelay). Below it the
 // gate would refuse calls of a service that has room; how one would notice: refusals at 80% load.
 func (g *Gate) SetTarget(d clock.Duration) {
-	g.target = min(max(d, g.options.Target), longestTarget)
+	g.target = min(max(d, g.options.Target), maxTarget)
 }
 
 // Served counts a call handed to the backend server; the gate learns from it what the service can take.
 func (g *Gate) Served(now clock.Time) {
-	g.roll(now)
+	g.endWindowIfDue(now)
 	g.served++
 }
 
 // Admit tells whether a call of the given rank may enter the queue, and counts it.
 func (g *Gate) Admit(r identifier.Rank, now clock.Time) bool {
-	g.roll(now)
+	g.endWindowIfDue(now)
 	g.demand.count(r)
 	if r > g.threshold {
 		return false
@@ -95,72 +95,72 @@
 }
 
 const (
-	// enoughServed calls make a window; with fewer, chance would move the threshold up and down.
-	enoughServed = 10
-	// extraWindows is by how many windows one is lengthened to get them.
-	extraWindows = 3
+	// minServed calls make a window; with fewer, chance would move the threshold up and down.
+	minServed = 10
+	// maxExtraWindows is by how many windows one is lengthened to get them.
+	maxExtraWindows = 3
 )
 
-// roll ends the window when it is time; a long silence counts as many windows at once.
-func (g *Gate) roll(now clock.Time) {
+// endWindowIfDue ends the window when it is time; a long silence counts as many windows at once.
+func (g *Gate) endWindowIfDue(now clock.Time) {
 	passed := now.Sub(g.windowStart)
 	if passed < g.options.Window {
 		return
 	}
-	if g.served < enoughServed && passed < (1+extraWindows)*g.options.Window {
+	if g.served < minServed && passed < (1+maxExtraWindows)*g.options.Window {
 		return
 	}
 	g.endWindow(float64(passed) / float64(g.options.Window))
 	g.windowStart = now
 }
 
-// slack is how far demand must be below the rate for the gate to open.
-const slack = 0.97
+// openingMargin is how far demand must be below the rate for the gate to open.
+const openingMargin = 0.97
 
 func (g *Gate) endWindow(windows float64) {
-	g.demand.fold(g.threshold, windows)
+	g.demand.updateRates(g.threshold, windows)
 	delay := 0.0
 	if g.observations > 0 {
-		delay = g.delays / g.observations
+		delay = g.delaySum / g.observations
 	}
-	g.pace.learn(window{
+	g.rateController.learn(window{
 		admitted: g.admitted / windows,
 		served:   g.served / windows,
 		delay:    delay / float64(g.target),
 		open:     g.open,
 	})
-	g.move(delay)
-	g.admitted, g.served, g.delays, g.observations = 0, 0, 0, 0
+	g.updateThreshold(delay)
+	g.admitted, g.served, g.delaySum, g.observations = 0, 0, 0, 0
 }
 
-func (g *Gate) move(delay float64) {
+func (g *Gate) updateThreshold(delay float64) {
 	target := float64(g.target)
 	if g.open && delay <= target {
 		return
 	}
-	rate := g.pace.rate(delay / target)
-	g.open = delay <= target && g.demand.total() < rate*slack
+	rate := g.rateController.rate(delay / target)
+	g.open = delay <= target && g.demand.total() < rate*openingMargin
 	if g.open {
 		g.threshold = identifier.MaxRank
-		g.strained = 0
+		g.urgentOverloadWindows = 0
 		return
 	}
-	g.threshold = g.keepUrgent(g.demand.quantile(rate))
+	g.threshold = g.protectUrgent(g.demand.quantile(rate))
 }
 
-// strainedEnough is how many windows urgent calls alone must be too many before some of them are refused.
-const strainedEnough = 10
+// maxUrgentOverloadWindows is how many windows urgent calls alone must be too many before some of them are refused.
+const maxUrgentOverloadWindows = 10
 
-// keepUrgent keeps a short peak from refusing urgent calls. A threshold among the urgent ranks while other
+// protectUrgent keeps a short peak from refusing urgent calls. A threshold among the urgent ranks while other
 // calls were still queued would refuse urgent calls for the sake of a queue that they do not wait in.
-func (g *Gate) keepUrgent(t identifier.Threshold) identifier.Threshold {
-	if t > lastUrgent {
-		g.strained = 0
+func (g *Gate) protectUrgent(t identifier.Threshold) identifier.Threshold {
+	if t > maxUrgentRank {
+		g.urgentOverloadWindows = 0
 		return t
 	}
-	g.strained++
-	if g.strained <= strainedEnough {
-		return lastUrgent
+	g.urgentOverloadWindows++
+	if g.urgentOverloadWindows <= maxUrgentOverloadWindows {
+		return maxUrgentRank
 	}
 	return t
 }
--- a/internal/admitter/overload_test.go
+++ b/internal/admitter/overload_test.go
@@ -25,8 +25,8 @@
 // surge has a service of 2000 calls a second that gets 1800, and 6000 from second 5 to 10.
 func surge() scenario {
 	return scenario{
-		seconds: 16, frontSlots: 100, frontWork: 50, patience: 500,
-		load: during(5, 10, 6000, 1800), slow: during(0, 0, 1, 1),
+		seconds: 16, frontSlots: 100, frontWork: 50, callerTimeout: 500,
+		load: during(5, 10, 6000, 1800), deepSlowdown: during(0, 0, 1, 1),
 	}
 }
 
@@ -43,7 +43,7 @@
 	s := surge()
 	s.seconds, s.retries, s.nestingPart = 31, 3, 0.4
 	s.frontSlots, s.deepSlots, s.deepWork = 200, 40, 40
-	s.load, s.slow = during(0, 0, 0, 2000), during(5, 25, 5, 1)
+	s.load, s.deepSlowdown = during(0, 0, 0, 2000), during(5, 25, 5, 1)
 	return s
 }
 
@@ -51,7 +51,7 @@
 // entries: where chance weighs most. It answers 480 calls a second, gets 336, and 1008 from second 5 to 10.
 func tiny() scenario {
 	s := surge()
-	s.entries, s.fronts, s.deeps, s.nestingPart, s.patience = 3, 2, 2, 1, 1000
+	s.entries, s.fronts, s.deeps, s.nestingPart, s.callerTimeout = 3, 2, 2, 1, 1000
 	s.frontSlots, s.frontWork, s.deepSlots, s.deepWork = 120, 5, 12, 25
 	s.load = during(5, 10, 1008, 336)
 	return s
@@ -62,14 +62,14 @@
 	return s
 }
 
-type figures struct {
-	goodput, recovery, urgent, median, late, wasted, attempts float64
+type metrics struct {
+	goodput, recovery, urgent, median, p99, wasted, attempts float64
 }
 
 // measure averages over seeds: goodput over ideal from a second after the trigger to its end, and recovery to
 // 95% of the goodput before it.
-func measure(s scenario, end, ideal float64, seeds int) figures {
-	sum := figures{}
+func measure(s scenario, end, ideal float64, seeds int) metrics {
+	sum := metrics{}
 	n := float64(seeds)
 	for seed := range seeds {
 		r := run(s, uint64(seed))
@@ -78,7 +78,7 @@
 		sum.recovery += recovery(r.good, end, between(r.good, 2, 5)) / n
 		sum.urgent += r.urgentGood / r.urgentSent / n
 		sum.median += r.delays[len(r.delays)/2] / n
-		sum.late += r.delays[len(r.delays)*99/100] / n
+		sum.p99 += r.delays[len(r.delays)*99/100] / n
 		sum.attempts += r.attempts / total(r.sent) / n
 		sum.wasted += r.wasted / float64(s.seconds) / n
 	}
@@ -91,81 +91,81 @@
 func TestGoodputAndRecovery(t *testing.T) {
 	hard := func(s *scenario) { s.retries = 3 }
 	for name, c := range map[string]struct {
-		scenario             scenario
-		end, ideal, goodput  float64
-		mostGoodput, urgents float64
-		mostWasted           float64
+		scenario              scenario
+		end, ideal, goodput   float64
+		maxGoodput, minUrgent float64
+		maxWasted             float64
 	}{
-		"surge":               {scenario: surge(), end: 10, ideal: 2000, goodput: 0.95, urgents: 0.999},
-		"surge, hard retries": {scenario: with(surge(), hard), end: 10, ideal: 2000, goodput: 0.95, urgents: 0.999},
-		"surge at few slots":  {scenario: small(), end: 10, ideal: 200, goodput: 0.95, urgents: 0.999},
-		"deep service slow":   {scenario: deepSlow(), end: 25, ideal: 1400, goodput: 0.95, urgents: 0.999},
+		"surge":               {scenario: surge(), end: 10, ideal: 2000, goodput: 0.95, minUrgent: 0.999},
+		"surge, hard retries": {scenario: with(surge(), hard), end: 10, ideal: 2000, goodput: 0.95, minUrgent: 0.999},
+		"surge at few slots":  {scenario: small(), end: 10, ideal: 200, goodput: 0.95, minUrgent: 0.999},
+		"deep service slow":   {scenario: deepSlow(), end: 25, ideal: 1400, goodput: 0.95, minUrgent: 0.999},
 		"slow while load doubles": {
 			scenario: with(deepSlow(), func(s *scenario) { s.load = during(5, 25, 4000, 2000) }),
-			end:      25, ideal: 2600, goodput: 0.90, urgents: 0.999,
+			end:      25, ideal: 2600, goodput: 0.90, minUrgent: 0.999,
 		},
 		"surge at five endpoints": {
 			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts = 4, 5 }),
-			end:      10, ideal: 2000, goodput: 0.95, urgents: 0.999,
+			end:      10, ideal: 2000, goodput: 0.95, minUrgent: 0.999,
 		},
 		"surge, one of five slow": {
-			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts, s.weak = 4, 5, 4 }),
-			end:      10, ideal: 1700, goodput: 0.95, urgents: 0.999,
+			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts, s.firstFrontSlowdown = 4, 5, 4 }),
+			end:      10, ideal: 1700, goodput: 0.95, minUrgent: 0.999,
 		},
 		"deep service slow, four fronts": {
 			scenario: with(deepSlow(), func(s *scenario) { s.entries, s.fronts = 4, 4 }),
-			end:      25, ideal: 1400, goodput: 0.95, urgents: 0.999,
+			end:      25, ideal: 1400, goodput: 0.95, minUrgent: 0.999,
 		},
-		"surge over tiny endpoints":               {scenario: tiny(), end: 10, ideal: 480, goodput: 0.95, urgents: 0.999},
-		"surge over tiny endpoints, hard retries": {scenario: with(tiny(), hard), end: 10, ideal: 480, goodput: 0.95, urgents: 0.999, mostWasted: 25},
+		"surge over tiny endpoints":               {scenario: tiny(), end: 10, ideal: 480, goodput: 0.95, minUrgent: 0.999},
+		"surge over tiny endpoints, hard retries": {scenario: with(tiny(), hard), end: 10, ideal: 480, goodput: 0.95, minUrgent: 0.999, maxWasted: 25},
 		"tiny deep endpoints slow while load doubles": {
 			scenario: with(tiny(), func(s *scenario) {
-				s.retries, s.load, s.slow = 3, during(5, 10, 672, 336), during(5, 10, 5, 1)
+				s.retries, s.load, s.deepSlowdown = 3, during(5, 10, 672, 336), during(5, 10, 5, 1)
 			}),
-			end: 10, ideal: 96, goodput: 0.90, urgents: 0.999,
+			end: 10, ideal: 96, goodput: 0.90, minUrgent: 0.999,
 		},
 		"deep service slow, no gate, for contrast": {
 			scenario: with(deepSlow(), func(s *scenario) { s.noGate = true }),
-			end:      25, ideal: 1400, mostGoodput: 0.6,
+			end:      25, ideal: 1400, maxGoodput: 0.6,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := measure(c.scenario, c.end, c.ideal, 4)
 			t.Logf("goodput %.3f, recovery %.0f ms, urgent %.4f, median %.0f ms, p99 %.0f ms, %.0f wasted a second, %.2f attempts",
-				f.goodput, f.recovery, f.urgent, f.median, f.late, f.wasted, f.attempts)
-			if c.mostGoodput > 0 {
-				assert.Assert(t, f.goodput <= c.mostGoodput)
+				f.goodput, f.recovery, f.urgent, f.median, f.p99, f.wasted, f.attempts)
+			if c.maxGoodput > 0 {
+				assert.Assert(t, f.goodput <= c.maxGoodput)
 				return
 			}
 			assert.Assert(t, f.goodput >= c.goodput)
 			assert.Assert(t, f.recovery <= 2000)
-			assert.Assert(t, f.urgent >= c.urgents)
-			assert.Assert(t, c.mostWasted == 0 || f.wasted <= c.mostWasted)
+			assert.Assert(t, f.urgent >= c.minUrgent)
+			assert.Assert(t, c.maxWasted == 0 || f.wasted <= c.maxWasted)
 		})
 	}
 }
 
 // Calls come in clusters by chance, also when there is room for all. A gate that takes each cluster for overload
 // refuses calls for nothing; a small congregation notices refusals on an ordinary day.
-func TestRefusesNothingWhileThereIsRoom(t *testing.T) {
+func TestRefusesNothingBelowCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
-		slots      int
-		work, load float64
-		patience   clock.Duration
+		slots         int
+		work, load    float64
+		callerTimeout clock.Duration
 	}{
 		"many slots, 90%":         {slots: 100, work: 50, load: 0.9},
 		"few slots, 80%":          {slots: 20, work: 20, load: 0.8},
 		"few slots and slow, 80%": {slots: 20, work: 100, load: 0.8},
 		"few slots and slow, 90%": {slots: 20, work: 100, load: 0.9},
-		"three slots, very slow":  {slots: 3, work: 400, load: 0.85, patience: 5000},
+		"three slots, very slow":  {slots: 3, work: 400, load: 0.85, callerTimeout: 5000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rate := c.load * float64(c.slots) / c.work * 1000
 			r := run(with(surge(), func(s *scenario) {
 				s.seconds, s.frontSlots, s.frontWork, s.load = 60, c.slots, c.work, during(0, 0, 0, rate)
-				s.patience = max(s.patience, c.patience)
+				s.callerTimeout = max(s.callerTimeout, c.callerTimeout)
 			}), 1)
 			refused := 1 - between(r.good, 1, 59)/between(r.sent, 1, 59)
 			t.Logf("%.4f refused or late", refused)
@@ -179,7 +179,7 @@
 }
 
 func report(b *testing.B, s scenario, end, ideal float64) {
-	f := figures{}
+	f := metrics{}
 	for range b.N {
 		f = measure(s, end, ideal, 4)
 	}
@@ -188,7 +188,7 @@
 	b.ReportMetric(math.Min(f.recovery, 1e6), "recoveryMs")
 	b.ReportMetric(f.urgent, "urgent")
 	b.ReportMetric(f.median, "medianMs")
-	b.ReportMetric(f.late, "p99Ms")
+	b.ReportMetric(f.p99, "p99Ms")
 	b.ReportMetric(f.wasted, "wasted/s")
 }
 
--- a/internal/admitter/shares.go
+++ b/internal/admitter/shares.go
@@ -16,11 +16,11 @@
 // Shares measures, at a delivery node, from which entries each team's calls come; it is not safe for concurrent
 // use.
 type Shares struct {
-	memory  clock.Duration
-	totals  map[identifier.Team]*decaying
-	index   map[origin]int
-	origins []originCount
-	hand    int
+	timeConstant   clock.Duration
+	totals         map[identifier.Team]*decayingCount
+	index          map[origin]int
+	origins        []originCount
+	evictionCursor int
 }
 
 type origin struct {
@@ -30,35 +30,35 @@
 
 type originCount struct {
 	origin origin
-	count  decaying
+	count  decayingCount
 }
 
 const (
-	// idleMemories is after how many memories without a call an entry is forgotten.
-	idleMemories = 4
-	// sweep is how many entries each call looks at to find those.
-	sweep = 2
+	// idleTimeConstants is after how many memories without a call an entry is forgotten.
+	idleTimeConstants = 4
+	// evictionScanSize is how many entries each call looks at to find those.
+	evictionScanSize = 2
 )
 
 // NewShares returns shares without a call.
 func NewShares(o FairnessOptions) *Shares {
 	return &Shares{
-		memory: o.withDefaults().Memory,
-		totals: make(map[identifier.Team]*decaying),
-		index:  make(map[origin]int),
+		timeConstant: o.withDefaults().TimeConstant,
+		totals:       make(map[identifier.Team]*decayingCount),
+		index:        make(map[origin]int),
 	}
 }
 
-// Note counts an admitted call that came straight from its entry, and returns that entry's part of the team's
+// CountCall counts an admitted call that came straight from its entry, and returns that entry's part of the team's
 // calls for the answer to carry; 255 is all.
-func (s *Shares) Note(team identifier.Team, entry identifier.Node, now clock.Time) uint8 {
-	s.forget(now)
+func (s *Shares) CountCall(team identifier.Team, entry identifier.Node, now clock.Time) uint8 {
+	s.evictIdle(now)
 	total, ok := s.totals[team]
 	if !ok {
-		total = &decaying{}
+		total = &decayingCount{}
 		s.totals[team] = total
 	}
-	total.add(now, s.memory)
+	total.add(now, s.timeConstant)
 	key := origin{team, entry}
 	i, ok := s.index[key]
 	if !ok {
@@ -66,46 +66,46 @@
 		s.index[key] = i
 		s.origins = append(s.origins, originCount{origin: key})
 	}
-	here := &s.origins[i].count
-	here.add(now, s.memory)
-	return uint8(math.Ceil(math.MaxUint8 * min(1, here.count/total.count)))
+	entryCount := &s.origins[i].count
+	entryCount.add(now, s.timeConstant)
+	return uint8(math.Ceil(math.MaxUint8 * min(1, entryCount.count/total.count)))
 }
 
-// Known returns how many pairs of team and entry are counted.
-func (s *Shares) Known() int {
+// Len returns how many pairs of team and entry are counted.
+func (s *Shares) Len() int {
 	return len(s.origins)
 }
 
-// forget drops idle entries, a few looked at for each call, so that replaced nodes do not pile up.
-func (s *Shares) forget(now clock.Time) {
-	for range min(sweep, len(s.origins)) {
-		s.hand = (s.hand + 1) % len(s.origins)
-		idle := s.origins[s.hand]
-		if now.Sub(idle.count.when) <= idleMemories*s.memory {
+// evictIdle drops idle entries, a few looked at for each call, so that replaced nodes do not pile up.
+func (s *Shares) evictIdle(now clock.Time) {
+	for range min(evictionScanSize, len(s.origins)) {
+		s.evictionCursor = (s.evictionCursor + 1) % len(s.origins)
+		idle := s.origins[s.evictionCursor]
+		if now.Sub(idle.count.updatedAt) <= idleTimeConstants*s.timeConstant {
 			continue
 		}
 		last := len(s.origins) - 1
-		s.origins[s.hand] = s.origins[last]
-		s.index[s.origins[s.hand].origin] = s.hand
+		s.origins[s.evictionCursor] = s.origins[last]
+		s.index[s.origins[s.evictionCursor].origin] = s.evictionCursor
 		s.origins = s.origins[:last]
 		delete(s.index, idle.origin)
 	}
 }
 
-// decaying is a count in which each call weighs less the older it is.
-type decaying struct {
-	count float64
-	when  clock.Time
+// decayingCount is a count in which each call weighs less the older it is.
+type decayingCount struct {
+	count     float64
+	updatedAt clock.Time
 }
 
-func (d *decaying) add(now clock.Time, memory clock.Duration) {
-	d.count = d.at(now, memory) + 1
-	d.when = now
+func (d *decayingCount) add(now clock.Time, timeConstant clock.Duration) {
+	d.count = d.at(now, timeConstant) + 1
+	d.updatedAt = now
 }
 
-func (d *decaying) at(now clock.Time, memory clock.Duration) float64 {
-	if now == d.when {
+func (d *decayingCount) at(now clock.Time, timeConstant clock.Duration) float64 {
+	if now == d.updatedAt {
 		return d.count
 	}
-	return d.count * math.Exp(-float64(now.Sub(d.when))/float64(memory))
+	return d.count * math.Exp(-float64(now.Sub(d.updatedAt))/float64(timeConstant))
 }
--- a/internal/admitter/loop_test.go
+++ b/internal/admitter/simulation_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	lag      = 3 * clock.Millisecond
-	ringSize = 1 << 14
-	slice    = 100 * clock.Millisecond
-	front    = identifier.Service("front")
-	deep     = identifier.Service("deep")
-	plain    = admitter.Route(1)
-	nesting  = admitter.Route(2)
+	networkDelay    = 3 * clock.Millisecond
+	timerRingSize   = 1 << 14
+	goodputInterval = 100 * clock.Millisecond
+	front           = identifier.Service("front")
+	deep            = identifier.Service("deep")
+	plainRoute      = admitter.Route(1)
+	nestingRoute    = admitter.Route(2)
 )
 
 // scenario is what happens; load and slow are functions of the time.
@@ -36,16 +36,16 @@
 	deepSlots           int
 	frontWork, deepWork float64
 	nestingPart         float64
-	patience            clock.Duration
+	callerTimeout       clock.Duration
 	load                func(clock.Time) float64
-	slow                func(clock.Time) float64
+	deepSlowdown        func(clock.Time) float64
 	gate                admitter.GateOptions
 	limit               limiter.Options
 	noGate              bool
 	// entries counts the nodes that take callers in, fronts and deeps the endpoints of the services; default 1.
 	entries, fronts, deeps int
-	// weak is how many times as long the first front endpoint works; default 1.
-	weak float64
+	// firstFrontSlowdown is how many times as long the first front endpoint works; default 1.
+	firstFrontSlowdown float64
 	// rank gives a call its rank; nil draws priorities 5% urgent, 15% high, 60% normal, 20% low.
 	rank func(*rand.Rand, clock.Time) (identifier.Rank, origin)
 	// admitted is told of each call that passed the gate of a front endpoint.
@@ -54,11 +54,11 @@
 
 // result is what users get.
 type result struct {
-	good, sent             []float64
-	urgentSent, urgentGood float64
-	served, asked          map[int]float64
-	delays                 []float64
-	wasted, attempts       float64
+	good, sent               []float64
+	urgentSent, urgentGood   float64
+	servedByTeam, sentByTeam map[int]float64
+	delays                   []float64
+	wasted, attempts         float64
 }
 
 // origin is who sent a call, and to which entry.
@@ -67,24 +67,24 @@
 }
 
 type request struct {
-	rank     identifier.Rank
-	route    admitter.Route
-	origin   origin
-	deadline clock.Time
-	tries    int
-	born     clock.Time
+	rank      identifier.Rank
+	route     admitter.Route
+	origin    origin
+	deadline  clock.Time
+	tries     int
+	arrivedAt clock.Time
 }
 
 // entry is a node that takes callers in.
 type entry struct {
-	board  *admitter.Board
-	router *router.Router
-	damper *retrier.Damper
+	thresholds *admitter.ThresholdCache
+	router     *router.Router
+	damper     *retrier.Damper
 }
 
 // hop is a delivery node with its backend server.
 type hop struct {
-	w       *world
+	w       *simulation
 	service identifier.Service
 	gate    *admitter.Gate
 	limit   *limiter.Limiter
@@ -104,31 +104,31 @@
 	answer  func(ok, ran bool)
 }
 
-type world struct {
+type simulation struct {
 	scenario
 	result
 	rand    *rand.Rand
 	now     clock.Time
-	ring    [ringSize][]func()
+	timers  [timerRingSize][]func()
 	entries []entry
 	byID    map[identifier.Endpoint]*hop
 	hops    []*hop
 }
 
-func (w *world) after(d clock.Duration, f func()) {
-	at := w.now.Add(max(1, min(d, ringSize-1))) % ringSize
-	w.ring[at] = append(w.ring[at], f)
+func (w *simulation) after(d clock.Duration, f func()) {
+	at := w.now.Add(max(1, min(d, timerRingSize-1))) % timerRingSize
+	w.timers[at] = append(w.timers[at], f)
 }
 
 func run(s scenario, seed uint64) result {
-	w := &world{scenario: s, rand: rand.New(rand.NewPCG(seed, 1))}
-	w.served, w.asked = map[int]float64{}, map[int]float64{}
+	w := &simulation{scenario: s, rand: rand.New(rand.NewPCG(seed, 1))}
+	w.servedByTeam, w.sentByTeam = map[int]float64{}, map[int]float64{}
 	w.good = make([]float64, s.seconds*10)
 	w.sent = make([]float64, s.seconds*10)
 	w.build()
 	for ; w.now < clock.Time(s.seconds*1000); w.now++ {
-		due := w.ring[w.now%ringSize]
-		w.ring[w.now%ringSize] = nil
+		due := w.timers[w.now%timerRingSize]
+		w.timers[w.now%timerRingSize] = nil
 		for _, f := range due {
 			f()
 		}
@@ -142,7 +142,7 @@
 	return w.result
 }
 
-func (w *world) build() {
+func (w *simulation) build() {
 	w.byID = map[identifier.Endpoint]*hop{}
 	nodes := make([]entry, max(1, w.scenario.entries))
 	for i := range nodes {
@@ -152,7 +152,7 @@
 	for i := range max(1, w.fronts) {
 		factor := 1.0
 		if i == 0 {
-			factor = max(1, w.weak)
+			factor = max(1, w.firstFrontSlowdown)
 		}
 		h := w.addHop(front, w.frontSlots/max(1, w.fronts), nodes, func() float64 { return w.erlang() * w.frontWork * factor })
 		h.ran = w.nest
@@ -164,27 +164,27 @@
 	}
 	for range max(1, w.deeps) {
 		slots := max(1, w.deepSlots/max(1, w.deeps))
-		h := w.addHop(deep, slots, exits, func() float64 { return w.erlang() * w.deepWork * w.slow(w.now) })
+		h := w.addHop(deep, slots, exits, func() float64 { return w.erlang() * w.deepWork * w.deepSlowdown(w.now) })
 		h.ran = func(v *visit) { v.finish(true) }
 	}
 }
 
-func (w *world) newEntry() entry {
+func (w *simulation) newEntry() entry {
 	return entry{
-		board:  admitter.NewBoard(admitter.BoardOptions{}),
-		router: router.New(router.Options{Rand: w.rand}),
-		damper: retrier.NewDamper(retrier.DamperOptions{}),
+		thresholds: admitter.NewThresholdCache(admitter.ThresholdCacheOptions{}),
+		router:     router.New(router.Options{Rand: w.rand}),
+		damper:     retrier.NewDamper(retrier.DamperOptions{}),
 	}
 }
 
 // addHop adds an endpoint of a service and makes it known to the nodes that call the service.
-func (w *world) addHop(service identifier.Service, slots int, callers []entry, work func() float64) *hop {
+func (w *simulation) addHop(service identifier.Service, slots int, callers []entry, work func() float64) *hop {
 	o := w.limit
 	o.Slots = slots
 	h := &hop{
 		w: w, work: work, service: service, open: map[limiter.CallID]*visit{},
 		gate: admitter.NewGate(w.gate), limit: limiter.New(o, w.now),
-		chain: admitter.NewChain(admitter.BoardOptions{}),
+		chain: admitter.NewChain(admitter.ThresholdCacheOptions{}),
 	}
 	id := identifier.Endpoint(fmt.Sprint(service, len(w.hops)))
 	w.byID[id], w.hops = h, append(w.hops, h)
@@ -194,7 +194,7 @@
 	return h
 }
 
-func (w *world) poisson(mean float64) int {
+func (w *simulation) poisson(mean float64) int {
 	n, p := 0, w.rand.Float64()
 	for limit := math.Exp(-mean); p > limit; n++ {
 		p *= w.rand.Float64()
@@ -203,14 +203,14 @@
 }
 
 // erlang draws a working time of mean 1, less spread than an exponential one.
-func (w *world) erlang() float64 {
+func (w *simulation) erlang() float64 {
 	return (w.rand.ExpFloat64() + w.rand.ExpFloat64() + w.rand.ExpFloat64() + w.rand.ExpFloat64()) / 4
 }
 
-func (w *world) arrive() {
-	q := &request{route: plain, born: w.now, deadline: w.now.Add(w.patience)}
+func (w *simulation) arrive() {
+	q := &request{route: plainRoute, arrivedAt: w.now, deadline: w.now.Add(w.callerTimeout)}
 	if w.rand.Float64() < w.nestingPart {
-		q.route = nesting
+		q.route = nestingRoute
 	}
 	if w.rank != nil {
 		q.rank, q.origin = w.rank(w.rand, w.now)
@@ -218,8 +218,8 @@
 		classes := [...]identifier.Priority{0, 1, 1, 1, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2, 3, 3, 3, 3}
 		q.rank = identifier.MakeRank(classes[w.rand.IntN(len(classes))], uint8(w.rand.IntN(12)), w.rand.Uint64())
 	}
-	w.sent[w.now/clock.Time(slice)]++
-	w.asked[q.origin.team]++
+	w.sent[w.now/clock.Time(goodputInterval)]++
+	w.sentByTeam[q.origin.team]++
 	if w.settled(q) {
 		w.urgentSent++
 	}
@@ -227,16 +227,16 @@
 }
 
 // send is the caller, who retries hard, without back-off, as often as the scenario says.
-func (w *world) send(q *request) {
+func (w *simulation) send(q *request) {
 	e := w.entries[w.rand.IntN(len(w.entries))]
 	again := func() {
 		if q.tries++; q.tries <= w.retries {
-			q.deadline = w.now.Add(w.patience)
+			q.deadline = w.now.Add(w.callerTimeout)
 			w.send(q)
 		}
 	}
-	if !w.noGate && !e.board.AdmitRoute(front, q.route, q.rank, w.now) {
-		w.after(lag, again)
+	if !w.noGate && !e.thresholds.AdmitRoute(front, q.route, q.rank, w.now) {
+		w.after(networkDelay, again)
 		return
 	}
 	w.forward(e, front, q, nil, func(ok, _ bool) {
@@ -249,7 +249,7 @@
 }
 
 // forward is one attempt of a node; what a single endpoint refused goes to another one, once.
-func (w *world) forward(e entry, to identifier.Service, q *request, refused []identifier.Endpoint, answer func(ok, ran bool)) {
+func (w *simulation) forward(e entry, to identifier.Service, q *request, refused []identifier.Endpoint, answer func(ok, ran bool)) {
 	w.attempts++
 	if refused == nil {
 		e.damper.First(to, w.now)
@@ -260,15 +260,15 @@
 	h.offer(q, func(ok, ran bool) {
 		own, headroom := h.gate.Threshold(), h.limit.Headroom(h.w.now)
 		effective := h.chain.Effective(own, q.route, w.now)
-		w.after(lag, func() {
-			e.board.Learn(to, own, w.now)
-			e.board.LearnRoute(to, q.route, effective, w.now)
+		w.after(networkDelay, func() {
+			e.thresholds.LearnThreshold(to, own, w.now)
+			e.thresholds.LearnRouteThreshold(to, q.route, effective, w.now)
 			outcome := router.Succeeded
 			if !ran {
 				outcome = router.Refused
 			}
 			e.router.Done(picked.ID, router.Result{Outcome: outcome, Headroom: headroom, Latency: w.now.Sub(sent)}, w.now)
-			again := !ran && refused == nil && e.router.Count(to) > 1 && e.board.AdmitRoute(to, q.route, q.rank, w.now)
+			again := !ran && refused == nil && e.router.Count(to) > 1 && e.thresholds.AdmitRoute(to, q.route, q.rank, w.now)
 			if again && e.damper.Allow(to, w.now) {
 				w.forward(e, to, q, []identifier.Endpoint{picked.ID}, answer)
 				return
@@ -278,30 +278,30 @@
 	})
 }
 
-func (w *world) finished(q *request) {
-	w.good[w.now/clock.Time(slice)]++
-	w.served[q.origin.team]++
-	w.delays = append(w.delays, float64(w.now.Sub(q.born)))
+func (w *simulation) finished(q *request) {
+	w.good[w.now/clock.Time(goodputInterval)]++
+	w.servedByTeam[q.origin.team]++
+	w.delays = append(w.delays, float64(w.now.Sub(q.arrivedAt)))
 	if w.settled(q) {
 		w.urgentGood++
 	}
 }
 
 // settled tells that the call is urgent and came early enough to be answered within the run.
-func (w *world) settled(q *request) bool {
-	return q.rank.Priority() == identifier.Urgent && q.born < clock.Time(w.seconds*1000-2000)
+func (w *simulation) settled(q *request) bool {
+	return q.rank.Priority() == identifier.Urgent && q.arrivedAt < clock.Time(w.seconds*1000-2000)
 }
 
 // nest is what the front service does after its own work: some routes need the deep service.
-func (w *world) nest(v *visit) {
+func (w *simulation) nest(v *visit) {
 	q := v.request
-	if q.route == plain {
+	if q.route == plainRoute {
 		v.finish(true)
 		return
 	}
 	h := v.hop
-	note := func() { h.chain.Note(nesting, deep, h.exit.board.Threshold(deep, w.now), w.now) }
-	if !w.noGate && !h.exit.board.Admit(deep, q.rank, w.now) {
+	note := func() { h.chain.LearnThreshold(nestingRoute, deep, h.exit.thresholds.Threshold(deep, w.now), w.now) }
+	if !w.noGate && !h.exit.thresholds.Admit(deep, q.rank, w.now) {
 		note()
 		v.finish(false)
 		return
@@ -350,7 +350,7 @@
 }
 
 func (h *hop) start(v *visit) {
-	h.chain.Started(v.request.route)
+	h.chain.CountCall(v.request.route)
 	work := clock.Duration(math.Round(h.work()))
 	left := v.request.deadline.Sub(h.w.now)
 	if work > left {
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -155,7 +155,7 @@
 	k := teamsWith(n, noAuthority{})
 	for i := range n {
 		k.granter.Spend(teamName(i), granter.Call(i), 1)
-		k.fairness.Note(teamName(i), 1)
+		k.fairness.CountCall(teamName(i), 1)
 	}
 	return k
 }
--- a/internal/reducer/attempt.go
+++ b/internal/reducer/attempt.go
@@ -114,7 +114,7 @@
 		return
 	}
 	c.budget.Return(t.Allowance, c.carried)
-	s.board.LearnRoute(c.service, c.route, t.Threshold, s.now)
+	s.board.LearnRouteThreshold(c.service, c.route, t.Threshold, s.now)
 	s.damper.Learn(c.service, t.RetryRatio, s.now)
 	if t.Share > 0 {
 		s.fairness.LearnShare(c.team, t.Share, s.now)
--- a/internal/reducer/backends.go
+++ b/internal/reducer/backends.go
@@ -58,7 +58,7 @@
 		b = &backend{
 			id:      e.Endpoint,
 			gate:    admitter.NewGate(admitter.GateOptions{}),
-			chain:   admitter.NewChain(admitter.BoardOptions{}),
+			chain:   admitter.NewChain(admitter.ThresholdCacheOptions{}),
 			shares:  admitter.NewShares(admitter.FairnessOptions{}),
 			limiter: limiter.New(limiter.Options{Slots: e.Slots, ColdStart: e.ColdStart}, s.now),
 		}
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -109,7 +109,7 @@
 // far above its rate would have its unimportant calls shed for nothing and spend all of its rate on urgent ones, at the
 // cost of the teams that keep to theirs.
 func (s *State) paid(c *call) {
-	s.fairness.Note(c.team, s.now)
+	s.fairness.CountCall(c.team, s.now)
 	c.rank = identifier.MakeRank(c.priority, s.fairness.Overuse(c.team, s.now), rootHash(c))
 	if !s.board.AdmitRoute(c.service, c.route, c.rank, s.now) {
 		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.backOff()})
--- a/internal/reducer/delivery.go
+++ b/internal/reducer/delivery.go
@@ -36,7 +36,7 @@
 
 // note tells the delivery's backend server what a service that it calls can take.
 func (d *delivery) note(c *call, t identifier.Threshold, now clock.Time) {
-	d.backend.chain.Note(d.route, c.service, t, now)
+	d.backend.chain.LearnThreshold(d.route, c.service, t, now)
 }
 
 func (s *State) deliveryArrived(e *DeliveryArrived) {
@@ -73,7 +73,7 @@
 	}
 	s.deliveries[d.id] = d
 	if d.depth == 0 {
-		d.share = b.shares.Note(d.team, e.From, s.now)
+		d.share = b.shares.CountCall(d.team, e.From, s.now)
 	}
 	call := limiter.Call{ID: limiter.CallID(d.id), Rank: d.rank, Deadline: d.deadline}
 	s.carryOut(b, b.limiter.Offer(call, s.now, s.verdicts[:0]))
@@ -124,7 +124,7 @@
 	s.tokens[d.token] = d
 	b.gate.Served(s.now)
 	b.gate.Observe(s.now.Sub(d.arrived), s.now)
-	b.chain.Started(d.route)
+	b.chain.CountCall(d.route)
 	s.counters.Dispatched++
 	s.emit(Dispatch{
 		Delivery:   d.id,
--- a/internal/reducer/new.go
+++ b/internal/reducer/new.go
@@ -38,7 +38,7 @@
 	s := &State{
 		options:    o,
 		rand:       o.stream(streamOwn),
-		board:      admitter.NewBoard(admitter.BoardOptions{}),
+		board:      admitter.NewThresholdCache(admitter.ThresholdCacheOptions{}),
 		fairness:   admitter.NewFairness(admitter.FairnessOptions{}),
 		damper:     retrier.NewDamper(retrier.DamperOptions{}),
 		router:     router.New(router.Options{Domain: o.Domain, Rand: o.stream(streamRouter)}),
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -53,7 +53,7 @@
 	owner      *deduplicator.Owner
 
 	router   *router.Router
-	board    *admitter.Board
+	board    *admitter.ThresholdCache
 	fairness *admitter.Fairness
 	damper   *retrier.Damper
 
