--- a/internal/admitter/admission_test.go
+++ b/internal/admitter/admission_test.go
@@ -13,12 +13,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// A gate must take the ranks in order whatever it was told, refuse no urgent call for a short peak, and be open
-// again soon after the queue is gone: a gate that stays closed turns a short overload into a long outage.
+// Under any load, a gate must admit exactly the ranks up to its threshold, refuse no urgent calls during a short peak, and
+// open within 4 s after the queue is empty: a gate that stays closed turns a short overload into a long outage.
 func TestGateUnderRandomLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := admitter.NewGate(admitter.GateOptions{Law: admitter.CapacityLaw})
-		now, strained := clock.Time(1), clock.Time(1)
+		now, lastAboveUrgent := clock.Time(1), clock.Time(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"load": func(t *rapid.T) {
 				calls := rapid.IntRange(0, 8).Draw(t, "calls in a millisecond")
@@ -37,9 +37,9 @@
 					}
 					g.Observe(delay, now)
 					if g.Threshold() > identifier.Rank(1<<14-1) {
-						strained = now
+						lastAboveUrgent = now
 					}
-					assert.Assert(t, g.Threshold() >= identifier.Rank(1<<14-1) || now.Sub(strained) >= 500, "urgent refused")
+					assert.Assert(t, g.Threshold() >= identifier.Rank(1<<14-1) || now.Sub(lastAboveUrgent) >= 500, "urgent calls refused less than 500 ms after the threshold was above their ranks")
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -49,15 +49,15 @@
 					g.Admit(identifier.MakeRank(identifier.Low, 0, 0), now)
 					g.Observe(0, now)
 				}
-				strained = now
-				assert.Equal(t, g.Threshold(), identifier.MaxRank, "still closed after 4 s without a queue")
+				lastAboveUrgent = now
+				assert.Equal(t, g.Threshold(), identifier.MaxRank, "gate not open after 4 s without queueing delay")
 			},
 		})
 	})
 }
 
-// Two peaks of urgent calls come with a calm time between. The gate counted the first peak's windows into the
-// second, and refused bulletins at once; found by TestGateUnderRandomLoad, seed 4116188274710627431.
+// Two peaks of urgent calls are separated by a period of low load. If the count of overloaded windows were not reset in
+// between, the gate would refuse urgent calls at the start of the second peak.
 func TestSecondPeakDoesNotRefuseUrgentCallsAtOnce(t *testing.T) {
 	g := admitter.NewGate(admitter.GateOptions{})
 	for now := clock.Time(1); now < 3000; now++ {
@@ -74,13 +74,13 @@
 		g.Served(now)
 		g.Observe(delay, now)
 		if now > 2000 {
-			assert.Assert(t, g.Threshold() >= identifier.Rank(1<<14-1), "urgent calls refused at %d", now)
+			assert.Assert(t, g.Threshold() >= identifier.Rank(1<<14-1), "urgent calls refused at %d ms, at the start of the second peak", now)
 		}
 	}
 }
 
-// A node that refuses all calls to a service gets no answer from it any more. If it kept what it had learned, the
-// service would seem overloaded for ever; a user notices refusals by an idle service.
+// A node that refuses all calls to a service gets no further answers from it. If learned thresholds did not expire, the
+// node would go on refusing calls after the service has recovered.
 func TestLearnedThresholdExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := admitter.NewThresholdCache(admitter.ThresholdCacheOptions{})
@@ -97,7 +97,7 @@
 			},
 			"": func(t *rapid.T) {
 				at := b.Threshold("ice", now)
-				assert.Assert(t, at >= lowest, "lower than any answer told")
+				assert.Assert(t, at >= lowest, "threshold lower than that of any answer")
 				assert.Equal(t, b.Threshold("bookings", now), identifier.MaxRank)
 				if now.Sub(last) >= 1500 {
 					assert.Equal(t, at, identifier.MaxRank)
@@ -108,8 +108,8 @@
 	})
 }
 
-// A slow ice service must close only the routes that ask it. If it closed all routes of the slot board, agents who
-// only look up slots would be refused because of a service that they never use.
+// An overloaded "ice" service must cause refusals only on the routes that call it. Otherwise calls on other routes of the
+// same service would be refused because of a service that they never use.
 func TestChainClosesOnlyRoutesThatNeedTheService(t *testing.T) {
 	c := admitter.NewChain(admitter.ThresholdCacheOptions{})
 	needs := map[admitter.Route]int{1: 0, 2: 100, 3: 20}
@@ -127,7 +127,7 @@
 	assert.Equal(t, c.Effective(50_000, 2, 1000), identifier.Rank(20_000))
 	assert.Equal(t, c.Effective(10_000, 2, 1000), identifier.Rank(10_000))
 	assert.Equal(t, c.Effective(50_000, 3, 1000), identifier.Rank(50_000))
-	assert.Equal(t, c.Effective(50_000, 2, 3000), identifier.Rank(50_000), "what was learned has aged")
+	assert.Equal(t, c.Effective(50_000, 2, 3000), identifier.Rank(50_000), "learned threshold has expired")
 
 	b := admitter.NewThresholdCache(admitter.ThresholdCacheOptions{})
 	b.LearnRouteThreshold("slots", 2, 20_000, 1000)
@@ -135,7 +135,7 @@
 	assert.Assert(t, b.AdmitRoute("slots", 1, 30_000, 1000))
 }
 
-// BenchmarkEntry is what the entry decides and learns for each call, with all teams and services in use.
+// BenchmarkEntry measures what an entry node decides and learns for each call, with all teams and services in use.
 func BenchmarkEntry(b *testing.B) {
 	for _, teams := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// BenchmarkGate is what the delivery node decides for each call, windows included.
+// BenchmarkGate measures the gate's work at the delivery node for each call, including the ends of windows.
 func BenchmarkGate(b *testing.B) {
 	g := admitter.NewGate(admitter.GateOptions{})
 	b.ReportAllocs()
--- a/internal/admitter/chain.go
+++ b/internal/admitter/chain.go
@@ -1,6 +1,6 @@
-// A call that needs a nested call is doomed when the nested service refuses its rank. So a delivery node
-// answers with the lowest threshold along the route, but only for routes whose calls really make the nested
-// call: one slow deep service must not close routes that never ask it.
+// A call fails if a nested call that it needs is refused. A delivery node therefore answers with the lowest threshold
+// among its own service and the services that the route needs. Thresholds are kept by route, so that one overloaded
+// nested service does not cause refusals on routes that never call it.
 //
 // Example: own threshold 60000, route 2 needs "ice" at 30000: Effective(60000, 2) is 30000, of route 1 60000.
 
@@ -12,9 +12,9 @@
 )
 
 const (
-	// minDependencyShare is the part of a route's calls that must make the nested call for it to count as needed.
+	// minDependencyShare is the share of a route's calls that must call a nested service for the route to depend on it.
 	minDependencyShare = 0.5
-	// maxRouteCalls is how many calls of a route are weighed before their counts are halved.
+	// maxRouteCalls is the call count at which a route's counts are halved, so that recent calls weigh more.
 	maxRouteCalls = 256
 )
 
@@ -24,23 +24,25 @@
 	routes  map[Route]*chainRoute
 }
 
+// chainRoute counts the recent calls of one route and the nested calls that they made.
 type chainRoute struct {
 	calls        float64
 	dependencies []dependency
 }
 
+// dependency is a service that calls of a route call, with the number of those calls and the learned threshold.
 type dependency struct {
 	service identifier.Service
 	count   float64
 	learned learnedThreshold
 }
 
-// NewChain returns a chain without nested calls.
+// NewChain returns a chain that knows of no nested calls.
 func NewChain(o ThresholdCacheOptions) *Chain {
 	return &Chain{options: o.withDefaults(), routes: make(map[Route]*chainRoute)}
 }
 
-// CountCall counts a call of the route that was handed to the backend server.
+// CountCall counts a call of the route that was dispatched to the backend server.
 func (c *Chain) CountCall(route Route) {
 	r := c.route(route)
 	r.calls++
@@ -53,14 +55,16 @@
 	}
 }
 
-// LearnThreshold takes over the threshold of a service, when a call of the route needed it; refused calls count too.
+// LearnThreshold counts a nested call of the route to the service and updates the service's threshold; nested calls that
+// were refused count too.
 func (c *Chain) LearnThreshold(route Route, service identifier.Service, t identifier.Threshold, now clock.Time) {
 	n := c.route(route).dependencyOn(service)
 	n.count++
 	n.learned = n.learned.updatedWith(t, now, c.options)
 }
 
-// Effective returns the highest rank that has a chance on the route, given the service's own threshold.
+// Effective returns the highest rank that the service and all dependencies of the route accept, given the service's own
+// threshold.
 func (c *Chain) Effective(own identifier.Threshold, route Route, now clock.Time) identifier.Threshold {
 	r, ok := c.routes[route]
 	if !ok {
--- a/internal/admitter/doc.go
+++ b/internal/admitter/doc.go
@@ -1,2 +1,3 @@
-// Package admitter decides by rank and measured queueing delay which calls a service takes, alike at every hop.
+// Package admitter implements admission control: it accepts or refuses calls by their rank and the measured queueing
+// delay, by the same rules at every hop.
 package admitter
--- a/internal/admitter/fairness.go
+++ b/internal/admitter/fairness.go
@@ -1,14 +1,14 @@
-// Within a priority class the teams compete for what is left. Marking all calls of a heavy team as overuse
-// would starve it: all its calls go before any other team loses one. So each call gets a level drawn evenly
-// from nothing up to its team's use per weight. A threshold at one level then cuts every team down to the
-// same use per weight, and a team below that loses nothing.
+// Overuse levels share the capacity fairly among the teams of a priority class. If all calls of a heavy team had a high
+// level, it would starve: all its calls would be shed before another team lost one. So the levels of a team's calls are
+// spread evenly from zero up to the level of the team's call rate per weight. A threshold at one level then limits every
+// team to the same rate per weight, and a team below that rate loses no calls.
 //
-// The levels stand for calls a second, not for parts of this node's mean: ranks made at a node that sees only
-// the heavy team must mean the same as those of a node that sees only the others.
+// Levels are absolute call rates, not relative to this node's mean: a level has to mean the same at a node that
+// receives only the heavy team's calls and at a node that receives only the others'.
 //
-// Example: seven teams send 10 calls a second, one sends 100. The levels of the seven end at that of 10; so do
-// those of a tenth of the heavy team's calls. With room for 80 calls, the threshold settles there, and each of
-// the eight gets 10.
+// Example: seven teams send 10 calls a second, one sends 100. The levels of the seven end at that of 10, and a tenth of
+// the heavy team's calls have levels up to there. With capacity for 80 calls, the threshold settles at that level, and
+// each of the eight teams gets 10.
 
 package admitter
 
@@ -19,19 +19,19 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// FairnessOptions set a fairness up; zero fields take the defaults.
+// FairnessOptions configures a Fairness or a Shares; zero fields take the defaults.
 type FairnessOptions struct {
-	// TimeConstant is the time after which a call counts for a third; default 2 s.
+	// TimeConstant is that of the exponential decay of the call counts: after it a call weighs 1/e; default 2 s.
 	TimeConstant clock.Duration
 }
 
 const (
 	defaultTimeConstant = 2 * clock.Second
-	// goldenFraction is the fractional part of the golden ratio: its multiples spread evenly over 0 to 1.
+	// goldenFraction is the fractional part of the golden ratio. Its multiples modulo 1 are spread evenly over 0 to 1.
 	goldenFraction = 0.6180339887498949
 )
 
-// Fairness measures each team's use at this node; it is not safe for concurrent use.
+// Fairness measures each team's call rate and assigns overuse levels to calls; it is not safe for concurrent use.
 type Fairness struct {
 	options FairnessOptions
 	teams   map[identifier.Team]*teamUse
@@ -42,9 +42,9 @@
 type teamUse struct {
 	weight float64
 	recent decayingCount
-	// levelPosition is the place of the last call between nothing and the team's use.
+	// levelPosition is where the last call's level lay between zero and the team's call rate, as a fraction.
 	levelPosition float64
-	// share is the part of the team's calls that come in here, as last learned; zero while unknown.
+	// share is the smoothed fraction of the team's calls that enter at this node; zero while unknown.
 	share          float64
 	shareLearnedAt clock.Time
 }
@@ -56,12 +56,12 @@
 	return o
 }
 
-// NewFairness returns a fairness that knows no team.
+// NewFairness returns a Fairness without teams.
 func NewFairness(o FairnessOptions) *Fairness {
 	return &Fairness{options: o.withDefaults(), teams: make(map[identifier.Team]*teamUse)}
 }
 
-// SetTeam takes a team's weight over; less than 1 counts as 1.
+// SetTeam sets the weight of a team; less than 1 counts as 1.
 func (f *Fairness) SetTeam(team identifier.Team, weight int) {
 	t := f.team(team)
 	f.weights -= t.weight
@@ -69,15 +69,15 @@
 	f.weights += t.weight
 }
 
-// CountCall counts a call of the team.
+// CountCall counts a call of the team that entered at this node.
 func (f *Fairness) CountCall(team identifier.Team, now clock.Time) {
 	f.team(team).recent.add(now, f.options.TimeConstant)
 }
 
-// shareWeight is the weight of one answer in the learned share.
+// shareWeight is the weight of one answer in the exponential smoothing of the share.
 const shareWeight = 1.0 / 16
 
-// LearnShare takes over, from an answer, which part of the team's calls come in here (see Shares).
+// LearnShare updates, from an answer, the share of the team's calls that enter at this node (see Shares).
 func (f *Fairness) LearnShare(team identifier.Team, share uint8, now clock.Time) {
 	t := f.team(team)
 	reported := float64(max(share, 1)) / math.MaxUint8
@@ -99,7 +99,7 @@
 	return level(t.levelPosition * f.use(t, now) * mean / t.weight)
 }
 
-// use is the team's calls a second at all entries, by those that come in here and their part of all.
+// use estimates the team's calls per second at all entry nodes, as the rate at this node divided by this node's share.
 func (f *Fairness) use(t *teamUse, now clock.Time) float64 {
 	entryUse := t.recent.at(now, f.options.TimeConstant) * float64(clock.Second) / float64(f.options.TimeConstant)
 	if t.share == 0 || now.Sub(t.shareLearnedAt) > f.options.TimeConstant {
@@ -119,12 +119,13 @@
 }
 
 const (
-	// levelsPerDouble is how many levels each doubling of use takes.
+	// levelsPerDouble is how many levels the call rate passes when it doubles.
 	levelsPerDouble = 2
-	// levelOneUse in calls a second is where level 1 begins; the highest level begins 15 doublings above it.
+	// levelOneUse is the rate in calls per second at which level 1 begins; the highest level begins 15 doublings above it.
 	levelOneUse = 0.125
 )
 
+// level converts calls per second to an overuse level on a logarithmic scale.
 func level(use float64) uint8 {
 	if use <= levelOneUse {
 		return 0
--- a/internal/admitter/fairness_test.go
+++ b/internal/admitter/fairness_test.go
@@ -13,9 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// oneHeavyTeam has eight teams of equal weight with 400 calls a second each, but team 0 sends ten times that, all at node
-// 0; the others send to the nodes from first on, and most to that one. There is room for 2000, so the fair share
-// is 250.
+// oneHeavyTeam has eight teams of equal weight. Seven send 400 calls a second each, to the nodes from firstNode on and most
+// of them to firstNode; team 0 sends 4000, all to node 0. The capacity is 2000, so the fair share of each team is 250.
 func oneHeavyTeam(nodes, firstNode int, sharesReported bool) scenario {
 	entries := make([]*admitter.Fairness, nodes)
 	for i := range entries {
@@ -43,8 +42,8 @@
 	return s
 }
 
-// One team sends ten times what each of its equals does. If its calls count like theirs, it takes ten times their
-// part; if all its calls count as overuse, it gets nothing at all. Either team notices most of its calls refused.
+// One team sends ten times as many calls as each of the other teams of equal weight. Without overuse levels it takes ten
+// times their share of the capacity; if all its calls have a high overuse level, it gets no share at all.
 func TestEveryTeamGetsItsFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
 		scenario               scenario
@@ -54,7 +53,8 @@
 		"the heavy one at its own node": {scenario: oneHeavyTeam(2, 1, true), heavy: 0.9, light: 0.9},
 		"the others spread":             {scenario: oneHeavyTeam(4, 0, true), heavy: 0.9, light: 0.9},
 		"the others spread widely":      {scenario: oneHeavyTeam(12, 0, true), heavy: 0.9, light: 0.9},
-		// Without shares, each of the others looks a part as heavy as it is, and the heavy one loses by that.
+		// Without reported shares, the other teams' call rates are underestimated at each of their entry nodes, which costs
+		// the heavy team part of its share.
 		"the others spread, for contrast": {scenario: oneHeavyTeam(4, 0, false), light: 0.9, maxHeavy: 0.6},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Entries are replaced all the time. If a delivery node kept the counts of those that are gone, it would grow until
-// it is killed, and its calls with it.
+// Entry nodes are replaced regularly. If a delivery node kept the counts of removed entry nodes, its memory would grow
+// until the process is killed.
 func TestSharesEvictIdleEntries(t *testing.T) {
 	s := admitter.NewShares(admitter.FairnessOptions{})
 	for i := range 20_000 {
@@ -86,8 +86,8 @@
 	assert.Equal(t, s.CountCall("b", "steady", 200_000), uint8(255))
 }
 
-// Whatever the rates and weights, and wherever the threshold settles: no team may get less per weight than another
-// one gets, unless it gets all that it sent.
+// For any rates, weights and threshold: a team may get less per weight than another team only if all its calls are
+// admitted.
 func TestThresholdLimitsTeamsByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := admitter.NewFairness(admitter.FairnessOptions{TimeConstant: 500})
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -1,12 +1,12 @@
-// A queue that has grown does not say how many calls to refuse, only that it is too many. The gate turns the
-// measured delay into a rate that the service can take, and the rate into the rank up to which calls are
-// taken. Working with a rate keeps it from staying closed: when demand falls below the rate, it opens at once.
+// The length of a queue shows that too many calls are admitted, but not how many to refuse. The gate derives from the
+// measured queueing delay the rate that the service can serve, and from that rate the threshold: the highest rank
+// admitted. The rate also lets the gate open at once when demand falls below it, instead of staying closed.
 //
-// The node that owns a gate feeds it: Admit for each call, Served for each dispatch, Observe with the limiter's
-// QueueDelay and SetTarget with its ExpectedDelay on each tick.
+// The owner of a gate calls Admit for each call, Served for each dispatch, and on each tick Observe with the limiter's
+// QueueDelay and SetTarget with its ExpectedDelay.
 //
-// Example: 3000 calls a second come, 1000 get through with a queueing delay under the target: the threshold
-// settles on the rank that a third of the calls do not exceed.
+// Example: 3000 calls a second arrive, and 1000 can be served with a queueing delay below the target: the threshold
+// settles at the rank that a third of the calls do not exceed.
 
 package admitter
 
@@ -15,13 +15,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// GateOptions set a gate up; zero fields take the defaults.
+// GateOptions configures a Gate; zero fields take the defaults.
 type GateOptions struct {
-	// Target is the least queueing delay that the gate aims at; default 20 ms.
+	// Target is the lower bound of the queueing delay that the gate aims at; default 20 ms.
 	Target clock.Duration
-	// Window is how often the threshold moves; default 50 ms.
+	// Window is the interval between updates of the threshold; default 50 ms.
 	Window clock.Duration
-	// Law is how the rate follows the measured delay.
+	// Law is the control law by which the rate follows the measured delay.
 	Law Law
 }
 
@@ -30,7 +30,7 @@
 	defaultWindow = 50 * clock.Millisecond
 )
 
-// Gate moves one service's threshold at one delivery node; it is not safe for concurrent use.
+// Gate controls the admission threshold of one service at one delivery node; it is not safe for concurrent use.
 type Gate struct {
 	options        GateOptions
 	target         clock.Duration
@@ -39,13 +39,13 @@
 	windowStart    clock.Time
 	rateController rateController
 	open           bool
-	// urgentOverloadWindows counts the windows in a row in which urgent calls alone were too many.
+	// urgentOverloadWindows counts the consecutive windows in which urgent calls alone exceeded the rate.
 	urgentOverloadWindows int
 
 	admitted, served, delaySum, observations float64
 }
 
-// NewGate returns a gate that is open.
+// NewGate returns a gate that is open: it admits all ranks.
 func NewGate(o GateOptions) *Gate {
 	if o.Target <= 0 {
 		o.Target = defaultTarget
@@ -56,29 +56,30 @@
 	return &Gate{options: o, target: o.Target, threshold: identifier.MaxRank, open: true, rateController: newRateController(o.Law)}
 }
 
-// Observe takes a measured queueing delay; call it with every change of the queue and with ticks.
+// Observe records a measured queueing delay; it is called on every change of the queue and on every tick.
 func (g *Gate) Observe(queueDelay clock.Duration, now clock.Time) {
 	g.endWindowIfDue(now)
 	g.delaySum += float64(queueDelay)
 	g.observations++
 }
 
-// maxTarget bounds the queue of a service whose callers have time.
+// maxTarget is the upper bound of the target delay, which limits the queue of a service whose callers set long deadlines.
 const maxTarget = clock.Second
 
-// SetTarget takes over the queueing delay that chance alone causes (the limiter's ExpectedDelay). Below it the
-// gate would refuse calls of a service that has room; how one would notice: refusals at 80% load.
+// SetTarget sets the target to the queueing delay that random arrivals cause below capacity (the limiter's
+// ExpectedDelay). With a lower target the gate would refuse calls of a service with spare capacity, for instance at 80%
+// utilization.
 func (g *Gate) SetTarget(d clock.Duration) {
 	g.target = min(max(d, g.options.Target), maxTarget)
 }
 
-// Served counts a call handed to the backend server; the gate learns from it what the service can take.
+// Served counts a call dispatched to the backend server; the capacity estimate is based on these counts.
 func (g *Gate) Served(now clock.Time) {
 	g.endWindowIfDue(now)
 	g.served++
 }
 
-// Admit tells whether a call of the given rank may enter the queue, and counts it.
+// Admit counts a call of the given rank and reports whether it may enter the queue.
 func (g *Gate) Admit(r identifier.Rank, now clock.Time) bool {
 	g.endWindowIfDue(now)
 	g.demand.count(r)
@@ -89,19 +90,20 @@
 	return true
 }
 
-// Threshold returns the highest rank taken.
+// Threshold returns the highest rank that is admitted.
 func (g *Gate) Threshold() identifier.Threshold {
 	return g.threshold
 }
 
 const (
-	// minServed calls make a window; with fewer, chance would move the threshold up and down.
+	// minServed is how many served calls a window needs; with fewer, random variation would make the threshold oscillate.
 	minServed = 10
-	// maxExtraWindows is by how many windows one is lengthened to get them.
+	// maxExtraWindows is by how many window lengths a window is extended at most to reach minServed.
 	maxExtraWindows = 3
 )
 
-// endWindowIfDue ends the window when it is time; a long silence counts as many windows at once.
+// endWindowIfDue ends the current window if it has lasted long enough; after a long time without calls, it counts as
+// several windows.
 func (g *Gate) endWindowIfDue(now clock.Time) {
 	passed := now.Sub(g.windowStart)
 	if passed < g.options.Window {
@@ -114,7 +116,7 @@
 	g.windowStart = now
 }
 
-// openingMargin is how far demand must be below the rate for the gate to open.
+// openingMargin is the fraction of the rate that demand must stay below for the gate to open.
 const openingMargin = 0.97
 
 func (g *Gate) endWindow(windows float64) {
@@ -148,11 +150,12 @@
 	g.threshold = g.protectUrgent(g.demand.quantile(rate))
 }
 
-// maxUrgentOverloadWindows is how many windows urgent calls alone must be too many before some of them are refused.
+// maxUrgentOverloadWindows is how many consecutive windows urgent calls alone may exceed the rate before some of them are
+// refused.
 const maxUrgentOverloadWindows = 10
 
-// protectUrgent keeps a short peak from refusing urgent calls. A threshold among the urgent ranks while other
-// calls were still queued would refuse urgent calls for the sake of a queue that they do not wait in.
+// protectUrgent keeps the threshold above all urgent ranks during short peaks. While calls of lower priority are still
+// queued, refusing urgent calls would not help, since urgent calls do not wait behind them.
 func (g *Gate) protectUrgent(t identifier.Threshold) identifier.Threshold {
 	if t > maxUrgentRank {
 		g.urgentOverloadWindows = 0
--- a/internal/admitter/overload_test.go
+++ b/internal/admitter/overload_test.go
@@ -12,7 +12,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/limiter"
 )
 
-// during is in from second a to b, and out at any other time.
+// during returns a function of time that has the value in from second a to b, and out at any other time.
 func during(a, b clock.Time, in, out float64) func(clock.Time) float64 {
 	return func(t clock.Time) float64 {
 		if t >= a*1000 && t < b*1000 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// surge has a service of 2000 calls a second that gets 1800, and 6000 from second 5 to 10.
+// surge has a service with a capacity of 2000 calls a second. It receives 1800, and 6000 from second 5 to 10.
 func surge() scenario {
 	return scenario{
 		seconds: 16, frontSlots: 100, frontWork: 50, callerTimeout: 500,
@@ -30,15 +30,15 @@
 	}
 }
 
-// small has a service of 200 calls a second that gets 160, and 600 from second 5 to 10.
+// small has a service with a capacity of 200 calls a second. It receives 160, and 600 from second 5 to 10.
 func small() scenario {
 	s := surge()
 	s.frontSlots, s.frontWork, s.load = 20, 100, during(5, 10, 600, 160)
 	return s
 }
 
-// deepSlow has 4 in 10 calls that need a deep service of 1000 calls a second, which takes 5 times as long from
-// second 5 to 25; callers retry three times at once. The front service has slots enough.
+// deepSlow has a deep service with a capacity of 1000 calls a second that 4 in 10 calls need. It takes 5 times as long
+// from second 5 to 25; callers retry three times without backoff. The front service is not overloaded.
 func deepSlow() scenario {
 	s := surge()
 	s.seconds, s.retries, s.nestingPart = 31, 3, 0.4
@@ -47,8 +47,9 @@
 	return s
 }
 
-// tiny has requests that all need a deep service of two endpoints with six slots, through two fronts and three
-// entries: where chance weighs most. It answers 480 calls a second, gets 336, and 1008 from second 5 to 10.
+// tiny has requests that all need a deep service of two endpoints with six slots each, through two front endpoints and
+// three entry nodes, so that random variation is largest. It has a capacity of 480 calls a second and receives 336, and
+// 1008 from second 5 to 10.
 func tiny() scenario {
 	s := surge()
 	s.entries, s.fronts, s.deeps, s.nestingPart, s.callerTimeout = 3, 2, 2, 1, 1000
@@ -66,8 +67,8 @@
 	goodput, recovery, urgent, median, p99, wasted, attempts float64
 }
 
-// measure averages over seeds: goodput over ideal from a second after the trigger to its end, and recovery to
-// 95% of the goodput before it.
+// measure runs the scenario with several seeds and averages the results. goodput is relative to ideal and measured from
+// second 6 to the end of the overload; recovery is the time until 95% of the goodput before the overload is reached.
 func measure(s scenario, end, ideal float64, seeds int) metrics {
 	sum := metrics{}
 	n := float64(seeds)
@@ -85,9 +86,9 @@
 	return sum
 }
 
-// Demand triples, or a deep service slows down while callers retry hard, or both. Without control the work goes to
-// calls that time out, and goes on doing so after the cause is gone. A user notices that nothing is answered, not
-// even bulletins, and that this outlasts the cause.
+// Demand triples, or a deep service slows down while callers retry without backoff, or both. Without admission control
+// the capacity is spent on calls that time out, even urgent calls get no answer, and retries keep the service overloaded
+// after the cause is gone (a metastable failure).
 func TestGoodputAndRecovery(t *testing.T) {
 	hard := func(s *scenario) { s.retries = 3 }
 	for name, c := range map[string]struct {
@@ -146,8 +147,8 @@
 	}
 }
 
-// Calls come in clusters by chance, also when there is room for all. A gate that takes each cluster for overload
-// refuses calls for nothing; a small congregation notices refusals on an ordinary day.
+// Random arrivals come in bursts, also below capacity. A gate that treats each burst as overload refuses calls that the
+// service could have served.
 func TestRefusesNothingBelowCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
 		slots         int
@@ -192,7 +193,7 @@
 	b.ReportMetric(f.wasted, "wasted/s")
 }
 
-// BenchmarkPolicies compares the variants under the same load: go test -bench Policies -benchtime 1x.
+// BenchmarkPolicies compares control laws and queue orders under the same load: go test -bench Policies -benchtime 1x.
 func BenchmarkPolicies(b *testing.B) {
 	for _, c := range []struct {
 		name   string
--- a/internal/admitter/ratecontroller.go
+++ b/internal/admitter/ratecontroller.go
@@ -1,30 +1,34 @@
-// How many calls a gate lets through is a policy of its own, so that laws can be compared under the same load.
+// The control law that determines how many calls a gate admits is separate from the gate, so that laws can be compared
+// under the same load.
 //
-// Example: 100 calls a window served while calls wait, delay at its target: CapacityLaw lets 100 through; at no
-// delay 120, at twice the target 80.
+// Example: 100 calls per window were served while calls were queued. With the delay at its target, CapacityLaw admits
+// 100; with no delay 120, with twice the target 80.
 
 package admitter
 
-// Law names how a gate's rate follows the measured delay.
+// Law is a control law by which a gate's rate follows the measured queueing delay.
 type Law uint8
 
-// The laws.
+// The control laws.
 const (
-	// CapacityLaw measures what is served while calls wait, and holds the queue at its target around that.
+	// CapacityLaw estimates the capacity from the calls served while others are queued, and sets the rate around that
+	// estimate so that the delay stays at its target.
 	CapacityLaw Law = iota
-	// StepLaw takes a fixed step down in a window with too much delay and a fixed step up in any other.
+	// StepLaw lowers the rate by a fixed factor after a window above the target delay, and raises it by one otherwise.
 	StepLaw
-	// AdditiveLaw adds a little in a window with little delay, and cuts by the excess in any other.
+	// AdditiveLaw lowers the rate in proportion to the excess delay after a window above the target, and otherwise
+	// raises it additively.
 	AdditiveLaw
 )
 
-// window is what one window showed, each count for a window of ordinary length, delay in parts of the target.
+// window holds the measurements of one window: counts scaled to the configured window length, and the delay as a multiple
+// of the target.
 type window struct {
 	admitted, served, delay float64
 	open                    bool
 }
 
-// rateController is the policy for how many calls a window pass the gate.
+// rateController computes how many calls per window a gate admits.
 type rateController interface {
 	learn(w window)
 	rate(delay float64) float64
@@ -41,37 +45,37 @@
 	}
 }
 
-// minRate in calls a window keeps a gate probing when nothing at all was served.
+// minRate, in calls per window, lets a gate continue to probe the service when no call was served.
 const minRate = 0.5
 
-// capacityController is CapacityLaw.
+// capacityController implements CapacityLaw.
 type capacityController struct {
 	capacity float64
-	// windowsWithoutQueue counts the windows in a row in which a gate that is not open saw no queue.
+	// windowsWithoutQueue counts the consecutive windows without queueing delay while the gate was not open.
 	windowsWithoutQueue float64
-	// servedReported tells that the gate is told what is served.
+	// servedReported is set once the owner of the gate has called Served.
 	servedReported bool
 }
 
 const (
-	// maxWindowWeight is the most that one window weighs in the capacity.
+	// maxWindowWeight is the upper bound of one window's weight in the smoothed capacity.
 	maxWindowWeight = 0.3
-	// averagedCalls is over how many served calls the capacity is averaged.
+	// averagedCalls is the number of served calls over which the capacity is averaged.
 	averagedCalls = 200
-	// probeStep is by how much the first window without a queue raises the capacity while the gate is not open;
-	// each further window does so by as much more, up to maxProbe.
+	// probeStep is the fraction by which the first window without queueing delay raises the capacity while the gate is
+	// not open; the fraction grows by probeStep with each further such window, up to maxProbe.
 	probeStep = 0.1
 	maxProbe  = 0.3
-	// gain is by how much the rate exceeds the capacity at no delay, and falls for each target of delay.
+	// gain is the fraction by which the rate exceeds the capacity at no delay, and by which it falls per target of delay.
 	gain = 0.2
-	// minRateFactor is the least part of the capacity that is let through.
+	// minRateFactor is the lower bound of the rate as a fraction of the capacity.
 	minRateFactor = 0.5
-	// assumedServedShare of what was admitted counts as served where the gate is not told.
+	// assumedServedShare is the fraction of the admitted calls that count as served if Served is never called.
 	assumedServedShare = 0.95
 )
 
-// learn measures the capacity: what is served while calls wait. Without a queue the same figure would only
-// tell how many calls the gate itself let through, and each cut would justify the next one.
+// learn updates the capacity estimate from the number of calls served while others were queued. Without a queue that
+// number only reflects how many calls the gate admitted, and each reduction of the rate would cause the next one.
 func (c *capacityController) learn(w window) {
 	served := w.served
 	c.servedReported = c.servedReported || served > 0
@@ -98,7 +102,7 @@
 	return c.capacity * max(minRateFactor, 1+gain*(1-delay))
 }
 
-// stepController is StepLaw.
+// stepController implements StepLaw.
 type stepController struct {
 	lastAdmitted float64
 }
@@ -119,7 +123,7 @@
 	return s.lastAdmitted * stepUpFactor
 }
 
-// additiveController is AdditiveLaw.
+// additiveController implements AdditiveLaw.
 type additiveController struct {
 	limit float64
 }
--- a/internal/admitter/shares.go
+++ b/internal/admitter/shares.go
@@ -1,8 +1,8 @@
-// A team whose calls come in at many nodes looks small at each of them. Ranked by that, it would get as many times
-// its fair share as it has entries, at the cost of the others. The node that delivers the calls sees where they
-// come from, and tells each entry its part of the team's calls with the answer.
+// A team whose calls enter at several nodes has only a part of its call rate at each of them. With ranks computed from
+// that part, it would get several times its fair share, at the cost of the other teams. The delivery node counts from
+// which entry node each call came and returns to each entry node, with the answer, its share of the team's calls.
 //
-// Example: of a team's recent calls 30 came from entry a and 10 from entry b: a is told 192 of 255, b 64.
+// Example: of a team's recent calls 30 came from entry node a and 10 from b: a gets 192 of 255, b 64.
 
 package admitter
 
@@ -13,8 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Shares measures, at a delivery node, from which entries each team's calls come; it is not safe for concurrent
-// use.
+// Shares counts, at a delivery node, each team's recent calls by entry node; it is not safe for concurrent use.
 type Shares struct {
 	timeConstant   clock.Duration
 	totals         map[identifier.Team]*decayingCount
@@ -34,13 +33,13 @@
 }
 
 const (
-	// idleTimeConstants is after how many memories without a call an entry is forgotten.
+	// idleTimeConstants is the number of time constants without a call after which an entry node's count is evicted.
 	idleTimeConstants = 4
-	// evictionScanSize is how many entries each call looks at to find those.
+	// evictionScanSize is how many counts each call checks for eviction.
 	evictionScanSize = 2
 )
 
-// NewShares returns shares without a call.
+// NewShares returns a Shares that has counted no call.
 func NewShares(o FairnessOptions) *Shares {
 	return &Shares{
 		timeConstant: o.withDefaults().TimeConstant,
@@ -49,8 +48,8 @@
 	}
 }
 
-// CountCall counts an admitted call that came straight from its entry, and returns that entry's part of the team's
-// calls for the answer to carry; 255 is all.
+// CountCall counts an admitted call that was not nested, and returns its entry node's share of the team's calls, to be
+// sent with the answer; 255 stands for all of them.
 func (s *Shares) CountCall(team identifier.Team, entry identifier.Node, now clock.Time) uint8 {
 	s.evictIdle(now)
 	total, ok := s.totals[team]
@@ -71,12 +70,13 @@
 	return uint8(math.Ceil(math.MaxUint8 * min(1, entryCount.count/total.count)))
 }
 
-// Len returns how many pairs of team and entry are counted.
+// Len returns the number of pairs of team and entry node that have a count.
 func (s *Shares) Len() int {
 	return len(s.origins)
 }
 
-// evictIdle drops idle entries, a few looked at for each call, so that replaced nodes do not pile up.
+// evictIdle evicts the counts of idle entry nodes, so that replaced nodes do not accumulate. It checks only
+// evictionScanSize counts, to bound the work per call.
 func (s *Shares) evictIdle(now clock.Time) {
 	for range min(evictionScanSize, len(s.origins)) {
 		s.evictionCursor = (s.evictionCursor + 1) % len(s.origins)
@@ -92,7 +92,7 @@
 	}
 }
 
-// decayingCount is a count in which each call weighs less the older it is.
+// decayingCount is an exponentially decaying count of calls.
 type decayingCount struct {
 	count     float64
 	updatedAt clock.Time
--- a/internal/admitter/simulation_test.go
+++ b/internal/admitter/simulation_test.go
@@ -1,8 +1,8 @@
-// The gate, the board, the chain and the limiter only prove themselves together and under load. This loop
-// steps them by milliseconds: seeded arrivals at entry nodes, a front service with some endpoints, and a deep
-// service that some routes need. All are plain queues in front of slots; there are no processes and no network.
+// This file simulates the gate, the threshold cache, the chain and the limiter together under load, in steps of a
+// millisecond: random arrivals from a seed at entry nodes, a front service with one or more endpoints, and a deep service
+// that some routes call. Endpoints are queues in front of slots; there are no processes and no network.
 //
-// Example: run(surge(), 1).good holds the good answers of each 100 ms.
+// Example: run(surge(), 1).good holds the number of successful answers in each 100 ms.
 
 package admitter_test
 
@@ -29,7 +29,8 @@
 	nestingRoute    = admitter.Route(2)
 )
 
-// scenario is what happens; load and slow are functions of the time.
+// scenario describes a simulated run. load is the arrival rate per second and deepSlowdown the factor of the deep
+// service's working time, both as functions of time; times of work are means in milliseconds.
 type scenario struct {
 	seconds, retries    int
 	frontSlots          int
@@ -42,17 +43,18 @@
 	gate                admitter.GateOptions
 	limit               limiter.Options
 	noGate              bool
-	// entries counts the nodes that take callers in, fronts and deeps the endpoints of the services; default 1.
+	// entries is the number of entry nodes, fronts and deeps the numbers of endpoints of the services; default 1.
 	entries, fronts, deeps int
-	// firstFrontSlowdown is how many times as long the first front endpoint works; default 1.
+	// firstFrontSlowdown is the factor of the first front endpoint's working time; default 1.
 	firstFrontSlowdown float64
-	// rank gives a call its rank; nil draws priorities 5% urgent, 15% high, 60% normal, 20% low.
+	// rank assigns a rank to a call; nil draws priorities: 5% urgent, 15% high, 60% normal, 20% low.
 	rank func(*rand.Rand, clock.Time) (identifier.Rank, origin)
-	// admitted is told of each call that passed the gate of a front endpoint.
+	// admitted is called for each call that passed the gate of a front endpoint.
 	admitted func(origin, clock.Time)
 }
 
-// result is what users get.
+// result holds what callers saw: good and sent count successful answers and requests in each goodputInterval. wasted
+// counts calls that ran and failed.
 type result struct {
 	good, sent               []float64
 	urgentSent, urgentGood   float64
@@ -61,7 +63,7 @@
 	wasted, attempts         float64
 }
 
-// origin is who sent a call, and to which entry.
+// origin is the team that sent a call and the entry node that received it.
 type origin struct {
 	team, node int
 }
@@ -75,7 +77,7 @@
 	arrivedAt clock.Time
 }
 
-// entry is a node that takes callers in.
+// entry is a node in its role of sending calls to endpoints, for a caller or for its backend server's nested calls.
 type entry struct {
 	thresholds *admitter.ThresholdCache
 	router     *router.Router
@@ -97,6 +99,7 @@
 	out     []limiter.Verdict
 }
 
+// visit is one attempt of a request at one endpoint.
 type visit struct {
 	request *request
 	hop     *hop
@@ -177,7 +180,7 @@
 	}
 }
 
-// addHop adds an endpoint of a service and makes it known to the nodes that call the service.
+// addHop adds an endpoint of a service and registers it with the routers of the nodes that call the service.
 func (w *simulation) addHop(service identifier.Service, slots int, callers []entry, work func() float64) *hop {
 	o := w.limit
 	o.Slots = slots
@@ -202,7 +205,7 @@
 	return n
 }
 
-// erlang draws a working time of mean 1, less spread than an exponential one.
+// erlang draws a working time from an Erlang distribution of mean 1, which varies less than an exponential one.
 func (w *simulation) erlang() float64 {
 	return (w.rand.ExpFloat64() + w.rand.ExpFloat64() + w.rand.ExpFloat64() + w.rand.ExpFloat64()) / 4
 }
@@ -226,7 +229,7 @@
 	w.send(q)
 }
 
-// send is the caller, who retries hard, without back-off, as often as the scenario says.
+// send simulates the caller, who retries immediately, without backoff, up to scenario.retries times.
 func (w *simulation) send(q *request) {
 	e := w.entries[w.rand.IntN(len(w.entries))]
 	again := func() {
@@ -248,7 +251,7 @@
 	})
 }
 
-// forward is one attempt of a node; what a single endpoint refused goes to another one, once.
+// forward simulates an attempt of a node; a call that one endpoint refused is sent to another one, once.
 func (w *simulation) forward(e entry, to identifier.Service, q *request, refused []identifier.Endpoint, answer func(ok, ran bool)) {
 	w.attempts++
 	if refused == nil {
@@ -287,12 +290,12 @@
 	}
 }
 
-// settled tells that the call is urgent and came early enough to be answered within the run.
+// settled reports whether the call is urgent and arrived early enough to be answered before the run ends.
 func (w *simulation) settled(q *request) bool {
 	return q.rank.Priority() == identifier.Urgent && q.arrivedAt < clock.Time(w.seconds*1000-2000)
 }
 
-// nest is what the front service does after its own work: some routes need the deep service.
+// nest simulates the front service after its own work: calls of nestingRoute call the deep service.
 func (w *simulation) nest(v *visit) {
 	q := v.request
 	if q.route == plainRoute {
@@ -380,7 +383,7 @@
 	v.answer(o == limiter.Succeeded, true)
 }
 
-// between returns the mean of the slices from second a to second b, per second.
+// between returns the mean per second of the intervals from second a to second b.
 func between(slices []float64, a, b float64) float64 {
 	sum := 0.0
 	for _, v := range slices[int(a*10):int(b*10)] {
@@ -389,7 +392,7 @@
 	return sum / (b - a)
 }
 
-// recovery returns the milliseconds from second end until half a second of goodput reaches 95% of want.
+// recovery returns the milliseconds from second end until the goodput over half a second reaches 95% of want.
 func recovery(slices []float64, end, want float64) float64 {
 	for i := int(end * 10); i+5 <= len(slices); i++ {
 		if between(slices, float64(i)/10, float64(i)/10+0.5) >= 0.95*want {
--- a/internal/admitter/thresholds.go
+++ b/internal/admitter/thresholds.go
@@ -1,9 +1,9 @@
-// A request that a deep service will refuse is refused at the entry, before any hop has worked for it. The
-// cache holds what answers told of each service's threshold. What it holds grows old: if it did not, a node
-// that refuses everything would get no answer any more and never learn that the service has recovered.
+// The cache keeps the admission threshold that each service last returned with its answers, so that a node refuses a
+// call that the service would refuse, before any hop has spent work on it. Cached thresholds expire: a node that
+// refuses all calls to a service gets no further answers from it and would otherwise never detect its recovery.
 //
 // Example: "ice" answers with threshold 40000; a call of rank 50000 is refused here for half a second after
-// the last answer, then the threshold rises to the top within a second.
+// the last answer; then the threshold rises linearly to MaxRank within a second.
 
 package admitter
 
@@ -12,23 +12,24 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Route is the place of a route among its service's routes in the preset, from 1; 0 stands for all routes.
+// Route is the index of a route among its service's routes in the preset, starting at 1; 0 stands for all routes.
 type Route uint16
 
-// ThresholdCacheOptions set a threshold cache up; zero fields take the defaults.
+// ThresholdCacheOptions configures a ThresholdCache or a Chain; zero fields take the defaults.
 type ThresholdCacheOptions struct {
-	// Hold is how long a learned threshold counts in full; default 500 ms.
+	// Hold is how long a learned threshold applies unchanged; default 500 ms.
 	Hold clock.Duration
-	// Fade is how long it then takes to open; default 1 s.
+	// Fade is how long the threshold then takes to rise to MaxRank; default 1 s.
 	Fade clock.Duration
 }
 
 const (
 	defaultHold = 500 * clock.Millisecond
 	defaultFade = clock.Second
-	// settleTime is how long answers take to move a threshold most of the way.
+	// settleTime is the age at which a learned threshold is replaced entirely by the next answer; before that, answers
+	// are averaged with a weight that grows with the age.
 	settleTime = 100 * clock.Millisecond
-	// minAnswerWeight is the least weight of one answer among those of all endpoints.
+	// minAnswerWeight is the lower bound of an answer's weight in the average over all endpoints.
 	minAnswerWeight = 1.0 / 2
 )
 
@@ -53,38 +54,39 @@
 	route   Route
 }
 
-// NewThresholdCache returns a cache in which every service is open.
+// NewThresholdCache returns an empty cache, which admits all ranks for every service.
 func NewThresholdCache(o ThresholdCacheOptions) *ThresholdCache {
 	return &ThresholdCache{options: o.withDefaults(), learned: make(map[thresholdKey]learnedThreshold)}
 }
 
-// LearnThreshold takes over the threshold that an answer of the service carried for all its calls.
+// LearnThreshold updates the threshold that applies to all calls of the service, from one of its answers.
 func (b *ThresholdCache) LearnThreshold(service identifier.Service, t identifier.Threshold, now clock.Time) {
 	b.LearnRouteThreshold(service, 0, t, now)
 }
 
-// LearnRouteThreshold takes over the effective threshold that an answer carried for one route (see Chain).
+// LearnRouteThreshold updates the effective threshold of one route (see Chain), from an answer of the service.
 func (b *ThresholdCache) LearnRouteThreshold(service identifier.Service, route Route, t identifier.Threshold, now clock.Time) {
 	key := thresholdKey{service, route}
 	b.learned[key] = b.learned[key].updatedWith(t, now, b.options)
 }
 
-// Admit tells whether a call of the given rank has a chance at the service.
+// Admit reports whether the service is expected to accept a call of the given rank.
 func (b *ThresholdCache) Admit(service identifier.Service, r identifier.Rank, now clock.Time) bool {
 	return b.AdmitRoute(service, 0, r, now)
 }
 
-// AdmitRoute tells whether a call of the given rank and route has a chance at the service and all that it needs.
+// AdmitRoute reports whether the service and the nested services that the route needs are expected to accept a call of
+// the given rank.
 func (b *ThresholdCache) AdmitRoute(service identifier.Service, route Route, r identifier.Rank, now clock.Time) bool {
 	return r <= b.ThresholdRoute(service, route, now)
 }
 
-// Threshold returns what is known of the service now.
+// Threshold returns the current threshold for all calls of the service.
 func (b *ThresholdCache) Threshold(service identifier.Service, now clock.Time) identifier.Threshold {
 	return b.learned[thresholdKey{service, 0}].at(now, b.options)
 }
 
-// ThresholdRoute returns what is known of one route of the service now.
+// ThresholdRoute returns the current threshold for one route: the lower of the service's and the route's.
 func (b *ThresholdCache) ThresholdRoute(service identifier.Service, route Route, now clock.Time) identifier.Threshold {
 	all := b.Threshold(service, now)
 	if route == 0 {
@@ -93,13 +95,15 @@
 	return min(all, b.learned[thresholdKey{service, route}].at(now, b.options))
 }
 
-// learnedThreshold is a threshold and when an answer last told of it; the zero value is open.
+// learnedThreshold is a threshold and the time of the last answer that updated it; the zero value admits all ranks.
 type learnedThreshold struct {
 	threshold float64
 	learnedAt clock.Time
 	known     bool
 }
 
+// updatedWith returns the average of the threshold so far and the one of a new answer. The new answer weighs at least
+// minAnswerWeight, and entirely replaces a threshold that is older than settleTime.
 func (l learnedThreshold) updatedWith(t identifier.Threshold, now clock.Time, o ThresholdCacheOptions) learnedThreshold {
 	before := float64(l.at(now, o))
 	weight := minAnswerWeight
@@ -115,6 +119,7 @@
 	}
 }
 
+// at returns the threshold at a given time: unchanged during Hold, then rising linearly to MaxRank during Fade.
 func (l learnedThreshold) at(now clock.Time, o ThresholdCacheOptions) identifier.Threshold {
 	if !l.known {
 		return identifier.MaxRank
