--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -109,9 +109,9 @@
 }
 
 func checkRegions(field string, regions []identifier.Region, known map[identifier.FailureDomain]identifier.Region) error {
-	there := slices.Collect(maps.Values(known))
+	knownRegions := slices.Collect(maps.Values(known))
 	for _, region := range regions {
-		if !slices.Contains(there, region) {
+		if !slices.Contains(knownRegions, region) {
 			return InvalidError{Field: field, Value: string(region), Want: "a region of this deployment"}
 		}
 	}
--- a/internal/matcher/matcher_test.go
+++ b/internal/matcher/matcher_test.go
@@ -76,7 +76,7 @@
 
 // A faulty configuration must be refused whole, with the field named: half of one in force would send some requests
 // nowhere.
-func TestFaultyConfigurationIsRefused(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	tests := map[string]struct {
 		change func(*Configuration)
 		field  string
