--- a/internal/matcher/doc.go
+++ b/internal/matcher/doc.go
@@ -1,2 +1,3 @@
-// Package matcher holds the configuration of routes and teams, and finds the route of a request and the team of a key.
+// Package matcher holds the configuration of routes and teams, and looks up the route of a request and the team of an
+// API key.
 package matcher
--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -1,7 +1,7 @@
 package matcher
 
-// Each request is matched once, on the hot path, so the configuration is indexed when it arrives: routes by host with
-// the longest prefix first, teams by the hash of their keys.
+// Every request is matched on the hot path, so a configuration is indexed once when it arrives: routes by host with the
+// longest prefix first, teams by the hash of their keys.
 //
 // Example: with prefixes "/a/" and "/a/b/", the path "/a/b/c" belongs to "/a/b/" and "/a/bc" to "/a/".
 
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Matcher finds routes and teams in one configuration; it never changes and is safe for concurrent use.
+// Matcher looks up routes and teams in one configuration; it is immutable and safe for concurrent use.
 type Matcher struct {
 	configuration Configuration
 	hosts         map[string][]*Route
@@ -23,19 +23,19 @@
 	services      map[identifier.Service]Service
 }
 
-// InvalidError names the field of a configuration that can't be put in force.
+// InvalidError names the invalid field of a configuration that is therefore rejected.
 type InvalidError struct {
 	Field string
 	Value string
 	Want  string
 }
 
-// Error names the field, its value and what was wanted.
+// Error names the field, its value and what was expected.
 func (e InvalidError) Error() string {
 	return fmt.Sprintf("%s is %q: want %s", e.Field, e.Value, e.Want)
 }
 
-// New checks and indexes a configuration.
+// New validates and indexes a configuration.
 func New(c Configuration) (*Matcher, error) {
 	if err := check(c); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 			return InvalidError{
 				Field: "cold start of service " + string(s.Name),
 				Value: fmt.Sprintf("%d ms at %v a second", s.ColdStart, s.ColdRate),
-				Want:  "none below zero",
+				Want:  "a duration and a rate of at least zero",
 			}
 		}
 	}
@@ -87,13 +87,13 @@
 			return InvalidError{Field: "team", Want: "a name"}
 		}
 		if t.Rate < 0 || t.Burst < 0 {
-			return InvalidError{Field: "rate of team " + string(t.Name), Value: fmt.Sprint(t.Rate), Want: "none below zero"}
+			return InvalidError{Field: "rate of team " + string(t.Name), Value: fmt.Sprint(t.Rate), Want: "a rate and a burst of at least zero"}
 		}
 	}
 	return nil
 }
 
-// CheckRegions tells of a region that a route or a team is bound to and that is none of the known ones.
+// CheckRegions returns an error if a route or a team is restricted to a region to which no known failure domain belongs.
 func (m *Matcher) CheckRegions(known map[identifier.FailureDomain]identifier.Region) error {
 	for _, r := range m.configuration.Routes {
 		if err := checkRegions("regions of route "+r.Name, r.Regions, known); err != nil {
@@ -135,12 +135,12 @@
 			return InvalidError{Field: field("service"), Value: string(p.Service), Want: "a service of this configuration"}
 		}
 		if p.Weight < 0 {
-			return InvalidError{Field: field("weight"), Value: fmt.Sprint(p.Weight), Want: "none below zero"}
+			return InvalidError{Field: field("weight"), Value: fmt.Sprint(p.Weight), Want: "a weight of at least zero"}
 		}
 		total += p.Weight
 	}
 	if total == 0 {
-		return InvalidError{Field: field("weight"), Value: "0", Want: "a part with a weight"}
+		return InvalidError{Field: field("weight"), Value: "0", Want: "at least one service with a weight above zero"}
 	}
 	return nil
 }
@@ -150,12 +150,12 @@
 	return m.configuration.Version
 }
 
-// Configuration returns what the matcher was made from.
+// Configuration returns the configuration that the matcher was created from.
 func (m *Matcher) Configuration() Configuration {
 	return m.configuration
 }
 
-// Match returns the route with the longest prefix of the path on the host.
+// Match returns the route of the host with the longest prefix that matches the path.
 func (m *Matcher) Match(host, path string) (*Route, bool) {
 	for _, r := range m.hosts[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -165,7 +165,7 @@
 	return nil, false
 }
 
-// hostName drops a port and upper case, which name the same host.
+// hostName normalizes a host: it removes the port and converts to lower case.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -179,12 +179,12 @@
 	return t, ok
 }
 
-// Service returns a service, and a zero one where the configuration has none of that name.
+// Service returns the service of that name, or a zero Service if the configuration has none.
 func (m *Matcher) Service(name identifier.Service) Service {
 	return m.services[name]
 }
 
-// HasTeams tells whether callers need keys at all.
+// HasTeams reports whether the configuration has teams; without any, callers need no key.
 func (m *Matcher) HasTeams() bool {
 	return len(m.configuration.Teams) > 0
 }
--- a/internal/matcher/matcher_test.go
+++ b/internal/matcher/matcher_test.go
@@ -40,15 +40,15 @@
 		host, path string
 		want       string
 	}{
-		"longest prefix":            {"a.example", "/a/b/c", "long"},
-		"whole segments only":       {"a.example", "/a/bc", "short"},
-		"prefix without its end":    {"a.example", "/a", ""},
-		"no route":                  {"a.example", "/c/", ""},
-		"upper case and port":       {"A.Example:8080", "/a/x", "short"},
-		"root prefix":               {"b.example", "/anything", "other"},
-		"unknown host":              {"c.example", "/a/", ""},
-		"prefix of another's host":  {"b.example", "/a/b/", "other"},
-		"longest though given last": {"a.example", "/a/b/", "long"},
+		"longest prefix":             {"a.example", "/a/b/c", "long"},
+		"whole segments only":        {"a.example", "/a/bc", "short"},
+		"path without final slash":   {"a.example", "/a", ""},
+		"no route":                   {"a.example", "/c/", ""},
+		"upper case and port":        {"A.Example:8080", "/a/x", "short"},
+		"root prefix":                {"b.example", "/anything", "other"},
+		"unknown host":               {"c.example", "/a/", ""},
+		"prefix of another host":     {"b.example", "/a/b/", "other"},
+		"longest prefix listed last": {"a.example", "/a/b/", "long"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,8 +74,8 @@
 	assert.Assert(t, m.HasTeams())
 }
 
-// A faulty configuration must be refused whole, with the field named: half of one in force would send some requests
-// nowhere.
+// An invalid configuration must be rejected entirely, with an error that names the field: if a part of it were applied,
+// some requests would have no service to go to.
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	tests := map[string]struct {
 		change func(*Configuration)
--- a/internal/matcher/types.go
+++ b/internal/matcher/types.go
@@ -1,7 +1,7 @@
 package matcher
 
-// A configuration arrives whole, in one version, from the operators' store. These types say what it means; how it is
-// written there is the codec's matter.
+// A configuration is read from the operators' store as one complete version. These types are its decoded form; the stored
+// format is defined by the codec.
 //
 // Example: Route{Host: "a.example", Prefix: "/obs/", Parts: []Part{{"portal", 90}, {"portal2", 10}}}
 
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Kind says how often one request may run.
+// Kind determines how often one request may run.
 type Kind uint8
 
 // The kinds of requests.
@@ -19,17 +19,17 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run again.
 	Idempotent
-	// Upload requests have long bodies and run at most once.
+	// Upload requests have large bodies and run at most once.
 	Upload
 )
 
-// Part is one service of a split and its weight.
+// Part is one service of a route that is split among services by weight.
 type Part struct {
 	Service identifier.Service
 	Weight  int
 }
 
-// Route says where requests of a host and path prefix go, and how.
+// Route determines which services handle the requests for a host and path prefix, and under which limits.
 type Route struct {
 	Name   string
 	Host   string
@@ -37,47 +37,47 @@
 	// Parts has one entry for an unsplit route.
 	Parts []Part
 	Kind  Kind
-	// Timeout bounds the whole request; Objective is the latency that callers were promised.
+	// Timeout is the upper bound for the whole request; Objective is the latency promised to callers (the SLO).
 	Timeout   clock.Duration
 	Objective clock.Duration
 	// Rank is 0 for the most important requests.
 	Rank int
-	// Attempts is the largest number of endpoints that one request may be sent to.
+	// Attempts is the maximum number of endpoints that one request may be sent to.
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// Regions are those whose endpoints may run its requests; empty allows all.
+	// Regions are the regions whose endpoints may run the route's requests; empty allows all.
 	Regions []identifier.Region
 }
 
-// Team is a tenant with its keys and the rate that it bought.
+// Team is a tenant with its keys and its rate limit.
 type Team struct {
 	Name identifier.Team
 	Keys []string
-	// Rank goes before the route's when HasRank is set.
+	// Rank overrides the route's rank if HasRank is set.
 	Rank    int
 	HasRank bool
-	// Rate is in requests a second, Burst in requests; a Rate of 0 is unlimited.
+	// Rate is in requests per second, Burst in requests; a Rate of 0 is unlimited.
 	Rate  float64
 	Burst float64
-	// Regions are those whose endpoints may run its requests; empty allows all.
+	// Regions are the regions whose endpoints may run the team's requests; empty allows all.
 	Regions []identifier.Region
 }
 
-// Service is a service that routes name.
+// Service is a service that routes refer to.
 type Service struct {
 	Name identifier.Service
-	// Connections is how many connections one endpoint takes from all nodes together; 0 is unlimited.
+	// Connections is the number of connections that one endpoint accepts from all nodes together; 0 is unlimited.
 	Connections int
-	// HealthPath is where its endpoints answer how they fare.
+	// HealthPath is the path at which the service's endpoints answer health checks.
 	HealthPath string
-	// ColdStart is how long an endpoint is cold after its start, ColdRate how many requests a second it bears meanwhile; a
-	// ColdRate of 0 tells of no such bound.
+	// ColdStart is how long an endpoint is cold after its start, ColdRate how many requests per second it can serve during
+	// that time; a ColdRate of 0 sets no such limit.
 	ColdStart clock.Duration
 	ColdRate  float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits are upper bounds for the size of a caller's request and for the time that it may take to send it.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
