--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -110,13 +110,13 @@
 // A call whose goroutine has gone gets no mail; that is no fault, since an effect and the end of its call may
 // cross. A full mailbox would mean that the reducer repeats itself; dropping is better than a lock held forever.
 func (p *Performer) post(e reducer.CallEffect) {
-	box, ok := p.mailboxes[e.For()]
+	box, ok := p.mailboxes[e.Recipient()]
 	if !ok {
 		return
 	}
 	select {
 	case box <- e:
 	default:
-		p.outside.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.For())}})
+		p.outside.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.Recipient())}})
 	}
 }
--- a/internal/reducer/attempt.go
+++ b/internal/reducer/attempt.go
@@ -18,30 +18,30 @@
 func (s *State) forward(c *call) {
 	if c.parent == nil {
 		if _, ok := s.configurer.Resolve(c.keyHash); !ok {
-			s.abandonID(c)
+			s.abandonPermit(c)
 			s.refuse(c, Refusal{Reason: UnknownKey})
 			return
 		}
 	}
 	left := c.deadline.Sub(s.now)
 	if left <= 0 {
-		s.abandonID(c)
+		s.abandonPermit(c)
 		s.refuse(c, Refusal{Reason: DeadlinePassed})
 		return
 	}
-	if s.search(c) {
+	if s.waitForEndpoints(c) {
 		return
 	}
 	e, ok := s.router.Pick(c.service, s.now, c.excluded)
 	if !ok {
-		s.abandonID(c)
-		s.refuse(c, Refusal{Reason: c.noneLeft(), RetryAfter: s.backOff()})
+		s.abandonPermit(c)
+		s.refuse(c, Refusal{Reason: c.noEndpointReason(), RetryAfter: s.randomRetryAfter()})
 		return
 	}
 	c.attempt++
 	c.endpoint = e.ID
 	c.sentAt = s.now
-	c.carried = c.budget.Portion()
+	c.attemptAllowance = c.budget.Portion()
 	if c.attempt == 1 {
 		s.damper.First(c.service, s.now)
 	}
@@ -57,20 +57,20 @@
 		KeyHash:    c.keyHash,
 		Rank:       c.rank,
 		Deadline:   left,
-		Allowance:  c.carried,
+		Allowance:  c.attemptAllowance,
 		Depth:      c.depth,
 		Attempt:    c.attempt,
 		Idempotent: c.idempotent,
 		MaxBody:    c.maxBody,
-		Record:     c.owned,
+		Record:     c.hasPermit,
 	})
 }
 
-// noneLeft is the reason where no endpoint can be tried. After an attempt that may have run it is the lost answer that
+// noEndpointReason is the reason where no endpoint can be tried. After an attempt that may have run it is the lost answer that
 // the caller has to know of; "no backend server" would read as if nothing had happened. After a refusal it is that one:
 // a service whose only endpoint is full is overloaded, not gone.
-func (c *call) noneLeft() Reason {
-	if c.maybeRun {
+func (c *call) noEndpointReason() Reason {
+	if c.mayHaveRun {
 		return LostAnswer
 	}
 	if c.lastReason != "" {
@@ -85,21 +85,21 @@
 	if !ok {
 		return
 	}
-	s.learn(c, e.Tail)
+	s.learnFromTail(c, e.Tail)
 	if e.Phase == NotSent {
 		// What never left this node cannot have spent any of the allowance that was to go with it.
-		c.budget.Return(c.carried, c.carried)
+		c.budget.Return(c.attemptAllowance, c.attemptAllowance)
 	}
 	s.endAttempt(c, attemptOutcome(e), e.Tail)
 	if e.Relayed && e.Whole {
-		s.finishID(c, e.Outcome)
+		s.reportOutcome(c, e.Outcome)
 		s.record(c, "answered", s.options.Self)
 		s.emit(Finished{Call: c.id})
-		s.forget(c)
+		s.forgetCall(c)
 		return
 	}
 	if e.Phase == Sent || (e.Phase == Answered && (e.Refusal == nil || !e.Refusal.NotRun)) {
-		c.maybeRun = true
+		c.mayHaveRun = true
 	}
 	if s.retry(c, e) {
 		return
@@ -107,20 +107,20 @@
 	s.giveUp(c, e)
 }
 
-// learn keeps what the answer says of the service. A nested call's parent learns it as well, so that its own
+// learnFromTail keeps what the answer says of the service. A nested call's parent learns it as well, so that its own
 // callers are told what the whole chain can take.
-func (s *State) learn(c *call, t *Tail) {
+func (s *State) learnFromTail(c *call, t *Tail) {
 	if t == nil {
 		return
 	}
-	c.budget.Return(t.Allowance, c.carried)
-	s.board.LearnRouteThreshold(c.service, c.route, t.Threshold, s.now)
+	c.budget.Return(t.Allowance, c.attemptAllowance)
+	s.thresholds.LearnRouteThreshold(c.service, c.route, t.Threshold, s.now)
 	s.damper.Learn(c.service, t.RetryRatio, s.now)
 	if t.Share > 0 {
 		s.fairness.LearnShare(c.team, t.Share, s.now)
 	}
 	if c.parent != nil {
-		c.parent.note(c, t.Threshold, s.now)
+		c.parent.learnThreshold(c, t.Threshold, s.now)
 	}
 }
 
@@ -152,7 +152,7 @@
 }
 
 func (s *State) retry(c *call, e *AnswerEnded) bool {
-	if e.Relayed || e.TooLarge || e.TimedOut || !e.Replayable || s.leavesNoTime(c) {
+	if e.Relayed || e.TooLarge || e.TimedOut || !e.Replayable || s.noTimeToRetry(c) {
 		return false
 	}
 	may := retrier.MayRetry(retrier.Attempt{
@@ -176,7 +176,7 @@
 // minTimeForRetry is less than any useful answer takes.
 const minTimeForRetry = 2 * clock.Millisecond
 
-func (s *State) leavesNoTime(c *call) bool {
+func (s *State) noTimeToRetry(c *call) bool {
 	return c.deadline.Sub(s.now) < minTimeForRetry
 }
 
@@ -219,8 +219,8 @@
 
 // giveUp ends a call whose last attempt failed. The refusal is "not run" only if no attempt at all may have run.
 func (s *State) giveUp(c *call, e *AnswerEnded) {
-	s.abandonID(c)
-	r := Refusal{RetryAfter: s.backOff()}
+	s.abandonPermit(c)
+	r := Refusal{RetryAfter: s.randomRetryAfter()}
 	switch {
 	case e.TooLarge:
 		r.Reason = BodyTooLarge
@@ -229,7 +229,7 @@
 		r.Reason = e.Refusal.Reason
 		r.RetryAfter = e.Refusal.RetryAfter
 		r.DecidedBy = e.Refusal.DecidedBy
-	case e.TimedOut || s.leavesNoTime(c):
+	case e.TimedOut || s.noTimeToRetry(c):
 		r.Reason = DeadlinePassed
 	case e.Phase == NotSent:
 		r.Reason = Unreachable
--- a/internal/reducer/backends.go
+++ b/internal/reducer/backends.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// heartbeatBound is three missed heartbeats.
-	heartbeatBound = 1500 * clock.Millisecond
-	// leaveGrace is how long calls that were already on their way to a leaving backend server are still taken.
-	leaveGrace = clock.Second
-	loadUnit   = 1000
+	// heartbeatTimeout is three missed heartbeats.
+	heartbeatTimeout = 1500 * clock.Millisecond
+	// leavingGracePeriod is how long calls that were already on their way to a leaving backend server are still taken.
+	leavingGracePeriod = clock.Second
+	loadPerSlot        = 1000
 )
 
 type backend struct {
-	id          identifier.Endpoint
-	service     identifier.Service
-	slots       int
-	connections int
-	limiter     *limiter.Limiter
-	gate        *admitter.Gate
-	chain       *admitter.Chain
-	meter       retrier.Meter
-	shares      *admitter.Shares
-	heardAt     clock.Time
-	leaving     bool
-	leavingAt   clock.Time
+	id            identifier.Endpoint
+	service       identifier.Service
+	slots         int
+	connections   int
+	limiter       *limiter.Limiter
+	gate          *admitter.Gate
+	chain         *admitter.Chain
+	meter         retrier.Meter
+	shares        *admitter.Shares
+	lastHeartbeat clock.Time
+	leaving       bool
+	leavingAt     clock.Time
 }
 
 func (b *backend) refusesNew(now clock.Time) bool {
-	return b.leaving && now.Sub(b.leavingAt) > leaveGrace
+	return b.leaving && now.Sub(b.leavingAt) > leavingGracePeriod
 }
 
 // A call that the limiter shed on a leaving backend server can go to another at once; otherwise its queue was full.
@@ -67,10 +67,10 @@
 	b.service = e.Service
 	b.slots = e.Slots
 	b.connections = e.ConnectionLimit
-	b.heardAt = s.now
+	b.lastHeartbeat = s.now
 	b.leaving = false
 	b.limiter.SetSlots(e.Slots, s.now)
-	s.carryOut(b, b.limiter.Tick(s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Tick(s.now, s.verdicts[:0]))
 	state := gossiper.Ready
 	if e.ColdStart > 0 && !known {
 		state = gossiper.Cold
@@ -79,7 +79,7 @@
 }
 
 func (s *State) publishEndpoint(b *backend, state gossiper.EndpointState) {
-	s.gossip(s.gossiper.SetEndpoint(gossiper.Endpoint{
+	s.applyGossip(s.gossiper.SetEndpoint(gossiper.Endpoint{
 		ID:              b.id,
 		Service:         b.service,
 		Slots:           b.slots,
@@ -93,8 +93,8 @@
 	if !ok {
 		return
 	}
-	b.heardAt = s.now
-	b.limiter.Announced(float64(e.Load)/loadUnit, s.now)
+	b.lastHeartbeat = s.now
+	b.limiter.Announced(float64(e.Load)/loadPerSlot, s.now)
 }
 
 func (s *State) backendLeaving(e *BackendLeaving) {
@@ -109,7 +109,7 @@
 	}
 	b.leaving = true
 	b.leavingAt = s.now
-	s.gossip(s.gossiper.LeaveEndpoint(b.id, s.now))
+	s.applyGossip(s.gossiper.LeaveEndpoint(b.id, s.now))
 }
 
 func (s *State) sortedBackends() []*backend {
@@ -133,14 +133,14 @@
 func (s *State) tickBackend(b *backend) {
 	b.gate.SetTarget(b.limiter.ExpectedDelay())
 	b.gate.Observe(b.limiter.QueueDelay(s.now), s.now)
-	s.carryOut(b, b.limiter.Tick(s.now, s.verdicts[:0]))
-	if s.now.Sub(b.heardAt) <= heartbeatBound {
+	s.applyVerdicts(b, b.limiter.Tick(s.now, s.verdicts[:0]))
+	if s.now.Sub(b.lastHeartbeat) <= heartbeatTimeout {
 		return
 	}
 	// Calls that it still works on are left to their own fate; their connections tell.
 	b.limiter.Drain()
-	s.carryOut(b, b.limiter.Tick(s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Tick(s.now, s.verdicts[:0]))
 	delete(s.backends, b.id)
-	s.gossip(s.gossiper.RemoveEndpoint(b.id, s.now))
+	s.applyGossip(s.gossiper.RemoveEndpoint(b.id, s.now))
 	s.emit(Log{Message: "backend server silent, removed", Fields: []any{"endpoint", string(b.id)}})
 }
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -43,28 +43,28 @@
 	depth       uint8
 
 	// parent is the delivery that a nested call belongs to, and portion what it took of its allowance.
-	parent  *delivery
-	portion uint8
+	parent              *delivery
+	allowanceFromParent uint8
 
-	budget   retrier.Budget
-	carried  uint8
-	attempt  uint16
-	endpoint identifier.Endpoint
+	budget           retrier.Budget
+	attemptAllowance uint8
+	attempt          uint16
+	endpoint         identifier.Endpoint
 	// lastEndpoint is where the attempt before went.
 	lastEndpoint identifier.Endpoint
 	// lastReason is why the attempt before was refused, if it was.
 	lastReason Reason
 	sentAt     clock.Time
 	excluded   []identifier.Endpoint
-	// maybeRun is set once any attempt may have started at a backend server.
-	maybeRun bool
-	// owned is set once the owner of the idempotency id let the call run.
-	owned bool
-	// asking is set while the owner is being asked.
-	asking bool
-	// searchUntil is set once the call has waited for endpoints of its service.
-	searchUntil clock.Time
-	payment     granter.Paid
+	// mayHaveRun is set once any attempt may have started at a backend server.
+	mayHaveRun bool
+	// hasPermit is set once the owner of the idempotency id let the call run.
+	hasPermit bool
+	// awaitingOwner is set while the owner is being asked.
+	awaitingOwner bool
+	// endpointWaitUntil is set once the call has waited for endpoints of its service.
+	endpointWaitUntil clock.Time
+	payment           granter.Paid
 }
 
 func (s *State) callArrived(e *CallArrived) {
@@ -87,35 +87,35 @@
 		return
 	}
 	c.team = team
-	if s.refuseUnready(c) {
+	if s.refuseIfNotReady(c) {
 		return
 	}
-	if !s.begin(c, e.Deadline, e.ContentLength) {
+	if !s.applyRules(c, e.Deadline, e.ContentLength) {
 		return
 	}
 	if !s.rules.teams[c.team] {
 		detail := "team " + string(c.team) + " has no rate in preset " + string(s.rules.preset.Name)
-		s.refuse(c, Refusal{Reason: RateExceeded, RetryAfter: retryNextPreset, Detail: detail})
+		s.refuse(c, Refusal{Reason: RateExceeded, RetryAfter: retryAfterNoRate, Detail: detail})
 		return
 	}
 	c.budget = retrier.NewBudget(s.rules.preset.RetryAllowance)
-	s.spend(c)
+	s.spendRate(c)
 }
 
-// retryNextPreset is for what only another preset can change; it is long, since operators switch a few times a day.
-const retryNextPreset = 10 * clock.Second
+// retryAfterNoRate is for what only another preset can change; it is long, since operators switch a few times a day.
+const retryAfterNoRate = 10 * clock.Second
 
-// paid goes on with a root call that its team's rate has paid for. Paying comes first: were calls ranked before, a team
+// rankAndAdmit goes on with a root call that its team's rate has paid for. Paying comes first: were calls ranked before, a team
 // far above its rate would have its unimportant calls shed for nothing and spend all of its rate on urgent ones, at the
 // cost of the teams that keep to theirs.
-func (s *State) paid(c *call) {
+func (s *State) rankAndAdmit(c *call) {
 	s.fairness.CountCall(c.team, s.now)
 	c.rank = identifier.MakeRank(c.priority, s.fairness.Overuse(c.team, s.now), rootHash(c))
-	if !s.board.AdmitRoute(c.service, c.route, c.rank, s.now) {
-		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.backOff()})
+	if !s.thresholds.AdmitRoute(c.service, c.route, c.rank, s.now) {
+		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	s.claimID(c)
+	s.requestPermit(c)
 }
 
 // A caller's retry with the same id gets the same place within its class, so asking again earns nothing.
@@ -143,68 +143,68 @@
 		s.refuse(c, Refusal{Reason: UnknownToken})
 		return
 	}
-	c.join(d)
+	c.joinParent(d)
 	if c.depth > maxDepth {
 		s.refuse(c, Refusal{Reason: TooDeep})
 		return
 	}
 	if s.rules == nil {
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff()})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	if !s.begin(c, e.Deadline, e.ContentLength) {
+	if !s.applyRules(c, e.Deadline, e.ContentLength) {
 		return
 	}
 	c.deadline = min(c.deadline, d.deadline)
-	c.portion = d.budget.Portion()
-	c.budget = retrier.NewBudget(c.portion)
-	if !s.board.AdmitRoute(c.service, c.route, c.rank, s.now) {
-		d.note(c, s.board.ThresholdRoute(c.service, c.route, s.now), s.now)
-		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.backOff()})
+	c.allowanceFromParent = d.budget.Portion()
+	c.budget = retrier.NewBudget(c.allowanceFromParent)
+	if !s.thresholds.AdmitRoute(c.service, c.route, c.rank, s.now) {
+		d.learnThreshold(c, s.thresholds.ThresholdRoute(c.service, c.route, s.now), s.now)
+		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	s.claimID(c)
+	s.requestPermit(c)
 }
 
-// join lets a nested call act for the team of the call that it is part of, and for no other.
-func (c *call) join(d *delivery) {
+// joinParent lets a nested call act for the team of the call that it is part of, and for no other.
+func (c *call) joinParent(d *delivery) {
 	c.parent = d
 	c.root = d.root
 	c.team = d.team
 	c.rank = d.rank
 	c.depth = d.depth + 1
-	d.nested++
+	d.nestedCalls++
 }
 
 // refuseKey must not call a key unknown that this node, just started, has not read of yet: a caller takes that for final.
 func (s *State) refuseKey(c *call) {
-	if s.stillReads() {
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "this node is still reading the configuration"})
+	if s.stillReading() {
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "this node is still reading the configuration"})
 		return
 	}
 	s.refuse(c, Refusal{Reason: UnknownKey})
 }
 
-// stillReads tells that this node, just started, has not read to the end of the configuration yet. What it has read so
+// stillReading tells that this node, just started, has not read to the end of the configuration yet. What it has read so
 // far may be long out of force everywhere else.
-func (s *State) stillReads() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
+func (s *State) stillReading() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
 
-func (s *State) refuseUnready(c *call) bool {
+func (s *State) refuseIfNotReady(c *call) bool {
 	switch {
 	case s.rules == nil:
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff()})
-	case s.stillReads():
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "this node is still reading the configuration"})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter()})
+	case s.stillReading():
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "this node is still reading the configuration"})
 	case !s.configurer.MayServe(s.now):
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "no news of the configuration for too long"})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "no news of the configuration for too long"})
 	default:
 		return false
 	}
 	return true
 }
 
-// begin finds the rules for the call and tells whether it may go on.
-func (s *State) begin(c *call, deadline clock.Duration, length int64) bool {
+// applyRules finds the rules for the call and tells whether it may go on.
+func (s *State) applyRules(c *call, deadline clock.Duration, length int64) bool {
 	r, ok := s.rules.services[c.service]
 	if !ok {
 		s.refuse(c, Refusal{Reason: UnknownService, Detail: string(c.service)})
@@ -227,13 +227,13 @@
 }
 
 // Refused callers that all come back at the same moment are the next surge, so the time varies.
-func (s *State) backOff() clock.Duration {
+func (s *State) randomRetryAfter() clock.Duration {
 	const least, spread = 500, 1000
 	return clock.Duration(least + s.rand.Int64N(spread))
 }
 
 func (s *State) refuse(c *call, r Refusal) {
-	r.NotRun = !c.maybeRun
+	r.NotRun = !c.mayHaveRun
 	r.DecidedBy = orNode(r.DecidedBy, s.options.Self)
 	r.Version = s.configurer.Version()
 	if r.Reason == EndpointFull || r.Reason == EndpointLeaving {
@@ -242,7 +242,7 @@
 	s.countRefusal(r.Reason)
 	s.record(c, string(r.Reason), r.DecidedBy)
 	s.emit(Refuse{Call: c.id, Refusal: r})
-	s.forget(c)
+	s.forgetCall(c)
 }
 
 func orNode(n, fallback identifier.Node) identifier.Node {
@@ -256,11 +256,11 @@
 	s.counters.Refused[r]++
 }
 
-// forget ends a call at this node and gives its unused allowance back to the call that it is nested in.
-func (s *State) forget(c *call) {
+// forgetCall ends a call at this node and gives its unused allowance back to the call that it is nested in.
+func (s *State) forgetCall(c *call) {
 	if c.parent != nil {
-		c.parent.budget.Return(c.budget.Left(), c.portion)
-		c.parent.nested--
+		c.parent.budget.Return(c.budget.Left(), c.allowanceFromParent)
+		c.parent.nestedCalls--
 	}
 	delete(s.calls, c.id)
 }
@@ -272,9 +272,9 @@
 	}
 	if c.endpoint != "" {
 		s.endAttempt(c, router.Cancelled, nil)
-		c.maybeRun = true
+		c.mayHaveRun = true
 	}
-	s.abandonID(c)
+	s.abandonPermit(c)
 	s.record(c, string(Cancelled), s.options.Self)
-	s.forget(c)
+	s.forgetCall(c)
 }
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -26,7 +26,7 @@
 	case *RecordsRead:
 		s.recordsRead(e)
 	case *LogFailed:
-		s.configure(s.configurer.LogFailed(s.now))
+		s.applyConfiguration(s.configurer.LogFailed(s.now))
 	case *NodeLeaving:
 		s.wall = e.Wall
 		s.nodeLeaving()
@@ -39,23 +39,23 @@
 func (s *State) receive(from identifier.Node, message any) {
 	switch m := message.(type) {
 	case claimer.PromiseRequest, claimer.Promise:
-		s.claim(s.claimer.Receive(from, m, s.now))
+		s.applyClaims(s.claimer.Receive(from, m, s.now))
 	case granter.Ask, granter.Grant, granter.LoanRequest, granter.Loan, granter.Recall,
 		granter.SharesQuery, granter.SharesConfirm:
-		s.grant(s.granter.Receive(from, m, s.now))
+		s.applyGrants(s.granter.Receive(from, m, s.now))
 	case deduplicator.BeginAnswer, deduplicator.ReportAnswer:
-		s.ask(s.asker.Receive(m, s.now))
+		s.applyIdempotency(s.asker.Receive(m, s.now))
 	case deduplicator.HandoverAnswer:
-		s.handedOver(from, m)
+		s.handoverConfirmed(from, m)
 	case deduplicator.Handover:
 		// It comes before the claim does, so there is no hold yet.
-		s.ask(s.owner.Receive(from, m, deduplicator.Hold{}, false, s.now, s.wall))
+		s.applyIdempotency(s.owner.Receive(from, m, deduplicator.Hold{}, false, s.now, s.wall))
 	case deduplicator.BeginRequest, deduplicator.FinishReport, deduplicator.AbandonReport:
 		s.receiveAsOwner(from, m)
 	case configurer.Tail, configurer.TailRequest, configurer.State, configurer.Hint:
-		s.configure(s.configurer.Receive(from, m, s.now, s.wall))
+		s.applyConfiguration(s.configurer.Receive(from, m, s.now, s.wall))
 	default:
-		s.gossip(s.gossiper.Receive(from, m, s.now))
+		s.applyGossip(s.gossiper.Receive(from, m, s.now))
 	}
 }
 
@@ -64,8 +64,8 @@
 	if !ok {
 		return
 	}
-	h, held := s.hold(claim)
-	s.ask(s.owner.Receive(from, m, h, held, s.now, s.wall))
+	h, held := s.holdOf(claim)
+	s.applyIdempotency(s.owner.Receive(from, m, h, held, s.now, s.wall))
 }
 
 // send keeps a message to this node itself inside; it is taken in as soon as the present event is done with.
@@ -89,10 +89,10 @@
 	for _, r := range e.Records {
 		b.Records = append(b.Records, configurer.Record{Offset: r.Offset, Raw: r.Data})
 	}
-	s.configure(s.configurer.LogRead(b, s.now, s.wall))
+	s.applyConfiguration(s.configurer.LogRead(b, s.now, s.wall))
 }
 
-func (s *State) configure(effects []configurer.Effect) {
+func (s *State) applyConfiguration(effects []configurer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case configurer.Send:
@@ -105,7 +105,7 @@
 			s.deliverRecord(e)
 		case configurer.Skipped:
 			s.logStart = e.To
-			s.claim(s.claimer.SkipRecords(e.To, s.now))
+			s.applyClaims(s.claimer.SkipRecords(e.To, s.now))
 		case configurer.Changed:
 			s.configurationChanged(e)
 		}
@@ -114,15 +114,15 @@
 
 func (s *State) deliverRecord(e configurer.Deliver) {
 	if c, ok := e.Value.(claimer.Claim); ok {
-		s.claim(s.claimer.ReadRecord(e.Offset, c, s.now))
-		s.followHolder(c.Name)
+		s.applyClaims(s.claimer.ReadRecord(e.Offset, c, s.now))
+		s.updateRateHolder(c.Name)
 		return
 	}
-	s.gossip(s.gossiper.ReadRecord(e.Value, s.now))
+	s.applyGossip(s.gossiper.ReadRecord(e.Value, s.now))
 }
 
-// followHolder tells the granter who keeps the bank of a rate claim now.
-func (s *State) followHolder(n claimer.Name) {
+// updateRateHolder tells the granter who keeps the bank of a rate claim now.
+func (s *State) updateRateHolder(n claimer.Name) {
 	domain, slot, ok := granter.ParseClaimName(n)
 	if !ok {
 		return
@@ -146,11 +146,11 @@
 	for _, t := range p.Teams {
 		s.fairness.SetTeam(t.Name, t.Weight)
 	}
-	s.grant(s.granter.SetTeams(p.Teams, p.Domains, before, version, s.now))
+	s.applyGrants(s.granter.SetTeams(p.Teams, p.Domains, before, version, s.now))
 	s.emit(Log{Message: "preset in force", Fields: []any{"preset", string(p.Name), "version", int64(e.Version)}})
 }
 
-func (s *State) claim(effects []claimer.Effect) {
+func (s *State) applyClaims(effects []claimer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case claimer.Append:
@@ -166,15 +166,15 @@
 }
 
 func (s *State) claimGained(e claimer.Gained) {
-	s.noteGained(e.Name, e.Epoch)
+	s.extendHold(e.Name, e.Epoch)
 	if _, slot, ok := granter.ParseClaimName(e.Name); ok {
-		s.grant(s.granter.Own(slot, e.Epoch, s.now))
+		s.applyGrants(s.granter.Own(slot, e.Epoch, s.now))
 	}
 	s.emit(Log{Message: "claim gained", Fields: []any{"claim", string(e.Name), "epoch", int64(e.Epoch)}})
 }
 
 func (s *State) claimLost(n claimer.Name) {
-	delete(s.gained, n)
+	delete(s.holds, n)
 	if _, slot, ok := granter.ParseClaimName(n); ok {
 		s.granter.Disown(slot)
 	} else {
@@ -183,7 +183,7 @@
 	s.emit(Log{Message: "claim lost", Fields: []any{"claim", string(n)}})
 }
 
-func (s *State) gossip(effects []gossiper.Effect) {
+func (s *State) applyGossip(effects []gossiper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case gossiper.Send:
@@ -198,7 +198,7 @@
 			s.membersChanged()
 		case gossiper.NewsHeard:
 			contact := configurer.Contact{Reader: e.News.Reader, Stamp: e.News.Stamp, Age: e.News.Age}
-			s.configure(s.configurer.PeerNews(e.Node, e.News.Offset, contact, s.now))
+			s.applyConfiguration(s.configurer.PeerNews(e.Node, e.News.Offset, contact, s.now))
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		ConnectionLimit: e.ConnectionLimit,
 		State:           routerState(e.State),
 	}, s.now)
-	s.resumeSearch(e.Service)
+	s.resumeWaiting(e.Service)
 }
 
 func routerState(state gossiper.EndpointState) router.State {
@@ -227,22 +227,22 @@
 	}
 }
 
-// noticeAlone lets a node that has met nobody for a while count itself as its failure domain's only member, and so as a
+// assumeAlone lets a node that has met nobody for a while count itself as its failure domain's only member, and so as a
 // reader of the log. Left to wait for others it would read only once its news was stale, and a withdrawn key would go on
 // working there for seconds longer. It waits a moment first, or a whole domain that returns would read the log at once.
-func (s *State) noticeAlone() {
+func (s *State) assumeAlone() {
 	if s.startedAt == 0 {
 		s.startedAt = s.now
 	}
-	if !s.met && s.now.Sub(s.startedAt) >= aloneAfter {
+	if !s.membersKnown && s.now.Sub(s.startedAt) >= aloneTimeout {
 		s.membersChanged()
 	}
 }
 
 func (s *State) membersChanged() {
-	s.met = true
+	s.membersKnown = true
 	members := s.gossiper.Members()
-	s.claim(s.claimer.SetMembers(withSelf(members, s.options.Self), s.now))
+	s.applyClaims(s.claimer.SetMembers(withSelf(members, s.options.Self), s.now))
 	others := slices.DeleteFunc(slices.Clone(members), func(n identifier.Node) bool { return n == s.options.Self })
 	var remote []identifier.Node
 	for _, c := range s.gossiper.Contacts() {
@@ -261,29 +261,29 @@
 }
 
 const (
-	// slowTick is how often the matters that need no hurry are ticked.
-	slowTick = 100 * clock.Millisecond
-	// aloneAfter is how long a node waits for others before it takes itself for the only one.
-	aloneAfter = 500 * clock.Millisecond
-	// logFresh is the age of news up to which the log counts as readable.
-	logFresh = 3 * clock.Second
+	// slowTickInterval is how often the matters that need no hurry are ticked.
+	slowTickInterval = 100 * clock.Millisecond
+	// aloneTimeout is how long a node waits for others before it takes itself for the only one.
+	aloneTimeout = 500 * clock.Millisecond
+	// maxLogAge is the age of news up to which the log counts as readable.
+	maxLogAge = 3 * clock.Second
 )
 
 func (s *State) tick() {
 	s.tickBackends()
-	s.grant(s.granter.Tick(s.now))
-	s.ask(s.asker.Tick(s.now))
-	s.tickSearch()
-	if s.now.Sub(s.slowAt) < slowTick {
+	s.applyGrants(s.granter.Tick(s.now))
+	s.applyIdempotency(s.asker.Tick(s.now))
+	s.expireWaiting()
+	if s.now.Sub(s.lastSlowTick) < slowTickInterval {
 		return
 	}
-	s.slowAt = s.now
-	s.noticeAlone()
+	s.lastSlowTick = s.now
+	s.assumeAlone()
 	s.gossiper.SetNews(s.news())
-	s.gossip(s.gossiper.Tick(s.now))
-	s.configure(s.configurer.Tick(s.now, s.wall))
-	s.claim(s.claimer.SetLog(s.configurer.Freshness(s.now) <= logFresh, s.logStart, s.now))
-	s.claim(s.claimer.Tick(s.now))
+	s.applyGossip(s.gossiper.Tick(s.now))
+	s.applyConfiguration(s.configurer.Tick(s.now, s.wall))
+	s.applyClaims(s.claimer.SetLog(s.configurer.Freshness(s.now) <= maxLogAge, s.logStart, s.now))
+	s.applyClaims(s.claimer.Tick(s.now))
 	s.owner.Tick(s.now, s.wall)
 	s.tickLeaving()
 }
--- a/internal/reducer/trail.go
+++ b/internal/reducer/decisions.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// trailSize is how many decisions a node remembers.
-const trailSize = 4096
+// decisionRingSize is how many decisions a node remembers.
+const decisionRingSize = 4096
 
 // Decision is what was decided on one call at this node, and by what.
 type Decision struct {
@@ -31,25 +31,25 @@
 	Wall      clock.Wall
 }
 
-type trail struct {
-	ring []Decision
-	next int
+type decisionRing struct {
+	entries []Decision
+	next    int
 }
 
-func newTrail(size int) *trail {
-	return &trail{ring: make([]Decision, size)}
+func newDecisionRing(size int) *decisionRing {
+	return &decisionRing{entries: make([]Decision, size)}
 }
 
-func (t *trail) add(d Decision) {
-	t.ring[t.next] = d
-	t.next = (t.next + 1) % len(t.ring)
+func (t *decisionRing) add(d Decision) {
+	t.entries[t.next] = d
+	t.next = (t.next + 1) % len(t.entries)
 }
 
 // find returns the decisions on a request and on the calls nested in it, oldest first.
-func (t *trail) find(r identifier.Request) []Decision {
+func (t *decisionRing) find(r identifier.Request) []Decision {
 	var found []Decision
-	for i := range t.ring {
-		d := t.ring[(t.next+i)%len(t.ring)]
+	for i := range t.entries {
+		d := t.entries[(t.next+i)%len(t.entries)]
 		if d.Request == r || (d.Root == r && r != "") {
 			found = append(found, d)
 		}
@@ -59,7 +59,7 @@
 
 // Explain returns what this node decided on a request, oldest first.
 func (s *State) Explain(r identifier.Request) []Decision {
-	return s.trail.find(r)
+	return s.decisions.find(r)
 }
 
 func (s *State) record(c *call, verdict string, by identifier.Node) {
@@ -78,9 +78,9 @@
 	}
 	if s.rules != nil {
 		d.Preset = s.rules.preset.Name
-		d.Threshold = s.board.ThresholdRoute(c.service, c.route, s.now)
+		d.Threshold = s.thresholds.ThresholdRoute(c.service, c.route, s.now)
 	}
-	s.trail.add(d)
+	s.decisions.add(d)
 }
 
 func (s *State) recordDelivery(d *delivery, r Reason) {
@@ -98,5 +98,5 @@
 		entry.Service = d.backend.service
 		entry.Threshold = d.backend.gate.Threshold()
 	}
-	s.trail.add(entry)
+	s.decisions.add(entry)
 }
--- a/internal/reducer/delivery.go
+++ b/internal/reducer/delivery.go
@@ -30,12 +30,12 @@
 	share   uint8
 	arrived clock.Time
 	started bool
-	// nested counts the calls that the backend server has under way on behalf of this one.
-	nested int
+	// nestedCalls counts the calls that the backend server has under way on behalf of this one.
+	nestedCalls int
 }
 
-// note tells the delivery's backend server what a service that it calls can take.
-func (d *delivery) note(c *call, t identifier.Threshold, now clock.Time) {
+// learnThreshold tells the delivery's backend server what a service that it calls can take.
+func (d *delivery) learnThreshold(c *call, t identifier.Threshold, now clock.Time) {
 	d.backend.chain.LearnThreshold(d.route, c.service, t, now)
 }
 
@@ -76,7 +76,7 @@
 		d.share = b.shares.CountCall(d.team, e.From, s.now)
 	}
 	call := limiter.Call{ID: limiter.CallID(d.id), Rank: d.rank, Deadline: d.deadline}
-	s.carryOut(b, b.limiter.Offer(call, s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Offer(call, s.now, s.verdicts[:0]))
 }
 
 func (s *State) routeOf(e *DeliveryArrived) admitter.Route {
@@ -90,9 +90,9 @@
 	return r.match(e.Method, e.Path).route
 }
 
-// carryOut turns the limiter's verdicts into effects. A dispatch may turn out to be for a key that was withdrawn
+// applyVerdicts turns the limiter's verdicts into effects. A dispatch may turn out to be for a key that was withdrawn
 // while the call was queued; its slot then goes to the next call, which gives further verdicts.
-func (s *State) carryOut(b *backend, verdicts []limiter.Verdict) {
+func (s *State) applyVerdicts(b *backend, verdicts []limiter.Verdict) {
 	s.verdicts = verdicts
 	for i := 0; i < len(s.verdicts); i++ {
 		v := s.verdicts[i]
@@ -115,7 +115,7 @@
 
 func (s *State) dispatch(b *backend, d *delivery) {
 	left := d.deadline.Sub(s.now)
-	if !s.keyStands(d) {
+	if !s.keyValid(d) {
 		s.dropDelivery(d, UnknownKey)
 		s.verdicts = b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts)
 		return
@@ -131,13 +131,13 @@
 		Endpoint:   b.id,
 		Deadline:   max(left, 1),
 		Self:       s.options.Self,
-		RetryAfter: s.backOff(),
+		RetryAfter: s.randomRetryAfter(),
 	})
 }
 
 // A call that waited in the queue may have lost its key meanwhile. Nested calls carry no key: they belong to a call
 // that was already dispatched, and its work is not cut short.
-func (s *State) keyStands(d *delivery) bool {
+func (s *State) keyValid(d *delivery) bool {
 	if d.keyHash == "" {
 		return true
 	}
@@ -152,7 +152,7 @@
 	}
 	b := d.backend
 	s.forgetDelivery(d)
-	s.carryOut(b, b.limiter.Done(limiter.CallID(d.id), limiterOutcome(e.Result), s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Done(limiter.CallID(d.id), limiterOutcome(e.Result), s.now, s.verdicts[:0]))
 	b.gate.Observe(b.limiter.QueueDelay(s.now), s.now)
 	s.emit(EndDelivery{Delivery: d.id, Tail: s.tail(d)})
 }
@@ -178,10 +178,10 @@
 	b := d.backend
 	s.forgetDelivery(d)
 	if d.started {
-		s.carryOut(b, b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts[:0]))
+		s.applyVerdicts(b, b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts[:0]))
 		return
 	}
-	s.carryOut(b, b.limiter.Cancel(limiter.CallID(d.id), s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Cancel(limiter.CallID(d.id), s.now, s.verdicts[:0]))
 }
 
 // forgetDelivery ends the token as well: a backend server that goes on calling in the name of a call that is over
@@ -199,7 +199,7 @@
 func (s *State) refuseDelivery(d *delivery, r Reason) {
 	s.countRefusal(r)
 	s.recordDelivery(d, r)
-	refusal := Refusal{Reason: r, NotRun: true, DecidedBy: s.options.Self, RetryAfter: s.backOff()}
+	refusal := Refusal{Reason: r, NotRun: true, DecidedBy: s.options.Self, RetryAfter: s.randomRetryAfter()}
 	s.emit(RefuseDelivery{Delivery: d.id, Refusal: refusal, Tail: s.tail(d)})
 }
 
--- a/internal/reducer/effects.go
+++ b/internal/reducer/effects.go
@@ -16,7 +16,7 @@
 // CallEffect is an effect meant for the goroutine of one call or delivery.
 type CallEffect interface {
 	Effect
-	For() CallID
+	Recipient() CallID
 }
 
 // Forward asks for an attempt at an endpoint.
@@ -112,23 +112,23 @@
 func (ReadLog) effect()        {}
 func (Log) effect()            {}
 
-// For returns the call that waits for the effect.
-func (e Forward) For() CallID { return e.Call }
+// Recipient returns the call that waits for the effect.
+func (e Forward) Recipient() CallID { return e.Call }
 
-// For returns the call that waits for the effect.
-func (e Refuse) For() CallID { return e.Call }
+// Recipient returns the call that waits for the effect.
+func (e Refuse) Recipient() CallID { return e.Call }
 
-// For returns the call that waits for the effect.
-func (e Replay) For() CallID { return e.Call }
+// Recipient returns the call that waits for the effect.
+func (e Replay) Recipient() CallID { return e.Call }
 
-// For returns the call that waits for the effect.
-func (e Finished) For() CallID { return e.Call }
+// Recipient returns the call that waits for the effect.
+func (e Finished) Recipient() CallID { return e.Call }
 
-// For returns the delivery that waits for the effect.
-func (e Dispatch) For() CallID { return e.Delivery }
+// Recipient returns the delivery that waits for the effect.
+func (e Dispatch) Recipient() CallID { return e.Delivery }
 
-// For returns the delivery that waits for the effect.
-func (e RefuseDelivery) For() CallID { return e.Delivery }
+// Recipient returns the delivery that waits for the effect.
+func (e RefuseDelivery) Recipient() CallID { return e.Delivery }
 
-// For returns the delivery that waits for the effect.
-func (e EndDelivery) For() CallID { return e.Delivery }
+// Recipient returns the delivery that waits for the effect.
+func (e EndDelivery) Recipient() CallID { return e.Delivery }
--- a/internal/reducer/search.go
+++ b/internal/reducer/endpointwait.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	searchBound  = 500 * clock.Millisecond
-	maxSearching = 1000
+	endpointWaitTimeout = 500 * clock.Millisecond
+	maxWaitingCalls     = 1000
 )
 
-// search parks the call if its service was not asked for yet, and tells whether it did.
-func (s *State) search(c *call) bool {
+// waitForEndpoints parks the call if its service was not asked for yet, and tells whether it did.
+func (s *State) waitForEndpoints(c *call) bool {
 	if !s.interests[c.service] {
 		s.interests[c.service] = true
-		s.gossip(s.gossiper.AddInterest(c.service, s.now))
+		s.applyGossip(s.gossiper.AddInterest(c.service, s.now))
 	}
-	if s.router.Count(c.service) > 0 || c.searchUntil != 0 || len(s.searching[c.service]) >= maxSearching {
+	if s.router.Count(c.service) > 0 || c.endpointWaitUntil != 0 || len(s.waitingForEndpoints[c.service]) >= maxWaitingCalls {
 		return false
 	}
-	c.searchUntil = s.now.Add(searchBound)
-	s.searching[c.service] = append(s.searching[c.service], c)
+	c.endpointWaitUntil = s.now.Add(endpointWaitTimeout)
+	s.waitingForEndpoints[c.service] = append(s.waitingForEndpoints[c.service], c)
 	return true
 }
 
-func (s *State) resumeSearch(service identifier.Service) {
-	waiting := s.searching[service]
+func (s *State) resumeWaiting(service identifier.Service) {
+	waiting := s.waitingForEndpoints[service]
 	if len(waiting) == 0 || s.router.Count(service) == 0 {
 		return
 	}
-	delete(s.searching, service)
+	delete(s.waitingForEndpoints, service)
 	for _, c := range waiting {
 		if s.calls[c.id] == c {
 			s.forward(c)
@@ -45,34 +45,34 @@
 	}
 }
 
-func (s *State) tickSearch() {
-	if len(s.searching) == 0 {
+func (s *State) expireWaiting() {
+	if len(s.waitingForEndpoints) == 0 {
 		return
 	}
-	services := make([]identifier.Service, 0, len(s.searching))
-	for service := range s.searching {
+	services := make([]identifier.Service, 0, len(s.waitingForEndpoints))
+	for service := range s.waitingForEndpoints {
 		services = append(services, service)
 	}
 	slices.SortFunc(services, func(a, b identifier.Service) int { return strings.Compare(string(a), string(b)) })
 	for _, service := range services {
-		s.expireSearch(service)
+		s.expireWaitingFor(service)
 	}
 }
 
-func (s *State) expireSearch(service identifier.Service) {
-	waiting := s.searching[service]
+func (s *State) expireWaitingFor(service identifier.Service) {
+	waiting := s.waitingForEndpoints[service]
 	kept := waiting[:0]
 	var expired []*call
 	for _, c := range waiting {
-		if s.now < c.searchUntil {
+		if s.now < c.endpointWaitUntil {
 			kept = append(kept, c)
 			continue
 		}
 		expired = append(expired, c)
 	}
-	s.searching[service] = kept
+	s.waitingForEndpoints[service] = kept
 	if len(kept) == 0 {
-		delete(s.searching, service)
+		delete(s.waitingForEndpoints, service)
 	}
 	for _, c := range expired {
 		if s.calls[c.id] == c {
--- a/internal/reducer/hold.go
+++ b/internal/reducer/hold.go
@@ -17,28 +17,28 @@
 // can have held the claim before (see claimer.Found).
 const firstEpoch = identifier.Epoch(firstOffset) + 1
 
-// gained is this node's unbroken hold on a claim: it held each epoch from first to last, and wall is when that began.
-type gained struct {
+// claimHold is this node's unbroken hold on a claim: it held each epoch from first to last, and wall is when that began.
+type claimHold struct {
 	first identifier.Epoch
 	last  identifier.Epoch
 	wall  clock.Wall
 }
 
-// noteGained begins a hold, or lets it go on if no epoch in between can have been another node's.
-func (s *State) noteGained(n claimer.Name, epoch identifier.Epoch) {
-	g := s.gained[n]
+// extendHold begins a hold, or lets it go on if no epoch in between can have been another node's.
+func (s *State) extendHold(n claimer.Name, epoch identifier.Epoch) {
+	g := s.holds[n]
 	if g.first == 0 || epoch > g.last+1 || epoch < g.last {
-		g = gained{first: epoch, wall: s.wall}
+		g = claimHold{first: epoch, wall: s.wall}
 	}
 	g.last = epoch
-	s.gained[n] = g
+	s.holds[n] = g
 }
 
-// hold is this node's hold on a claim at this very moment. The claimer's authority can begin between two ticks, before
+// holdOf is this node's hold on a claim at this very moment. The claimer's authority can begin between two ticks, before
 // it has told so; without knowing since when it holds, the owner would allow ids that an earlier one allowed already.
-func (s *State) hold(c deduplicator.Claim) (deduplicator.Hold, bool) {
+func (s *State) holdOf(c deduplicator.Claim) (deduplicator.Hold, bool) {
 	epoch, ok := s.claimer.Holds(claimer.Name(c), s.now)
-	g := s.gained[claimer.Name(c)]
+	g := s.holds[claimer.Name(c)]
 	if !ok || g.first == 0 || epoch != g.last {
 		return deduplicator.Hold{}, false
 	}
--- a/internal/reducer/hold_test.go
+++ b/internal/reducer/hold_test.go
@@ -12,28 +12,28 @@
 
 // A hold that seems older than it is makes an owner allow ids that another node allowed before it. So a hold goes on
 // only from one epoch to the next, and a gap in the epochs begins a new one.
-func TestHoldIsUnbroken(t *testing.T) {
+func TestHoldSpansOnlyConsecutiveEpochs(t *testing.T) {
 	const name claimer.Name = "ids/0"
 	s := New(Options{Self: "a", Domain: "alfa"})
-	_, held := s.hold("ids/0")
+	_, held := s.holdOf("ids/0")
 	assert.Assert(t, !held, "a claim not gained yet")
 	steps := []struct{ epoch, first identifier.Epoch }{{4, 4}, {5, 4}, {5, 4}, {7, 7}, {8, 7}}
 	for i, step := range steps {
 		s.wall += 1000
-		s.noteGained(name, step.epoch)
-		g := s.gained[name]
+		s.extendHold(name, step.epoch)
+		g := s.holds[name]
 		assert.Equal(t, g.first, step.first, "step %d", i)
 		assert.Equal(t, g.last, step.epoch, "step %d", i)
 	}
-	assert.Equal(t, int64(s.gained[name].wall), int64(4000))
+	assert.Equal(t, int64(s.holds[name].wall), int64(4000))
 	s.claimLost(name)
-	s.noteGained(name, 9)
-	assert.Equal(t, s.gained[name].first, identifier.Epoch(9), "after a loss")
+	s.extendHold(name, 9)
+	assert.Equal(t, s.holds[name].first, identifier.Epoch(9), "after a loss")
 }
 
 // A caller takes "key unknown" for final. A node that has just started knows no key yet, so it must not say so before it
 // has once read to the end of what there is.
-func TestNoKeyIsUnknownBeforeTheLogWasRead(t *testing.T) {
+func TestKeyIsNotReportedUnknownBeforeLogIsRead(t *testing.T) {
 	s := New(Options{Self: "a", Domain: "alfa", Decode: func([]byte) (any, error) { return nil, nil }})
 	refusal := func(id CallID) Refusal {
 		effects := s.Reduce(&CallArrived{Call: id, KeyHash: "unread", Service: "ice", Method: "GET", Path: "/"}, 10, nil)
@@ -51,10 +51,10 @@
 
 // A replaced VM reads old records before the new ones. If it put each in force as it came to it, its callers would meet
 // a preset that is out of force everywhere else.
-func TestNothingIsInForceBeforeTheLogWasRead(t *testing.T) {
+func TestNoPresetIsInForceBeforeLogIsRead(t *testing.T) {
 	s := New(Options{Self: "a", Domain: "alfa", Decode: func([]byte) (any, error) { return nil, nil }})
 	s.rules = newRules(&definer.Preset{Name: "old"}, 1)
-	assert.Assert(t, s.refuseUnready(&call{id: 1}))
+	assert.Assert(t, s.refuseIfNotReady(&call{id: 1}))
 	s.Reduce(&RecordsRead{Earliest: 1, Next: 1, Asked: 5}, 20, nil)
-	assert.Assert(t, !s.refuseUnready(&call{id: 2}))
+	assert.Assert(t, !s.refuseIfNotReady(&call{id: 2}))
 }
--- a/internal/reducer/once.go
+++ b/internal/reducer/idempotency.go
@@ -12,7 +12,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/deduplicator"
 )
 
-func (s *State) claimID(c *call) {
+func (s *State) requestPermit(c *call) {
 	if c.idempotent || c.idempotency == "" {
 		s.forward(c)
 		return
@@ -22,23 +22,23 @@
 		s.refuse(c, Refusal{Reason: BadRequest, Detail: "Idempotency-Key: " + err.Error()})
 		return
 	}
-	c.asking = true
-	s.ask(s.asker.Ask(deduplicator.CallID(c.id), c.team, id, fingerprint(c), c.deadline, s.now, s.wall))
+	c.awaitingOwner = true
+	s.applyIdempotency(s.asker.Ask(deduplicator.CallID(c.id), c.team, id, fingerprint(c), c.deadline, s.now, s.wall))
 }
 
 func fingerprint(c *call) deduplicator.Fingerprint {
 	return deduplicator.Fingerprint(xxh3.HashString(c.method + " " + string(c.service) + " " + c.path))
 }
 
-func (s *State) ask(effects []deduplicator.Effect) {
+func (s *State) applyIdempotency(effects []deduplicator.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case deduplicator.Send:
 			s.sendToOwner(e)
 		case deduplicator.Permit:
-			s.permitted(CallID(e.Call))
+			s.permitGranted(CallID(e.Call))
 		case deduplicator.Replay:
-			s.replayed(CallID(e.Call), e.Outcome)
+			s.outcomeReplayed(CallID(e.Call), e.Outcome)
 		case deduplicator.Refuse:
 			s.idRefused(e)
 		}
@@ -57,25 +57,25 @@
 	s.send(to, "", e.Message)
 }
 
-func (s *State) permitted(id CallID) {
+func (s *State) permitGranted(id CallID) {
 	c, ok := s.calls[id]
 	if !ok {
 		return
 	}
-	c.asking = false
-	c.owned = true
+	c.awaitingOwner = false
+	c.hasPermit = true
 	s.forward(c)
 }
 
-func (s *State) replayed(id CallID, o *deduplicator.Outcome) {
+func (s *State) outcomeReplayed(id CallID, o *deduplicator.Outcome) {
 	c, ok := s.calls[id]
 	if !ok {
 		return
 	}
-	c.asking = false
+	c.awaitingOwner = false
 	s.record(c, "replayed", s.options.Self)
 	s.emit(Replay{Call: id, Outcome: toRecorded(o)})
-	s.forget(c)
+	s.forgetCall(c)
 }
 
 func (s *State) idRefused(e deduplicator.Refuse) {
@@ -83,11 +83,11 @@
 	if !ok {
 		return
 	}
-	c.asking = false
-	c.maybeRun = !e.NotRun
+	c.awaitingOwner = false
+	c.mayHaveRun = !e.NotRun
 	after := e.RetryAfter
 	if after == 0 && retriable(e.Verdict) {
-		after = s.backOff()
+		after = s.randomRetryAfter()
 	}
 	s.refuse(c, Refusal{Reason: idReason(e.Verdict), RetryAfter: after})
 }
@@ -113,28 +113,28 @@
 	}
 }
 
-// finishID reports the outcome of a call that had the owner's permit; nil means that its end was not seen.
-func (s *State) finishID(c *call, o *RecordedOutcome) {
-	if !c.owned {
+// reportOutcome reports the outcome of a call that had the owner's permit; nil means that its end was not seen.
+func (s *State) reportOutcome(c *call, o *RecordedOutcome) {
+	if !c.hasPermit {
 		return
 	}
-	c.owned = false
-	s.ask(s.asker.Finish(deduplicator.CallID(c.id), fromRecorded(o), s.now))
+	c.hasPermit = false
+	s.applyIdempotency(s.asker.Finish(deduplicator.CallID(c.id), fromRecorded(o), s.now))
 }
 
-// abandonID frees the id of a call of which nothing was sent, so that the caller's next try may run. Where something may
+// abandonPermit frees the id of a call of which nothing was sent, so that the caller's next try may run. Where something may
 // have run, the owner is told so at once: left to itself it would answer "in progress" until its own patience ends.
-func (s *State) abandonID(c *call) {
-	if c.maybeRun {
-		s.finishID(c, nil)
+func (s *State) abandonPermit(c *call) {
+	if c.mayHaveRun {
+		s.reportOutcome(c, nil)
 		return
 	}
-	if !c.owned && !c.asking {
+	if !c.hasPermit && !c.awaitingOwner {
 		return
 	}
-	c.owned = false
-	c.asking = false
-	s.ask(s.asker.Abandon(deduplicator.CallID(c.id), s.now))
+	c.hasPermit = false
+	c.awaitingOwner = false
+	s.applyIdempotency(s.asker.Abandon(deduplicator.CallID(c.id), s.now))
 }
 
 func toRecorded(o *deduplicator.Outcome) RecordedOutcome {
--- a/internal/reducer/leave.go
+++ b/internal/reducer/leave.go
@@ -14,81 +14,81 @@
 
 const (
 	idClaimPrefix = "ids/"
-	// handoverBound is how long a leaving node waits for its successors to have its records.
-	handoverBound = 2 * clock.Second
-	// shortWait is what a successor of a bank may wait out: a slice's term, once all loans are back. Were the claims handed
+	// handoverTimeout is how long a leaving node waits for its successors to have its records.
+	handoverTimeout = 2 * clock.Second
+	// maxOutstandingAtHandover is what a successor of a bank may wait out: a slice's term, once all loans are back. Were the claims handed
 	// over before, it would wait for the longest loan, and teams would be refused within their rate meanwhile.
-	shortWait = 500 * clock.Millisecond
-	// goodbyeBound gives the news of a leaving node time to spread.
-	goodbyeBound = clock.Second
-	// reportBound is how long a leaving node goes on telling the owners of ids how its calls ended.
-	reportBound = 4 * clock.Second
+	maxOutstandingAtHandover = 500 * clock.Millisecond
+	// leaveSpreadTime gives the news of a leaving node time to spread.
+	leaveSpreadTime = clock.Second
+	// maxReportTime is how long a leaving node goes on telling the owners of ids how its calls ended.
+	maxReportTime = 4 * clock.Second
 )
 
-// handing is a claim's records on their way to the heir.
-type handing struct {
-	epoch identifier.Epoch
-	heir  identifier.Node
-	done  bool
+// handover is a claim's records on their way to the heir.
+type handover struct {
+	epoch     identifier.Epoch
+	successor identifier.Node
+	confirmed bool
 }
 
-type leave struct {
-	since     clock.Time
-	pending   map[deduplicator.Claim]handing
-	claimsAt  clock.Time
-	goodbyeAt clock.Time
+type departure struct {
+	startedAt        clock.Time
+	handovers        map[deduplicator.Claim]handover
+	claimsReleasedAt clock.Time
+	leftAt           clock.Time
 }
 
 func (s *State) nodeLeaving() {
 	if s.leaving != nil {
 		return
 	}
-	s.leaving = &leave{since: s.now, pending: make(map[deduplicator.Claim]handing)}
+	s.leaving = &departure{startedAt: s.now, handovers: make(map[deduplicator.Claim]handover)}
 	for _, b := range s.sortedBackends() {
 		s.startLeaving(b)
 	}
-	s.grant(s.granter.Leave(s.now))
+	s.applyGrants(s.granter.Leave(s.now))
 	s.sendHandovers()
 }
 
 func (s *State) sendHandovers() {
 	for _, c := range s.claimer.Dump(s.now) {
 		if c.Authority && isIDClaim(c.Name) {
-			s.handOver(c.Name)
+			s.sendHandover(c.Name)
 		}
 	}
 }
 
-// handOver sends the records to the node that the claim will go to. A heir uses those of the epoch just before its own
+// sendHandover sends the records to the node that the claim will go to. A heir uses those of the epoch just before its own
 // only, so they are sent again where the claim went on to another epoch, or another heir, since.
-func (s *State) handOver(n claimer.Name) {
+func (s *State) sendHandover(n claimer.Name) {
 	name := deduplicator.Claim(n)
-	heir, known := s.claimer.HeirOf(n)
-	h, held := s.hold(name)
+	successor, known := s.claimer.HeirOf(n)
+	h, held := s.holdOf(name)
 	if !held || !known {
 		return
 	}
-	p := s.leaving.pending[name]
-	if p.epoch != h.Epoch || p.heir != heir {
-		p = handing{epoch: h.Epoch, heir: heir}
+	p := s.leaving.handovers[name]
+	if p.epoch != h.Epoch || p.successor != successor {
+		p = handover{epoch: h.Epoch, successor: successor}
 	}
-	s.leaving.pending[name] = p
-	if p.done {
+	s.leaving.handovers[name] = p
+	if p.confirmed {
 		return
 	}
 	for _, part := range s.owner.Export(h, s.now) {
-		s.send(heir, "", part)
+		s.send(successor, "", part)
 	}
 }
 
-func (s *State) handedOver(from identifier.Node, m deduplicator.HandoverAnswer) {
+func (s *State) handoverConfirmed(from identifier.Node, m deduplicator.HandoverAnswer) {
 	if s.leaving == nil {
 		return
 	}
-	p, asked := s.leaving.pending[m.Claim]
-	if asked && p.epoch == m.Epoch && p.heir == from {
-		p.done = true
-		s.leaving.pending[m.Claim] = p
+	p, asked := s.leaving.handovers[m.Claim]
+	if asked && p.epoch == m.Epoch && p.successor == from {
+		p.confirmed = true
+		s.leaving.handovers[m.Claim] = p
 	}
 }
 
@@ -98,25 +98,25 @@
 		return
 	}
 	s.sendHandovers()
-	if l.claimsAt == 0 {
+	if l.claimsReleasedAt == 0 {
 		outstanding := s.granter.Outstanding(s.now)
-		ready := l.allHandedOver() && outstanding <= shortWait
-		if !ready && s.now.Sub(l.since) < handoverBound {
+		ready := l.allConfirmed() && outstanding <= maxOutstandingAtHandover
+		if !ready && s.now.Sub(l.startedAt) < handoverTimeout {
 			return
 		}
-		l.claimsAt = s.now
-		s.claim(s.claimer.Leave(outstanding, s.now))
+		l.claimsReleasedAt = s.now
+		s.applyClaims(s.claimer.Leave(outstanding, s.now))
 		return
 	}
-	if l.goodbyeAt == 0 && (s.claimer.Left() || s.now.Sub(l.claimsAt) > handoverBound) {
-		l.goodbyeAt = s.now
-		s.gossip(s.gossiper.Leave(s.now))
+	if l.leftAt == 0 && (s.claimer.Left() || s.now.Sub(l.claimsReleasedAt) > handoverTimeout) {
+		l.leftAt = s.now
+		s.applyGossip(s.gossiper.Leave(s.now))
 	}
 }
 
-func (l *leave) allHandedOver() bool {
-	for _, p := range l.pending {
-		if !p.done {
+func (l *departure) allConfirmed() bool {
+	for _, p := range l.handovers {
+		if !p.confirmed {
 			return false
 		}
 	}
@@ -126,11 +126,11 @@
 // Idle tells whether a leaving node may end: its claims are handed over, the news has spread, and nothing is under way.
 func (s *State) Idle(now clock.Time) bool {
 	l := s.leaving
-	if l == nil || l.goodbyeAt == 0 || now.Sub(l.goodbyeAt) < goodbyeBound {
+	if l == nil || l.leftAt == 0 || now.Sub(l.leftAt) < leaveSpreadTime {
 		return false
 	}
 	// An outcome that nobody was told of would be unknown for ever.
-	reported := s.asker.Reports() == 0 || now.Sub(l.goodbyeAt) > reportBound
+	reported := s.asker.Reports() == 0 || now.Sub(l.leftAt) > maxReportTime
 	return len(s.calls) == 0 && len(s.deliveries) == 0 && reported
 }
 
--- a/internal/reducer/alone_test.go
+++ b/internal/reducer/lonenode_test.go
@@ -12,8 +12,8 @@
 // All other nodes of a fleet are gone. The one left must go on reading the log by itself; else it would hear of a withdrawn
 // key only when its news has grown stale, seconds after the operator was told that the key is withdrawn.
 func TestLoneNodeReadsTheLog(t *testing.T) {
-	w := &world{now: 1, fail: t.Fatalf}
+	w := &simulatedNode{now: 1, fail: t.Fatalf}
 	w.state = New(Options{Self: "a1", Domain: "alfa", Address: "127.0.0.1:1", Seed: 7, Decode: encoder.Decode})
-	w.pass(clock.Second)
+	w.advance(clock.Second)
 	assert.Assert(t, w.state.configurer.Reads())
 }
--- a/internal/reducer/new.go
+++ b/internal/reducer/new.go
@@ -26,7 +26,7 @@
 
 // The streams of the node's random sources.
 const (
-	streamOwn uint64 = iota
+	streamReducer uint64 = iota
 	streamRouter
 	streamGossiper
 	streamClaimer
@@ -36,21 +36,21 @@
 // New returns the state of a node that has just started.
 func New(o Options) *State {
 	s := &State{
-		options:    o,
-		rand:       o.stream(streamOwn),
-		board:      admitter.NewThresholdCache(admitter.ThresholdCacheOptions{}),
-		fairness:   admitter.NewFairness(admitter.FairnessOptions{}),
-		damper:     retrier.NewDamper(retrier.DamperOptions{}),
-		router:     router.New(router.Options{Domain: o.Domain, Rand: o.stream(streamRouter)}),
-		calls:      make(map[CallID]*call),
-		deliveries: make(map[CallID]*delivery),
-		tokens:     make(map[Token]*delivery),
-		backends:   make(map[identifier.Endpoint]*backend),
-		interests:  make(map[identifier.Service]bool),
-		searching:  make(map[identifier.Service][]*call),
-		gained:     make(map[claimer.Name]gained),
-		trail:      newTrail(trailSize),
-		logStart:   firstOffset,
+		options:             o,
+		rand:                o.stream(streamReducer),
+		thresholds:          admitter.NewThresholdCache(admitter.ThresholdCacheOptions{}),
+		fairness:            admitter.NewFairness(admitter.FairnessOptions{}),
+		damper:              retrier.NewDamper(retrier.DamperOptions{}),
+		router:              router.New(router.Options{Domain: o.Domain, Rand: o.stream(streamRouter)}),
+		calls:               make(map[CallID]*call),
+		deliveries:          make(map[CallID]*delivery),
+		tokens:              make(map[Token]*delivery),
+		backends:            make(map[identifier.Endpoint]*backend),
+		interests:           make(map[identifier.Service]bool),
+		waitingForEndpoints: make(map[identifier.Service][]*call),
+		holds:               make(map[claimer.Name]claimHold),
+		decisions:           newDecisionRing(decisionRingSize),
+		logStart:            firstOffset,
 	}
 	s.counters.Refused = make(map[Reason]uint64)
 	s.configurer = configurer.New(configurer.Options{
--- a/internal/reducer/fuzz_test.go
+++ b/internal/reducer/random_test.go
@@ -12,20 +12,20 @@
 	"github.com/jackdawtide/jackdawtide/internal/retrier"
 )
 
-// machine draws what callers, backend servers, the network and an operator do, in any order.
-type machine struct {
-	*world
-	withdrawn bool
-	booked    []booking
+// randomCalls draws what callers, backend servers, the network and an operator do, in any order.
+type randomCalls struct {
+	*simulatedNode
+	withdrawn  bool
+	sentWithID []idempotentCall
 }
 
-// booking is a request that a caller may send again with the same id.
-type booking struct {
+// idempotentCall is a request that a caller may send again with the same id.
+type idempotentCall struct {
 	service identifier.Service
 	id      identifier.Idempotency
 }
 
-func (m *machine) callRoot(t *rapid.T) {
+func (m *randomCalls) callRoot(t *rapid.T) {
 	service := rapid.SampledFrom([]identifier.Service{"ice", "board", "nowhere"}).Draw(t, "service")
 	method := rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method")
 	key := rapid.SampledFrom([]identifier.KeyHash{testKey, otherKey, "unknown"}).Draw(t, "key")
@@ -33,22 +33,22 @@
 	m.call(key, service, method, "", deadline)
 }
 
-func (m *machine) book(*rapid.T) {
-	b := booking{service: "ice", id: identifier.Idempotency("id-" + string(requestOf(m.nextCall)))}
-	m.booked = append(m.booked, b)
+func (m *randomCalls) callWithID(*rapid.T) {
+	b := idempotentCall{service: "ice", id: identifier.Idempotency("id-" + string(requestOf(m.nextCall)))}
+	m.sentWithID = append(m.sentWithID, b)
 	m.call(testKey, b.service, "POST", b.id, 0)
 }
 
-// bookAgain is a caller that got no answer, or does not believe the one it got.
-func (m *machine) bookAgain(t *rapid.T) {
-	if len(m.booked) == 0 {
+// repeatWithID is a caller that got no answer, or does not believe the one it got.
+func (m *randomCalls) repeatWithID(t *rapid.T) {
+	if len(m.sentWithID) == 0 {
 		t.Skip("nothing booked")
 	}
-	b := rapid.SampledFrom(m.booked).Draw(t, "booking")
+	b := rapid.SampledFrom(m.sentWithID).Draw(t, "booking")
 	m.call(testKey, b.service, "POST", b.id, 0)
 }
 
-func (m *machine) callNested(t *rapid.T) {
+func (m *randomCalls) callNested(t *rapid.T) {
 	if len(m.running) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -57,8 +57,8 @@
 	m.nestedCall(d.token, d.root, "ice", method)
 }
 
-// forgedToken is a backend server that goes on calling in the name of a call that is over, or invents one.
-func (m *machine) forgedToken(t *rapid.T) {
+// callWithDeadToken is a backend server that goes on calling in the name of a call that is over, or invents one.
+func (m *randomCalls) callWithDeadToken(t *rapid.T) {
 	token := Token("")
 	for _, d := range m.deliveries {
 		if d.ended {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (m *machine) takeForward(t *rapid.T) Forward {
+func (m *randomCalls) takeForward(t *rapid.T) Forward {
 	if len(m.forwards) == 0 {
 		t.Skip("nothing is under way")
 	}
@@ -82,7 +82,7 @@
 	return f
 }
 
-func (m *machine) deliverCall(t *rapid.T) {
+func (m *randomCalls) deliverCall(t *rapid.T) {
 	f := m.takeForward(t)
 	service := identifier.Service("ice")
 	if slices.Contains(boardEndpoints, f.Endpoint) {
@@ -95,13 +95,13 @@
 	m.deliver(f, service, method)
 }
 
-// neverSent is a node that cannot be dialled.
-func (m *machine) neverSent(t *rapid.T) {
+// failToSend is a node that cannot be dialled.
+func (m *randomCalls) failToSend(t *rapid.T) {
 	f := m.takeForward(t)
 	m.apply(&AnswerEnded{Call: f.Call, Phase: NotSent, Replayable: true, Wall: m.wall()})
 }
 
-func (m *machine) takeRunning(t *rapid.T) CallID {
+func (m *randomCalls) takeRunning(t *rapid.T) CallID {
 	if len(m.running) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -111,12 +111,12 @@
 	return d
 }
 
-func (m *machine) answer(t *rapid.T) {
+func (m *randomCalls) answer(t *rapid.T) {
 	m.apply(&DeliveryEnded{Delivery: m.takeRunning(t)})
 }
 
 // loseAnswer is a connection between two nodes that breaks after the call has run.
-func (m *machine) loseAnswer(t *rapid.T) {
+func (m *randomCalls) loseAnswer(t *rapid.T) {
 	id := m.takeRunning(t)
 	d := m.deliveries[id]
 	d.ended = true
@@ -125,10 +125,10 @@
 	m.apply(&AnswerEnded{Call: d.call, Phase: Sent, Replayable: replayable, Wall: m.wall()})
 }
 
-func (m *machine) callerLeaves(t *rapid.T) {
+func (m *randomCalls) callerLeaves(t *rapid.T) {
 	var open []CallID
 	for c := CallID(1); c <= m.nextCall; c++ {
-		if a, ok := m.calls[c]; ok && a.finals == 0 {
+		if a, ok := m.calls[c]; ok && a.finalAnswers == 0 {
 			open = append(open, c)
 		}
 	}
@@ -137,27 +137,27 @@
 	}
 	c := rapid.SampledFrom(open).Draw(t, "call")
 	m.apply(&CallCancelled{Call: c})
-	m.calls[c].finals++
+	m.calls[c].finalAnswers++
 }
 
-func (m *machine) wait(t *rapid.T) {
-	m.pass(clock.Duration(rapid.SampledFrom([]int{10, 100, 600}).Draw(t, "ms")))
+func (m *randomCalls) wait(t *rapid.T) {
+	m.advance(clock.Duration(rapid.SampledFrom([]int{10, 100, 600}).Draw(t, "ms")))
 }
 
-func (m *machine) withdrawKey(t *rapid.T) {
+func (m *randomCalls) withdrawKey(t *rapid.T) {
 	if m.withdrawn {
 		t.Skip("withdrawn already")
 	}
 	m.withdrawn = true
-	m.world.withdraw()
-	m.pass(clock.Second)
+	m.simulatedNode.withdraw()
+	m.advance(clock.Second)
 	if _, ok := m.state.configurer.Resolve(otherKey); ok {
 		t.Fatalf("the withdrawn key still resolves")
 	}
 }
 
-// check looks at what must hold at every moment, beyond what the world checks at each effect.
-func (m *machine) check(t *rapid.T) {
+// checkWithdrawnKey looks at what must hold at every moment, beyond what the world checks at each effect.
+func (m *randomCalls) checkWithdrawnKey(t *rapid.T) {
 	if !m.withdrawn {
 		return
 	}
@@ -175,30 +175,30 @@
 // Requests, lost answers, unreachable nodes, callers that leave, and a key that is withdrawn come in any order. A fault
 // shows as a caller that gets two answers or none, a booking made twice, a "not run" that is a lie, or a storm of
 // retries.
-func TestCallsAgainstAccount(t *testing.T) {
+func TestRandomCallSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{world: newWorld(t.Fatalf)}
+		m := &randomCalls{simulatedNode: newSimulatedNode(t.Fatalf)}
 		t.Repeat(map[string]func(*rapid.T){
 			"callRoot":     m.callRoot,
-			"book":         m.book,
-			"bookAgain":    m.bookAgain,
+			"book":         m.callWithID,
+			"bookAgain":    m.repeatWithID,
 			"callNested":   m.callNested,
-			"forgedToken":  m.forgedToken,
+			"forgedToken":  m.callWithDeadToken,
 			"deliverCall":  m.deliverCall,
-			"neverSent":    m.neverSent,
+			"neverSent":    m.failToSend,
 			"answer":       m.answer,
 			"loseAnswer":   m.loseAnswer,
 			"callerLeaves": m.callerLeaves,
 			"wait":         m.wait,
 			"withdraw":     m.withdrawKey,
-			"":             m.check,
+			"":             m.checkWithdrawnKey,
 		})
 		m.settle(t)
 	})
 }
 
 // settle lets everything under way end, after which every caller has its answer and the node has forgotten all calls.
-func (m *machine) settle(t *rapid.T) {
+func (m *randomCalls) settle(t *rapid.T) {
 	for quiet := false; !quiet; quiet = len(m.forwards) == 0 && len(m.running) == 0 {
 		for len(m.forwards) > 0 {
 			f := m.forwards[0]
@@ -211,11 +211,11 @@
 			m.apply(&DeliveryEnded{Delivery: id})
 		}
 		// A call that waits for another with the same id may be let go only now.
-		m.pass(10 * clock.Second)
+		m.advance(10 * clock.Second)
 	}
 	for c, a := range m.calls {
-		if a.finals != 1 {
-			t.Fatalf("call %d got %d final answers", c, a.finals)
+		if a.finalAnswers != 1 {
+			t.Fatalf("call %d got %d final answers", c, a.finalAnswers)
 		}
 	}
 	assert.Equal(t, len(m.state.calls), 0)
@@ -231,14 +231,14 @@
 // outage that lasts.
 func TestRetriesOfOneRequestAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{world: newWorld(t.Fatalf)}
+		m := &randomCalls{simulatedNode: newSimulatedNode(t.Fatalf)}
 		// The damper would stop the retries before the allowance does.
 		m.state.damper = retrier.NewDamper(retrier.DamperOptions{PerMille: 1_000_000, Burst: 1000})
 		m.call(testKey, "board", "GET", "", 0)
 		t.Repeat(map[string]func(*rapid.T){
 			"callNested":  m.callNested,
 			"deliverCall": m.deliverCall,
-			"neverSent":   m.neverSent,
+			"neverSent":   m.failToSend,
 			"loseAnswer":  m.loseAnswer,
 			"answer":      m.answer,
 			"refuse":      m.refuseForward,
@@ -248,7 +248,7 @@
 }
 
 // refuseForward is another node whose endpoint is full.
-func (m *machine) refuseForward(t *rapid.T) {
+func (m *randomCalls) refuseForward(t *rapid.T) {
 	f := m.takeForward(t)
 	unused := rapid.Uint8Range(0, f.Allowance).Draw(t, "unused")
 	m.apply(&AnswerEnded{
@@ -260,7 +260,7 @@
 // A withdrawn key's call waits in a queue while the withdrawal is read. Were the key not looked up again when the slot
 // comes free, the caller would go on being served for as long as it keeps the queue full.
 func TestWithdrawnKeyLeavesQueue(t *testing.T) {
-	w := newWorld(t.Fatalf)
+	w := newSimulatedNode(t.Fatalf)
 	for range 2 * len(iceEndpoints) {
 		w.call(testKey, "ice", "GET", "", 0)
 	}
@@ -275,7 +275,7 @@
 	w.forwards = nil
 	assert.Equal(t, w.calls[queued].runs, 0)
 	w.withdraw()
-	w.pass(clock.Second)
+	w.advance(clock.Second)
 	for len(w.running) > 0 {
 		id := w.running[0]
 		w.running = w.running[1:]
--- a/internal/reducer/refusal_test.go
+++ b/internal/reducer/refusal_test.go
@@ -13,8 +13,8 @@
 
 // The only endpoint of a service is full. The caller would read that the service has no backend server, and its
 // operators would look for a VM that is gone instead of for an overload.
-func TestFullEndpointIsNoMissingOne(t *testing.T) {
-	w := newWorld(t.Fatalf)
+func TestFullEndpointIsReportedAsOverload(t *testing.T) {
+	w := newSimulatedNode(t.Fatalf)
 	for _, id := range iceEndpoints[1:] {
 		w.state.router.Remove(id)
 	}
@@ -31,10 +31,10 @@
 
 // A team has a valid key and no rate in the preset in force, as a team that bought nothing for peaks. Told only that it is
 // over its rate and may come back at once, its program would ask again without end.
-func TestTeamWithoutRateIsToldSo(t *testing.T) {
-	w := newWorld(t.Fatalf)
+func TestRefusalNamesTeamWithoutRate(t *testing.T) {
+	w := newSimulatedNode(t.Fatalf)
 	w.publish(configurer.IssueKey{Change: w.change("m", 0), Key: definer.Key{Hash: "cc33", Team: "surveyors"}})
-	w.pass(clock.Second)
+	w.advance(clock.Second)
 	c := w.call("cc33", "ice", "GET", "", 0)
 	r := w.calls[c].refusal
 	assert.Equal(t, r.Reason, RateExceeded)
--- a/internal/reducer/rules.go
+++ b/internal/reducer/rules.go
@@ -29,7 +29,7 @@
 	routes  []definer.Route
 }
 
-type matched struct {
+type matchedRoute struct {
 	route      admitter.Route
 	priority   identifier.Priority
 	idempotent bool
@@ -58,7 +58,7 @@
 
 // match returns the first route that fits. A call that fits none is of normal priority, and idempotent only
 // where HTTP says so of its method.
-func (r *serviceRules) match(method, path string) matched {
+func (r *serviceRules) match(method, path string) matchedRoute {
 	for i := range r.routes {
 		d := &r.routes[i]
 		if d.Method != "*" && d.Method != method {
@@ -67,9 +67,9 @@
 		if !underPrefix(path, d.Prefix) {
 			continue
 		}
-		return matched{route: admitter.Route(i + 1), priority: d.Priority, idempotent: d.Idempotent}
+		return matchedRoute{route: admitter.Route(i + 1), priority: d.Priority, idempotent: d.Idempotent}
 	}
-	return matched{
+	return matchedRoute{
 		route:      admitter.Route(len(r.routes) + 1),
 		priority:   identifier.Normal,
 		idempotent: method == "GET" || method == "HEAD" || method == "OPTIONS",
--- a/internal/reducer/world_test.go
+++ b/internal/reducer/simulatednode_test.go
@@ -28,46 +28,46 @@
 	boardEndpoints = []identifier.Endpoint{"board-1", "board-2", "board-3", "board-4", "board-5", "board-6"}
 )
 
-// world is one node with a log that always works. Its effects are carried out at once, or kept for the test to decide
+// simulatedNode is one node with a log that always works. Its effects are carried out at once, or kept for the test to decide
 // on: what was forwarded, and what a backend server works on.
-type world struct {
+type simulatedNode struct {
 	state    *State
 	now      clock.Time
 	log      [][]byte
 	pending  []Event
 	nextCall CallID
 
-	calls      map[CallID]*callAccount
-	deliveries map[CallID]*deliveryAccount
+	calls      map[CallID]*callRecord
+	deliveries map[CallID]*deliveryRecord
 	forwards   []Forward
 	running    []CallID
 	fail       func(format string, args ...any)
 }
 
-// callAccount is what a caller saw, and what really happened to its call.
-type callAccount struct {
-	root        CallID
-	key         identifier.KeyHash
-	idempotent  bool
-	idempotency identifier.Idempotency
-	forwards    int
-	runs        int
-	finals      int
-	refusal     *Refusal
+// callRecord is what a caller saw, and what really happened to its call.
+type callRecord struct {
+	root         CallID
+	key          identifier.KeyHash
+	idempotent   bool
+	idempotency  identifier.Idempotency
+	forwards     int
+	runs         int
+	finalAnswers int
+	refusal      *Refusal
 }
 
-type deliveryAccount struct {
+type deliveryRecord struct {
 	call  CallID
 	token Token
 	root  CallID
 	ended bool
 }
 
-func newWorld(fail func(string, ...any)) *world {
-	w := &world{
+func newSimulatedNode(fail func(string, ...any)) *simulatedNode {
+	w := &simulatedNode{
 		now:        1,
-		calls:      make(map[CallID]*callAccount),
-		deliveries: make(map[CallID]*deliveryAccount),
+		calls:      make(map[CallID]*callRecord),
+		deliveries: make(map[CallID]*deliveryRecord),
 		fail:       fail,
 	}
 	w.state = New(Options{Self: "a1", Domain: "alfa", Address: "127.0.0.1:1", Seed: 7, Decode: encoder.Decode})
@@ -85,7 +85,7 @@
 		Node: peerNode, Domain: "alfa", Address: "127.0.0.1:2", State: gossiper.Alive, Incarnation: 1,
 	}}})
 	// The claims' terms have to pass before the node may act under them.
-	w.pass(20 * clock.Second)
+	w.advance(20 * clock.Second)
 	return w
 }
 
@@ -108,11 +108,11 @@
 	}
 }
 
-func (w *world) change(id string, base identifier.Version) configurer.Change {
+func (w *simulatedNode) change(id string, base identifier.Version) configurer.Change {
 	return configurer.Change{ID: configurer.ChangeID("change-" + id), Operator: "test", Wall: w.wall(), Base: base}
 }
 
-func (w *world) publish(record any) {
+func (w *simulatedNode) publish(record any) {
 	b, err := encoder.Encode(record)
 	if err != nil {
 		w.fail("encode %T: %v", record, err)
@@ -121,19 +121,19 @@
 }
 
 // withdraw publishes the withdrawal of the other key.
-func (w *world) withdraw() {
+func (w *simulatedNode) withdraw() {
 	base := w.state.configurer.Base(configurer.Subject{Kind: configurer.SubjectKey, Name: string(otherKey)})
 	w.publish(configurer.WithdrawKey{Change: w.change("w", base), Hash: otherKey})
 }
 
-func (w *world) wall() clock.Wall { return clock.Wall(1_700_000_000_000 + int64(w.now)) }
+func (w *simulatedNode) wall() clock.Wall { return clock.Wall(1_700_000_000_000 + int64(w.now)) }
 
-func (w *world) announce(id identifier.Endpoint, s identifier.Service, slots int) {
+func (w *simulatedNode) announce(id identifier.Endpoint, s identifier.Service, slots int) {
 	w.apply(&BackendAnnounced{Endpoint: id, Service: s, Slots: slots, ConnectionLimit: 100})
 }
 
-// pass lets time go by, with heartbeats and ticks.
-func (w *world) pass(d clock.Duration) {
+// advance lets time go by, with heartbeats and ticks.
+func (w *simulatedNode) advance(d clock.Duration) {
 	const step = 10 * clock.Millisecond
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(step)
@@ -146,7 +146,7 @@
 	}
 }
 
-func (w *world) apply(e Event) {
+func (w *simulatedNode) apply(e Event) {
 	w.pending = append(w.pending, e)
 	for len(w.pending) > 0 {
 		next := w.pending[0]
@@ -157,7 +157,7 @@
 	}
 }
 
-func (w *world) perform(e Effect) {
+func (w *simulatedNode) perform(e Effect) {
 	switch e := e.(type) {
 	case Append:
 		w.publish(e.Record)
@@ -168,9 +168,9 @@
 	case Refuse:
 		w.refused(e)
 	case Replay:
-		w.final(e.Call)
+		w.countFinalAnswer(e.Call)
 	case Finished:
-		w.final(e.Call)
+		w.countFinalAnswer(e.Call)
 	case Dispatch:
 		w.dispatched(e)
 	case RefuseDelivery:
@@ -183,7 +183,7 @@
 }
 
 // peer is a second node of the failure domain that does nothing but stand witness and answer pings.
-func (w *world) peer(message any) {
+func (w *simulatedNode) peer(message any) {
 	var answer any
 	switch m := message.(type) {
 	case claimer.PromiseRequest:
@@ -198,7 +198,7 @@
 	w.pending = append(w.pending, &MessageReceived{From: peerNode, Message: answer, Wall: w.wall()})
 }
 
-func (w *world) read(e ReadLog) {
+func (w *simulatedNode) read(e ReadLog) {
 	r := &RecordsRead{Earliest: 1, Next: identifier.Offset(len(w.log) + 1), Wall: w.wall()}
 	for i := int(e.From); i <= len(w.log); i++ {
 		r.Records = append(r.Records, LogRecord{Offset: identifier.Offset(i), Data: w.log[i-1]})
@@ -206,10 +206,10 @@
 	w.pending = append(w.pending, r)
 }
 
-func (w *world) call(key identifier.KeyHash, service identifier.Service, method string, id identifier.Idempotency, deadline clock.Duration) CallID {
+func (w *simulatedNode) call(key identifier.KeyHash, service identifier.Service, method string, id identifier.Idempotency, deadline clock.Duration) CallID {
 	w.nextCall++
 	c := w.nextCall
-	w.calls[c] = &callAccount{root: c, key: key, idempotent: method == "GET", idempotency: id}
+	w.calls[c] = &callRecord{root: c, key: key, idempotent: method == "GET", idempotency: id}
 	w.apply(&CallArrived{
 		Call: c, Request: requestOf(c), KeyHash: key, Service: service, Method: method, Path: "/x",
 		Idempotency: id, Deadline: deadline, Wall: w.wall(),
@@ -217,10 +217,10 @@
 	return c
 }
 
-func (w *world) nestedCall(token Token, root CallID, service identifier.Service, method string) CallID {
+func (w *simulatedNode) nestedCall(token Token, root CallID, service identifier.Service, method string) CallID {
 	w.nextCall++
 	c := w.nextCall
-	w.calls[c] = &callAccount{root: root, idempotent: method == "GET"}
+	w.calls[c] = &callRecord{root: root, idempotent: method == "GET"}
 	w.apply(&NestedArrived{
 		Call: c, Request: requestOf(c), Token: token, Service: service, Method: method, Path: "/x", Wall: w.wall(),
 	})
@@ -229,22 +229,22 @@
 
 func requestOf(c CallID) identifier.Request { return identifier.Request(fmt.Sprintf("r%d", c)) }
 
-func (w *world) forwarded(f Forward) {
+func (w *simulatedNode) forwarded(f Forward) {
 	a := w.calls[f.Call]
 	a.forwards++
-	if a.finals > 0 {
+	if a.finalAnswers > 0 {
 		w.fail("call %d was forwarded after its final answer", f.Call)
 	}
 	if a.forwards > 1 && a.runs > 0 && !a.idempotent {
 		w.fail("call %d may have run and is not idempotent, yet was sent again", f.Call)
 	}
 	w.forwards = append(w.forwards, f)
-	w.checkRetries(a.root)
+	w.checkRetryAllowance(a.root)
 }
 
-// checkRetries holds the promise that one root request causes at most its allowance of further attempts in its whole
+// checkRetryAllowance holds the promise that one root request causes at most its allowance of further attempts in its whole
 // chain, whatever is lost or refused.
-func (w *world) checkRetries(root CallID) {
+func (w *simulatedNode) checkRetryAllowance(root CallID) {
 	retries := 0
 	for _, a := range w.calls {
 		if a.root == root && a.forwards > 1 {
@@ -256,29 +256,29 @@
 	}
 }
 
-func (w *world) refused(e Refuse) {
+func (w *simulatedNode) refused(e Refuse) {
 	a := w.calls[e.Call]
 	a.refusal = &e.Refusal
-	w.final(e.Call)
+	w.countFinalAnswer(e.Call)
 	if e.Refusal.NotRun && a.runs > 0 {
 		w.fail("call %d was refused with %s as not run, but ran %d times", e.Call, e.Refusal.Reason, a.runs)
 	}
 }
 
-func (w *world) final(c CallID) {
+func (w *simulatedNode) countFinalAnswer(c CallID) {
 	a := w.calls[c]
-	a.finals++
-	if a.finals > 1 {
-		w.fail("call %d got %d final answers", c, a.finals)
+	a.finalAnswers++
+	if a.finalAnswers > 1 {
+		w.fail("call %d got %d final answers", c, a.finalAnswers)
 	}
 }
 
 // deliver carries one forwarded call to this node's own backend server.
-func (w *world) deliver(f Forward, s identifier.Service, method string) CallID {
+func (w *simulatedNode) deliver(f Forward, s identifier.Service, method string) CallID {
 	w.nextCall++
 	d := w.nextCall
 	token := Token(fmt.Sprintf("t%d", d))
-	w.deliveries[d] = &deliveryAccount{call: f.Call, token: token, root: w.calls[f.Call].root}
+	w.deliveries[d] = &deliveryRecord{call: f.Call, token: token, root: w.calls[f.Call].root}
 	w.apply(&DeliveryArrived{
 		Delivery: d, From: "a1", Request: requestOf(f.Call), Root: f.Root, Team: f.Team, KeyHash: f.KeyHash, Service: s,
 		Endpoint: f.Endpoint, Method: method, Path: "/x", Rank: f.Rank, Deadline: f.Deadline, Allowance: f.Allowance,
@@ -287,15 +287,15 @@
 	return d
 }
 
-func (w *world) dispatched(e Dispatch) {
+func (w *simulatedNode) dispatched(e Dispatch) {
 	d := w.deliveries[e.Delivery]
 	w.calls[d.call].runs++
 	w.running = append(w.running, e.Delivery)
-	w.checkOnce(w.calls[d.call])
+	w.checkRunsAtMostOnce(w.calls[d.call])
 }
 
-// checkOnce holds the promise that a request with an idempotency id runs at most once, over all its callers' retries.
-func (w *world) checkOnce(a *callAccount) {
+// checkRunsAtMostOnce holds the promise that a request with an idempotency id runs at most once, over all its callers' retries.
+func (w *simulatedNode) checkRunsAtMostOnce(a *callRecord) {
 	if a.idempotency == "" || a.idempotent {
 		return
 	}
@@ -310,7 +310,7 @@
 	}
 }
 
-func (w *world) refusedDelivery(e RefuseDelivery) {
+func (w *simulatedNode) refusedDelivery(e RefuseDelivery) {
 	d := w.deliveries[e.Delivery]
 	d.ended = true
 	tail := e.Tail
@@ -320,7 +320,7 @@
 	})
 }
 
-func (w *world) endedDelivery(e EndDelivery) {
+func (w *simulatedNode) endedDelivery(e EndDelivery) {
 	d := w.deliveries[e.Delivery]
 	d.ended = true
 	tail := e.Tail
--- a/internal/reducer/spend.go
+++ b/internal/reducer/spend.go
@@ -10,24 +10,24 @@
 	"github.com/jackdawtide/jackdawtide/internal/granter"
 )
 
-func (s *State) spend(c *call) {
+func (s *State) spendRate(c *call) {
 	d := s.granter.Spend(c.team, granter.Call(c.id), s.now)
 	switch d.Verdict {
 	case granter.Spent:
 		c.payment = d.Paid
-		s.paid(c)
+		s.rankAndAdmit(c)
 	case granter.Wait:
-		s.grant(s.granter.Tick(s.now))
+		s.applyGrants(s.granter.Tick(s.now))
 	case granter.Refused:
-		s.refuseRate(c, d.RetryAfter)
+		s.refuseRateExceeded(c, d.RetryAfter)
 	}
 }
 
-func (s *State) refuseRate(c *call, after clock.Duration) {
+func (s *State) refuseRateExceeded(c *call, after clock.Duration) {
 	s.refuse(c, Refusal{Reason: RateExceeded, RetryAfter: max(after, 1)})
 }
 
-func (s *State) grant(effects []granter.Effect) {
+func (s *State) applyGrants(effects []granter.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case granter.Send:
@@ -35,11 +35,11 @@
 		case granter.Resume:
 			if c, ok := s.calls[CallID(e.Call)]; ok {
 				c.payment = e.Paid
-				s.paid(c)
+				s.rankAndAdmit(c)
 			}
 		case granter.Refuse:
 			if c, ok := s.calls[CallID(e.Call)]; ok {
-				s.refuseRate(c, e.RetryAfter)
+				s.refuseRateExceeded(c, e.RetryAfter)
 			}
 		}
 	}
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -52,32 +52,32 @@
 	asker      *deduplicator.Asker
 	owner      *deduplicator.Owner
 
-	router   *router.Router
-	board    *admitter.ThresholdCache
-	fairness *admitter.Fairness
-	damper   *retrier.Damper
+	router     *router.Router
+	thresholds *admitter.ThresholdCache
+	fairness   *admitter.Fairness
+	damper     *retrier.Damper
 
 	rules      *rules
 	calls      map[CallID]*call
 	deliveries map[CallID]*delivery
 	tokens     map[Token]*delivery
 	backends   map[identifier.Endpoint]*backend
-	trail      *trail
+	decisions  *decisionRing
 	counters   Counters
 	// interests are the services that this node has called, searching the calls that wait for endpoints.
-	interests map[identifier.Service]bool
-	searching map[identifier.Service][]*call
-	gained    map[claimer.Name]gained
-	leaving   *leave
-	logStart  identifier.Offset
-	slowAt    clock.Time
-	// met tells that the members of the own failure domain were asked for, startedAt is the first tick.
-	met       bool
-	startedAt clock.Time
-	now       clock.Time
-	wall      clock.Wall
-	out       []Effect
-	verdicts  []limiter.Verdict
+	interests           map[identifier.Service]bool
+	waitingForEndpoints map[identifier.Service][]*call
+	holds               map[claimer.Name]claimHold
+	leaving             *departure
+	logStart            identifier.Offset
+	lastSlowTick        clock.Time
+	// membersKnown tells that the members of the own failure domain were asked for, startedAt is the first tick.
+	membersKnown bool
+	startedAt    clock.Time
+	now          clock.Time
+	wall         clock.Wall
+	out          []Effect
+	verdicts     []limiter.Verdict
 }
 
 // Counters count what the node did since its start.
