--- a/internal/admitter/admission_test.go
+++ b/internal/admitter/admission_test.go
@@ -13,8 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Under any load, a gate must admit exactly the ranks up to its threshold, refuse no urgent calls during a short peak, and
-// open within 4 s after the queue is empty: a gate that stays closed turns a short overload into a long outage.
+// Under any load, a gate must admit exactly the ranks up to its threshold, refuse no urgent calls during a short peak,
+// and open within 4 s after the queue is empty: a gate that stays closed turns a short overload into a long outage.
 func TestGateUnderRandomLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := admitter.NewGate(admitter.GateOptions{Law: admitter.CapacityLaw})
@@ -108,8 +108,8 @@
 	})
 }
 
-// An overloaded "ice" service must cause refusals only on the routes that call it. Otherwise calls on other routes of the
-// same service would be refused because of a service that they never use.
+// An overloaded "ice" service must cause refusals only on the routes that call it. Otherwise calls on other routes of
+// the same service would be refused because of a service that they never use.
 func TestChainClosesOnlyRoutesThatNeedTheService(t *testing.T) {
 	c := admitter.NewChain(admitter.ThresholdCacheOptions{})
 	needs := map[admitter.Route]int{1: 0, 2: 100, 3: 20}
--- a/internal/admitter/fairness_test.go
+++ b/internal/admitter/fairness_test.go
@@ -13,8 +13,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// oneHeavyTeam has eight teams of equal weight. Seven send 400 calls a second each, to the nodes from firstNode on and most
-// of them to firstNode; team 0 sends 4000, all to node 0. The capacity is 2000, so the fair share of each team is 250.
+// oneHeavyTeam has eight teams of equal weight. Seven send 400 calls a second each, to the nodes from firstNode on and
+// most of them to firstNode; team 0 sends 4000, all to node 0. The capacity is 2000, so the fair share of each team is
+// 250.
 func oneHeavyTeam(nodes, firstNode int, sharesReported bool) scenario {
 	entries := make([]*admitter.Fairness, nodes)
 	for i := range entries {
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -63,7 +63,8 @@
 	g.observations++
 }
 
-// maxTarget is the upper bound of the target delay, which limits the queue of a service whose callers set long deadlines.
+// maxTarget is the upper bound of the target delay, which limits the queue of a service whose callers set long
+// deadlines.
 const maxTarget = clock.Second
 
 // SetTarget sets the target to the queueing delay that random arrivals cause below capacity (the limiter's
@@ -150,8 +151,8 @@
 	g.threshold = g.protectUrgent(g.demand.quantile(rate))
 }
 
-// maxUrgentOverloadWindows is how many consecutive windows urgent calls alone may exceed the rate before some of them are
-// refused.
+// maxUrgentOverloadWindows is how many consecutive windows urgent calls alone may exceed the rate before some of them
+// are refused.
 const maxUrgentOverloadWindows = 10
 
 // protectUrgent keeps the threshold above all urgent ranks during short peaks. While calls of lower priority are still
--- a/internal/admitter/ratecontroller.go
+++ b/internal/admitter/ratecontroller.go
@@ -21,8 +21,8 @@
 	AdditiveLaw
 )
 
-// window holds the measurements of one window: counts scaled to the configured window length, and the delay as a multiple
-// of the target.
+// window holds the measurements of one window: counts scaled to the configured window length, and the delay as a
+// multiple of the target.
 type window struct {
 	admitted, served, delay float64
 	open                    bool
--- a/internal/admitter/simulation_test.go
+++ b/internal/admitter/simulation_test.go
@@ -1,6 +1,6 @@
 // This file simulates the gate, the threshold cache, the chain and the limiter together under load, in steps of a
-// millisecond: random arrivals from a seed at entry nodes, a front service with one or more endpoints, and a deep service
-// that some routes call. Endpoints are queues in front of slots; there are no processes and no network.
+// millisecond: random arrivals from a seed at entry nodes, a front service with one or more endpoints, and a deep
+// service that some routes call. Endpoints are queues in front of slots; there are no processes and no network.
 //
 // Example: run(surge(), 1).good holds the number of successful answers in each 100 ms.
 
--- a/internal/reducer/attempt.go
+++ b/internal/reducer/attempt.go
@@ -1,8 +1,9 @@
-// An attempt is one sending of a call to one endpoint. After a failed one it is asked, in this order: may the
-// call run again at all, is the service in overload, is there an allowance left, is there time left.
+// An attempt sends a call to one endpoint. A failed attempt is followed by another one only if these conditions hold,
+// checked in this order: there is time left and the request can be sent again, the call may run again, the service is
+// not overloaded, and the retry allowance is not used up.
 //
-// Example: an attempt is refused with endpointFull, which vouches that nothing ran; the call goes to another
-// endpoint, at the cost of one retry of the root request's allowance.
+// Example: an attempt is refused with endpointFull, which guarantees that nothing ran; the call goes to another endpoint
+// and uses one retry of the root request's allowance.
 
 package reducer
 
@@ -13,8 +14,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// forward sends a call that has passed every check. The key is looked up once more, since the call may have
-// waited: were it not, a withdrawn key would go on working for as long as its calls wait.
+// forward sends a call that has passed all checks to an endpoint. It looks the key up again, since the call may have
+// waited: otherwise a withdrawn key would still work for calls that were waiting.
 func (s *State) forward(c *call) {
 	if c.parent == nil {
 		if _, ok := s.configurer.Resolve(c.keyHash); !ok {
@@ -66,9 +67,9 @@
 	})
 }
 
-// noEndpointReason is the reason where no endpoint can be tried. After an attempt that may have run it is the lost answer that
-// the caller has to know of; "no backend server" would read as if nothing had happened. After a refusal it is that one:
-// a service whose only endpoint is full is overloaded, not gone.
+// noEndpointReason returns the refusal reason if no endpoint is left to try. After an attempt that may have run it is
+// LostAnswer, since NoBackend would suggest that nothing ran. After a refused attempt it is the reason of that refusal:
+// a service whose only endpoint is full is overloaded, not missing.
 func (c *call) noEndpointReason() Reason {
 	if c.mayHaveRun {
 		return LostAnswer
@@ -87,7 +88,7 @@
 	}
 	s.learnFromTail(c, e.Tail)
 	if e.Phase == NotSent {
-		// What never left this node cannot have spent any of the allowance that was to go with it.
+		// An attempt that was never sent has used none of the allowance that was assigned to it.
 		c.budget.Return(c.attemptAllowance, c.attemptAllowance)
 	}
 	s.endAttempt(c, attemptOutcome(e), e.Tail)
@@ -107,8 +108,8 @@
 	s.giveUp(c, e)
 }
 
-// learnFromTail keeps what the answer says of the service. A nested call's parent learns it as well, so that its own
-// callers are told what the whole chain can take.
+// learnFromTail updates the learned thresholds, retry ratio and shares from the tail of an answer. For a nested call it
+// also updates the parent's chain, so that answers to the parent's callers carry the threshold of the whole call chain.
 func (s *State) learnFromTail(c *call, t *Tail) {
 	if t == nil {
 		return
@@ -173,7 +174,7 @@
 	return true
 }
 
-// minTimeForRetry is less than any useful answer takes.
+// minTimeForRetry is the least time to the deadline for another attempt; no useful answer arrives in less.
 const minTimeForRetry = 2 * clock.Millisecond
 
 func (s *State) noTimeToRetry(c *call) bool {
@@ -217,7 +218,7 @@
 	}
 }
 
-// giveUp ends a call whose last attempt failed. The refusal is "not run" only if no attempt at all may have run.
+// giveUp refuses a call whose last attempt failed. The refusal says "not run" only if none of the attempts may have run.
 func (s *State) giveUp(c *call, e *AnswerEnded) {
 	s.abandonPermit(c)
 	r := Refusal{RetryAfter: s.randomRetryAfter()}
--- a/internal/reducer/backends.go
+++ b/internal/reducer/backends.go
@@ -1,7 +1,8 @@
-// The backend servers of this VM, as they announced themselves. What a backend server says of its load is a hint;
-// silence, though, means that it is gone, since nothing else would tell.
+// This file tracks the backend servers of this VM by their announcements and heartbeats. The load that a backend server
+// reports is only a hint. Missing heartbeats, however, count as a failure, since there is no other failure detection for
+// backend servers.
 //
-// Example: BackendAnnounced{ice-1} → gossip tells the fleet; no heartbeat for 1.5 s → the endpoint is removed.
+// Example: BackendAnnounced{ice-1} → gossip spreads the endpoint; no heartbeat for 1.5 s → the endpoint is removed.
 
 package reducer
 
@@ -20,9 +21,11 @@
 const (
 	// heartbeatTimeout is three missed heartbeats.
 	heartbeatTimeout = 1500 * clock.Millisecond
-	// leavingGracePeriod is how long calls that were already on their way to a leaving backend server are still taken.
+	// leavingGracePeriod is how long a leaving backend server still accepts calls, for those that were sent before other
+	// nodes knew that it is leaving.
 	leavingGracePeriod = clock.Second
-	loadPerSlot        = 1000
+	// fullLoad is the reported load of a backend server all of whose slots are in use.
+	fullLoad = 1000
 )
 
 type backend struct {
@@ -44,7 +47,8 @@
 	return b.leaving && now.Sub(b.leavingAt) > leavingGracePeriod
 }
 
-// A call that the limiter shed on a leaving backend server can go to another at once; otherwise its queue was full.
+// shedReason returns the reason for a call that the limiter shed: a leaving backend server, so that the call can go to
+// another endpoint at once, or a full queue.
 func (b *backend) shedReason() Reason {
 	if b.leaving {
 		return EndpointLeaving
@@ -94,7 +98,7 @@
 		return
 	}
 	b.lastHeartbeat = s.now
-	b.limiter.Announced(float64(e.Load)/loadPerSlot, s.now)
+	b.limiter.Announced(float64(e.Load)/fullLoad, s.now)
 }
 
 func (s *State) backendLeaving(e *BackendLeaving) {
@@ -137,7 +141,7 @@
 	if s.now.Sub(b.lastHeartbeat) <= heartbeatTimeout {
 		return
 	}
-	// Calls that it still works on are left to their own fate; their connections tell.
+	// Calls that are still running at the backend server are not ended here; they end with their connections.
 	b.limiter.Drain()
 	s.applyVerdicts(b, b.limiter.Tick(s.now, s.verdicts[:0]))
 	delete(s.backends, b.id)
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -1,6 +1,7 @@
-// A call enters here, by a caller's key or by the token of the call it is nested in. What both share begins in
-// begin: route, rank, threshold; a root call then pays with its team's rate, and a call that must not run twice
-// asks the owner of its idempotency id.
+// A call arrives either from a caller with a key (a root call) or from a backend server with the token of the delivery
+// that it is nested in. Both get their route and limits in applyRules. A root call then spends from its team's rate and
+// gets its rank; a nested call has the rank of its parent. Both are checked against the threshold, and a call that must
+// not run twice requests a permit from the owner of its idempotency id.
 //
 // Example: CallArrived → rank 0x4123 → slice spent → Forward to endpoint "ice-2" at node "a2".
 
@@ -18,10 +19,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// maxDepth stops services that call each other in a circle.
+// maxDepth is the limit for nested calls; it stops services that call each other in a cycle.
 const maxDepth = 32
 
-// maxExcluded is how many failed endpoints a call remembers.
+// maxExcluded is the upper bound of the failed endpoints that a call excludes from its next attempts.
 const maxExcluded = 4
 
 type call struct {
@@ -42,7 +43,8 @@
 	maxBody     int64
 	depth       uint8
 
-	// parent is the delivery that a nested call belongs to, and portion what it took of its allowance.
+	// parent is the delivery that a nested call belongs to, allowanceFromParent the part of the parent's retry allowance
+	// that the call received.
 	parent              *delivery
 	allowanceFromParent uint8
 
@@ -50,19 +52,19 @@
 	attemptAllowance uint8
 	attempt          uint16
 	endpoint         identifier.Endpoint
-	// lastEndpoint is where the attempt before went.
+	// lastEndpoint is the endpoint of the previous attempt.
 	lastEndpoint identifier.Endpoint
-	// lastReason is why the attempt before was refused, if it was.
+	// lastReason is the reason with which the previous attempt was refused, if it was.
 	lastReason Reason
 	sentAt     clock.Time
 	excluded   []identifier.Endpoint
-	// mayHaveRun is set once any attempt may have started at a backend server.
+	// mayHaveRun is set once an attempt may have started at a backend server.
 	mayHaveRun bool
-	// hasPermit is set once the owner of the idempotency id let the call run.
+	// hasPermit is set while the call has the permit of the owner of its idempotency id.
 	hasPermit bool
-	// awaitingOwner is set while the owner is being asked.
+	// awaitingOwner is set while the owner's answer to the permit request is pending.
 	awaitingOwner bool
-	// endpointWaitUntil is set once the call has waited for endpoints of its service.
+	// endpointWaitUntil is the time up to which the call waits for endpoints of its service; zero if it has not waited.
 	endpointWaitUntil clock.Time
 	payment           granter.Paid
 }
@@ -102,12 +104,13 @@
 	s.spendRate(c)
 }
 
-// retryAfterNoRate is for what only another preset can change; it is long, since operators switch a few times a day.
+// retryAfterNoRate is the retry delay for refusals that only a switch to another preset can end. It is long, since
+// operators switch presets only a few times a day.
 const retryAfterNoRate = 10 * clock.Second
 
-// rankAndAdmit goes on with a root call that its team's rate has paid for. Paying comes first: were calls ranked before, a team
-// far above its rate would have its unimportant calls shed for nothing and spend all of its rate on urgent ones, at the
-// cost of the teams that keep to theirs.
+// rankAndAdmit assigns a rank to a root call that was paid for from its team's rate, and checks it against the
+// threshold. Payment comes first: otherwise calls of low priority would be shed before they use up any rate, and a team
+// far above its rate could spend all of it on urgent calls, at the cost of teams that stay within their rate.
 func (s *State) rankAndAdmit(c *call) {
 	s.fairness.CountCall(c.team, s.now)
 	c.rank = identifier.MakeRank(c.priority, s.fairness.Overuse(c.team, s.now), rootHash(c))
@@ -118,7 +121,8 @@
 	s.requestPermit(c)
 }
 
-// A caller's retry with the same id gets the same place within its class, so asking again earns nothing.
+// rootHash returns the hash from which the rank of a root call is made. A caller's retry with the same idempotency id
+// gets the same hash, so that a retry does not improve its rank.
 func rootHash(c *call) uint64 {
 	if c.idempotency != "" {
 		return xxh3.HashString(string(c.idempotency))
@@ -166,7 +170,8 @@
 	s.requestPermit(c)
 }
 
-// joinParent lets a nested call act for the team of the call that it is part of, and for no other.
+// joinParent makes a nested call part of its parent delivery: it takes its team, rank and root request from there and
+// not from the backend server, which therefore can't act for another team.
 func (c *call) joinParent(d *delivery) {
 	c.parent = d
 	c.root = d.root
@@ -176,7 +181,8 @@
 	d.nestedCalls++
 }
 
-// refuseKey must not call a key unknown that this node, just started, has not read of yet: a caller takes that for final.
+// refuseKey refuses a call whose key this node does not know. While a node that has just started still reads the
+// configuration, the reason is not UnknownKey, since callers treat that as final.
 func (s *State) refuseKey(c *call) {
 	if s.stillReading() {
 		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "this node is still reading the configuration"})
@@ -185,8 +191,8 @@
 	s.refuse(c, Refusal{Reason: UnknownKey})
 }
 
-// stillReading tells that this node, just started, has not read to the end of the configuration yet. What it has read so
-// far may be long out of force everywhere else.
+// stillReading reports whether this node, after its start, has not yet read the configuration to the end. What it has
+// read so far may be outdated.
 func (s *State) stillReading() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
 
 func (s *State) refuseIfNotReady(c *call) bool {
@@ -203,7 +209,8 @@
 	return true
 }
 
-// applyRules finds the rules for the call and tells whether it may go on.
+// applyRules looks up the rules for the call and sets its route, limits and deadline. It returns false if it has
+// refused the call.
 func (s *State) applyRules(c *call, deadline clock.Duration, length int64) bool {
 	r, ok := s.rules.services[c.service]
 	if !ok {
@@ -226,7 +233,8 @@
 	return true
 }
 
-// Refused callers that all come back at the same moment are the next surge, so the time varies.
+// randomRetryAfter returns a random retry delay: if refused callers all retried at the same moment, they would cause the
+// next overload.
 func (s *State) randomRetryAfter() clock.Duration {
 	const least, spread = 500, 1000
 	return clock.Duration(least + s.rand.Int64N(spread))
@@ -256,7 +264,7 @@
 	s.counters.Refused[r]++
 }
 
-// forgetCall ends a call at this node and gives its unused allowance back to the call that it is nested in.
+// forgetCall removes a call from this node and returns its unused retry allowance to the delivery that it is nested in.
 func (s *State) forgetCall(c *call) {
 	if c.parent != nil {
 		c.parent.budget.Return(c.budget.Left(), c.allowanceFromParent)
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -1,5 +1,6 @@
-// Everything that is not a call: messages of other nodes, records of the log, time going by. Each matter's effects
-// are turned into the node's own here; a message from a node to itself is handed over without leaving the reducer.
+// This file handles all events other than calls: messages from other nodes, records of the log and ticks. It converts
+// the effects of the individual packages into the node's effects; a message of a node to itself is handled within the
+// reducer.
 
 package reducer
 
@@ -48,7 +49,7 @@
 	case deduplicator.HandoverAnswer:
 		s.handoverConfirmed(from, m)
 	case deduplicator.Handover:
-		// It comes before the claim does, so there is no hold yet.
+		// A handover arrives before this node gains the claim, so there is no hold yet.
 		s.applyIdempotency(s.owner.Receive(from, m, deduplicator.Hold{}, false, s.now, s.wall))
 	case deduplicator.BeginRequest, deduplicator.FinishReport, deduplicator.AbandonReport:
 		s.receiveAsOwner(from, m)
@@ -68,7 +69,7 @@
 	s.applyIdempotency(s.owner.Receive(from, m, h, held, s.now, s.wall))
 }
 
-// send keeps a message to this node itself inside; it is taken in as soon as the present event is done with.
+// send emits a message to another node. A message to this node itself is not sent but handled immediately.
 func (s *State) send(to identifier.Node, address string, message any) {
 	if to == s.options.Self {
 		s.receive(to, message)
@@ -121,7 +122,7 @@
 	s.applyGossip(s.gossiper.ReadRecord(e.Value, s.now))
 }
 
-// updateRateHolder tells the granter who keeps the bank of a rate claim now.
+// updateRateHolder passes the current holder of a rate claim, which keeps the claim's bank, to the granter.
 func (s *State) updateRateHolder(n claimer.Name) {
 	domain, slot, ok := granter.ParseClaimName(n)
 	if !ok {
@@ -227,9 +228,10 @@
 	}
 }
 
-// assumeAlone lets a node that has met nobody for a while count itself as its failure domain's only member, and so as a
-// reader of the log. Left to wait for others it would read only once its news was stale, and a withdrawn key would go on
-// working there for seconds longer. It waits a moment first, or a whole domain that returns would read the log at once.
+// assumeAlone makes a node that has found no other member for aloneTimeout the only member of its failure domain, and
+// thereby a reader of the log. Otherwise it would read the log only once its news was stale, and a withdrawn key would
+// remain valid there for seconds longer. Without the timeout, all nodes of a restarted failure domain would read the
+// log at the same time.
 func (s *State) assumeAlone() {
 	if s.startedAt == 0 {
 		s.startedAt = s.now
@@ -261,11 +263,11 @@
 }
 
 const (
-	// slowTickInterval is how often the matters that need no hurry are ticked.
+	// slowTickInterval is the interval between ticks of the packages that are not time-critical.
 	slowTickInterval = 100 * clock.Millisecond
-	// aloneTimeout is how long a node waits for others before it takes itself for the only one.
+	// aloneTimeout is how long a node waits for other members before it assumes that it is the only one.
 	aloneTimeout = 500 * clock.Millisecond
-	// maxLogAge is the age of news up to which the log counts as readable.
+	// maxLogAge is the age of the last news of the log up to which the log counts as readable.
 	maxLogAge = 3 * clock.Second
 )
 
--- a/internal/reducer/decisions.go
+++ b/internal/reducer/decisions.go
@@ -1,5 +1,5 @@
-// When a caller asks why its request was refused, the answer must not depend on a log search. The node keeps its last
-// decisions in a ring, each with what it was judged by.
+// A node keeps its most recent decisions in a ring buffer, each with the data that it was based on, so that operators
+// can explain a refusal without searching logs.
 //
 // Example: explain 0190… → "shed" decided by node "a2" under version 12, rank 0x8123, threshold 0x7fff.
 
@@ -11,10 +11,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// decisionRingSize is how many decisions a node remembers.
+// decisionRingSize is the number of decisions that a node keeps.
 const decisionRingSize = 4096
 
-// Decision is what was decided on one call at this node, and by what.
+// Decision is a decision on a call or delivery at this node, with the data that it was based on.
 type Decision struct {
 	Request   identifier.Request
 	Root      identifier.Request
@@ -45,7 +45,7 @@
 	t.next = (t.next + 1) % len(t.entries)
 }
 
-// find returns the decisions on a request and on the calls nested in it, oldest first.
+// find returns the decisions on a request and on its nested calls, oldest first.
 func (t *decisionRing) find(r identifier.Request) []Decision {
 	var found []Decision
 	for i := range t.entries {
@@ -57,7 +57,7 @@
 	return found
 }
 
-// Explain returns what this node decided on a request, oldest first.
+// Explain returns this node's decisions on a request and on its nested calls, oldest first.
 func (s *State) Explain(r identifier.Request) []Decision {
 	return s.decisions.find(r)
 }
--- a/internal/reducer/delivery.go
+++ b/internal/reducer/delivery.go
@@ -1,7 +1,8 @@
-// A delivery is a call on its way to a backend server of this VM. The gate keeps out what the whole service cannot
-// take, the limiter orders the rest, and the token lets the backend server's own calls go on in its name.
+// A delivery is a call at the node of its endpoint, on the way to a backend server of this VM. The gate refuses calls
+// beyond the capacity, the limiter queues and dispatches the others, and the token identifies the delivery in nested
+// calls of the backend server.
 //
-// Example: DeliveryArrived → Queue (no effect) → a slot comes free → Dispatch → DeliveryEnded → EndDelivery.
+// Example: DeliveryArrived → Queue (no effect) → a slot becomes free → Dispatch → DeliveryEnded → EndDelivery.
 
 package reducer
 
@@ -26,15 +27,15 @@
 	token    Token
 	route    admitter.Route
 	backend  *backend
-	// share is the part of the team's calls that come in at the same entry.
+	// share is the share of the team's calls that enter at the same node as this one; 255 stands for all.
 	share   uint8
 	arrived clock.Time
 	started bool
-	// nestedCalls counts the calls that the backend server has under way on behalf of this one.
+	// nestedCalls counts the calls in progress that the backend server has made on behalf of this one.
 	nestedCalls int
 }
 
-// learnThreshold tells the delivery's backend server what a service that it calls can take.
+// learnThreshold updates the chain of the delivery's backend server with the threshold of a service that it calls.
 func (d *delivery) learnThreshold(c *call, t identifier.Threshold, now clock.Time) {
 	d.backend.chain.LearnThreshold(d.route, c.service, t, now)
 }
@@ -90,8 +91,9 @@
 	return r.match(e.Method, e.Path).route
 }
 
-// applyVerdicts turns the limiter's verdicts into effects. A dispatch may turn out to be for a key that was withdrawn
-// while the call was queued; its slot then goes to the next call, which gives further verdicts.
+// applyVerdicts converts the limiter's verdicts into effects. The loop also handles verdicts that are added while it
+// runs: if the key of a call was withdrawn while the call was queued, its slot goes to the next call, which gives a
+// further verdict.
 func (s *State) applyVerdicts(b *backend, verdicts []limiter.Verdict) {
 	s.verdicts = verdicts
 	for i := 0; i < len(s.verdicts); i++ {
@@ -135,8 +137,8 @@
 	})
 }
 
-// A call that waited in the queue may have lost its key meanwhile. Nested calls carry no key: they belong to a call
-// that was already dispatched, and its work is not cut short.
+// keyValid reports whether the delivery's key is still valid; it may have been withdrawn while the call was queued.
+// Nested calls carry no key: they belong to a call that was already dispatched and is not interrupted.
 func (s *State) keyValid(d *delivery) bool {
 	if d.keyHash == "" {
 		return true
@@ -184,8 +186,8 @@
 	s.applyVerdicts(b, b.limiter.Cancel(limiter.CallID(d.id), s.now, s.verdicts[:0]))
 }
 
-// forgetDelivery ends the token as well: a backend server that goes on calling in the name of a call that is over
-// would otherwise act for a team without a request of that team.
+// forgetDelivery removes the delivery and its token. If the token stayed valid, a backend server could make further
+// calls for a team without a request of that team.
 func (s *State) forgetDelivery(d *delivery) {
 	delete(s.deliveries, d.id)
 	delete(s.tokens, d.token)
--- a/internal/reducer/doc.go
+++ b/internal/reducer/doc.go
@@ -1,2 +1,3 @@
-// Package reducer composes the matters into the one pure state machine of a node: events in, effects out.
+// Package reducer composes the decision packages of a node into one deterministic state machine that takes events and
+// returns effects.
 package reducer
--- a/internal/reducer/dump.go
+++ b/internal/reducer/dump.go
@@ -1,5 +1,5 @@
-// A dump shows one consistent moment of the node's state, for the operator who asks why the fleet behaves as it does.
-// It holds hashes of keys, never a key, since no key ever gets this far.
+// A dump is a consistent snapshot of the node's state, with which operators diagnose the fleet's behavior. It contains
+// hashes of keys only; the keys themselves are never passed to the reducer.
 
 package reducer
 
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Dump is the state of a node at one moment.
+// Dump is a snapshot of a node's state.
 type Dump struct {
 	Node       identifier.Node
 	Domain     identifier.FailureDomain
@@ -44,14 +44,14 @@
 	Silence clock.Duration
 }
 
-// KeyDump is a key as everybody may see it.
+// KeyDump is the public part of a key.
 type KeyDump struct {
 	Hash      identifier.KeyHash
 	Team      identifier.Team
 	Withdrawn bool
 }
 
-// CountersDump is Counters with the refusals in order.
+// CountersDump is Counters with the refusals sorted by reason.
 type CountersDump struct {
 	Entered    uint64
 	Nested     uint64
@@ -62,13 +62,13 @@
 	Refused    []RefusedCount
 }
 
-// RefusedCount is how often a reason was given.
+// RefusedCount is the number of refusals with a reason.
 type RefusedCount struct {
 	Reason Reason
 	Count  uint64
 }
 
-// BackendDump is a backend server of this VM.
+// BackendDump is the state of a backend server of this VM.
 type BackendDump struct {
 	Endpoint  identifier.Endpoint
 	Service   identifier.Service
@@ -80,7 +80,7 @@
 	State     string
 }
 
-// Dump returns the state at this moment.
+// Dump returns a snapshot of the state.
 func (s *State) Dump(now clock.Time) Dump {
 	d := Dump{
 		Node:       s.options.Self,
@@ -120,7 +120,7 @@
 	return list
 }
 
-// Status returns the configuration in force; a node that still reads its way to the end has none in force.
+// Status returns the configuration in force; a node that has not yet read the configuration to the end has none.
 func (s *State) Status(now clock.Time) Status {
 	st := Status{Silence: s.configurer.Freshness(now)}
 	if st.Silence >= configurer.NeverHeard {
@@ -133,7 +133,8 @@
 	return st
 }
 
-// FleetStatus returns what this node last heard of the configuration in force at the others of its failure domain.
+// FleetStatus returns the configuration in force at each member of this node's failure domain, as last received by
+// gossip.
 func (s *State) FleetStatus() map[identifier.Node]Status {
 	fleet := make(map[identifier.Node]Status)
 	for _, n := range s.gossiper.Members() {
@@ -146,7 +147,7 @@
 	return fleet
 }
 
-// Counters returns what the node counted since its start.
+// Counters returns the node's counters since its start.
 func (s *State) Counters() CountersDump {
 	c := CountersDump{
 		Entered:    s.counters.Entered,
@@ -163,7 +164,7 @@
 	return c
 }
 
-// BackendState returns what is known of one backend server of this VM.
+// BackendState returns the state of one backend server of this VM.
 func (s *State) BackendState(id identifier.Endpoint) (BackendDump, bool) {
 	b, ok := s.backends[id]
 	if !ok {
--- a/internal/reducer/effects.go
+++ b/internal/reducer/effects.go
@@ -1,7 +1,7 @@
-// What the reducer wants done is data. Effects that name a Call or Delivery go to the goroutine that waits for
-// it; the others are carried out by the performer. An effect is never carried out inside the reducer.
+// The output of the reducer is data: effects for others to execute. An effect for a Call or Delivery goes to the
+// goroutine that waits for it; the performer executes all others. The reducer itself executes none.
 //
-// Example: CallArrived may lead to Send{a request for a slice} at once and to Forward a millisecond later.
+// Example: CallArrived may result in Send{a request for a slice} at once and in Forward a millisecond later.
 
 package reducer
 
@@ -10,16 +10,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Effect is anything that the reducer wants done.
+// Effect is an action that State.Reduce requests.
 type Effect interface{ effect() }
 
-// CallEffect is an effect meant for the goroutine of one call or delivery.
+// CallEffect is an effect for the goroutine of one call or delivery.
 type CallEffect interface {
 	Effect
 	Recipient() CallID
 }
 
-// Forward asks for an attempt at an endpoint.
+// Forward requests an attempt at an endpoint.
 type Forward struct {
 	Call       CallID
 	Node       identifier.Node
@@ -35,66 +35,67 @@
 	Attempt    uint16
 	Idempotent bool
 	MaxBody    int64
-	// Record tells that the outcome must be kept for retries with the same idempotency id.
+	// Record is set if the outcome must be recorded for retries with the same idempotency id.
 	Record bool
 }
 
-// Refuse gives a call its final answer.
+// Refuse ends a call with a refusal as its final answer.
 type Refuse struct {
 	Call    CallID
 	Refusal Refusal
 }
 
-// Replay gives a call the recorded outcome of the first request with its idempotency id.
+// Replay ends a call with the recorded outcome of the first request with its idempotency id.
 type Replay struct {
 	Call    CallID
 	Outcome RecordedOutcome
 }
 
-// Finished tells that the reducer has forgotten the call.
+// Finished reports that the reducer has removed the call after its complete answer.
 type Finished struct{ Call CallID }
 
-// Dispatch lets a delivery go to its backend server.
+// Dispatch sends a delivery to its backend server.
 type Dispatch struct {
 	Delivery CallID
 	Endpoint identifier.Endpoint
 	Deadline clock.Duration
-	// Self and RetryAfter go into the refusal where the backend server cannot be reached.
+	// Self and RetryAfter are used in the refusal if the backend server can't be reached.
 	Self       identifier.Node
 	RetryAfter clock.Duration
 }
 
-// RefuseDelivery ends a delivery that was not handed to its backend server, or not in time.
+// RefuseDelivery ends a delivery that was not dispatched to its backend server.
 type RefuseDelivery struct {
 	Delivery CallID
 	Refusal  Refusal
 	Tail     Tail
 }
 
-// EndDelivery closes a delivery that its backend server answered.
+// EndDelivery ends a delivery after its dispatched call has ended, and carries the tail for its answer.
 type EndDelivery struct {
 	Delivery CallID
 	Tail     Tail
 }
 
-// Send carries a control message to a node; Address may stand in where the node is not yet known.
+// Send sends a control message to a node; Address identifies the node if its name is not yet known.
 type Send struct {
 	To      identifier.Node
 	Address string
 	Message any
 }
 
-// Append puts a record on the platform's log.
+// Append appends a record to the platform's log.
 type Append struct{ Record any }
 
-// ReadLog asks for the log's records from an offset on; RecordsRead or LogFailed answers it.
+// ReadLog requests the log's records from an offset on; RecordsRead or LogFailed is the result.
 type ReadLog struct {
 	From identifier.Offset
-	// Asked goes back in RecordsRead: the news is as old as the question, not as the answer.
+	// Asked is the time of this request and is returned in RecordsRead: the records may be as old as the request, not only
+	// as the result.
 	Asked clock.Time
 }
 
-// Log writes one line of the structured log.
+// Log writes a line to the structured log.
 type Log struct {
 	Message string
 	Fields  []any
--- a/internal/reducer/endpointwait.go
+++ b/internal/reducer/endpointwait.go
@@ -1,7 +1,7 @@
-// A node keeps only the endpoints of the services that it calls. The first call to a service would find none and be
-// refused although capacity is there; so it waits a moment while the fleet is asked.
+// A node knows the endpoints only of the services that it calls. The first call to a service finds none and would be
+// refused although there is capacity, so it waits while the node subscribes to the service's endpoints.
 //
-// Example: the first call to "ice" in a node's life waits about one round trip for the subscription's answer.
+// Example: a node's first call to "ice" waits about one round trip for the answer to the subscription.
 
 package reducer
 
@@ -18,7 +18,8 @@
 	maxWaitingCalls     = 1000
 )
 
-// waitForEndpoints parks the call if its service was not asked for yet, and tells whether it did.
+// waitForEndpoints queues the call if no endpoint of its service is known and the call has not waited yet, and reports
+// whether it did.
 func (s *State) waitForEndpoints(c *call) bool {
 	if !s.interests[c.service] {
 		s.interests[c.service] = true
--- a/internal/reducer/hold.go
+++ b/internal/reducer/hold.go
@@ -1,8 +1,8 @@
-// The owner of ids needs to know since when nobody else can have allowed any. A hold goes on over epochs in which the
-// node only named another witness; were each epoch taken for a new hold, the owner would forget what it allowed in the
-// one before, and a retry would run a second time.
+// The owner of idempotency ids must know since when no other node can have permitted any of them. A hold spans the
+// consecutive epochs in which this node held the claim, for instance if it only changed the witness. If each epoch began
+// a new hold, the owner would drop the permits of the epoch before, and a retry would run a second time.
 //
-// Example: epoch 4 gained at 12:00:00, epoch 5 by an own continuation at 12:00:09: the hold is {4, 5, 12:00:00}.
+// Example: epoch 4 gained at 12:00:00, epoch 5 by a renewal of this node at 12:00:09: the hold is {4, 5, 12:00:00}.
 
 package reducer
 
@@ -13,18 +13,20 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// firstEpoch is the epoch of a claim founded by a node that has read the log from its very first record, so that nobody
-// can have held the claim before (see claimer.Found).
+// firstEpoch is the epoch of a claim founded by a node that has read the log from its first record, so that no other
+// node can have held the claim before (see claimer.Found).
 const firstEpoch = identifier.Epoch(firstOffset) + 1
 
-// claimHold is this node's unbroken hold on a claim: it held each epoch from first to last, and wall is when that began.
+// claimHold is this node's uninterrupted hold on a claim: it held the epochs from first to last, and wall is the time at
+// which the first of them began.
 type claimHold struct {
 	first identifier.Epoch
 	last  identifier.Epoch
 	wall  clock.Wall
 }
 
-// extendHold begins a hold, or lets it go on if no epoch in between can have been another node's.
+// extendHold extends the hold to the gained epoch, or begins a new hold if another node may have held an epoch in
+// between.
 func (s *State) extendHold(n claimer.Name, epoch identifier.Epoch) {
 	g := s.holds[n]
 	if g.first == 0 || epoch > g.last+1 || epoch < g.last {
@@ -34,8 +36,9 @@
 	s.holds[n] = g
 }
 
-// holdOf is this node's hold on a claim at this very moment. The claimer's authority can begin between two ticks, before
-// it has told so; without knowing since when it holds, the owner would allow ids that an earlier one allowed already.
+// holdOf returns this node's hold on a claim at the current time. The claimer's authority can begin between two ticks,
+// before its Gained effect. There is no hold until then: without its start, the owner would permit ids that an earlier
+// owner has already permitted.
 func (s *State) holdOf(c deduplicator.Claim) (deduplicator.Hold, bool) {
 	epoch, ok := s.claimer.Holds(claimer.Name(c), s.now)
 	g := s.holds[claimer.Name(c)]
--- a/internal/reducer/hold_test.go
+++ b/internal/reducer/hold_test.go
@@ -10,13 +10,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// A hold that seems older than it is makes an owner allow ids that another node allowed before it. So a hold goes on
-// only from one epoch to the next, and a gap in the epochs begins a new one.
+// If a hold appeared older than it is, an owner would permit ids that another node has permitted before. So a hold may
+// only span consecutive epochs, and a gap between epochs must begin a new hold.
 func TestHoldSpansOnlyConsecutiveEpochs(t *testing.T) {
 	const name claimer.Name = "ids/0"
 	s := New(Options{Self: "a", Domain: "alfa"})
 	_, held := s.holdOf("ids/0")
-	assert.Assert(t, !held, "a claim not gained yet")
+	assert.Assert(t, !held, "hold on a claim that was never gained")
 	steps := []struct{ epoch, first identifier.Epoch }{{4, 4}, {5, 4}, {5, 4}, {7, 7}, {8, 7}}
 	for i, step := range steps {
 		s.wall += 1000
@@ -28,11 +28,11 @@
 	assert.Equal(t, int64(s.holds[name].wall), int64(4000))
 	s.claimLost(name)
 	s.extendHold(name, 9)
-	assert.Equal(t, s.holds[name].first, identifier.Epoch(9), "after a loss")
+	assert.Equal(t, s.holds[name].first, identifier.Epoch(9), "the hold must begin anew after the claim was lost")
 }
 
-// A caller takes "key unknown" for final. A node that has just started knows no key yet, so it must not say so before it
-// has once read to the end of what there is.
+// Callers treat the reason unknownKey as final. A node that has just started has read no keys yet, so it must not give
+// that reason before it has read the log to the end.
 func TestKeyIsNotReportedUnknownBeforeLogIsRead(t *testing.T) {
 	s := New(Options{Self: "a", Domain: "alfa", Decode: func([]byte) (any, error) { return nil, nil }})
 	refusal := func(id CallID) Refusal {
@@ -49,8 +49,8 @@
 	assert.Equal(t, refusal(2).Reason, UnknownKey)
 }
 
-// A replaced VM reads old records before the new ones. If it put each in force as it came to it, its callers would meet
-// a preset that is out of force everywhere else.
+// A node on a replaced VM reads old records before new ones. If it put each preset in force as it reads it, calls would
+// be handled by a preset that is no longer in force at other nodes.
 func TestNoPresetIsInForceBeforeLogIsRead(t *testing.T) {
 	s := New(Options{Self: "a", Domain: "alfa", Decode: func([]byte) (any, error) { return nil, nil }})
 	s.rules = newRules(&definer.Preset{Name: "old"}, 1)
--- a/internal/reducer/idempotency.go
+++ b/internal/reducer/idempotency.go
@@ -1,5 +1,5 @@
-// A call that must not run twice asks the owner of its idempotency id before it is sent, and tells it how it ended.
-// A call without an id is sent once and never again after it may have started.
+// A call that must not run twice requests a permit from the owner of its idempotency id before it is sent, and reports
+// its outcome to the owner. A call without an id is not sent again once it may have started.
 //
 // Example: POST /bookings with an id → BeginRequest to the owner → Permit → Forward → FinishReport with the answer.
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// reportOutcome reports the outcome of a call that had the owner's permit; nil means that its end was not seen.
+// reportOutcome reports the outcome of a call with a permit to the owner; nil stands for an unknown outcome.
 func (s *State) reportOutcome(c *call, o *RecordedOutcome) {
 	if !c.hasPermit {
 		return
@@ -122,8 +122,9 @@
 	s.applyIdempotency(s.asker.Finish(deduplicator.CallID(c.id), fromRecorded(o), s.now))
 }
 
-// abandonPermit frees the id of a call of which nothing was sent, so that the caller's next try may run. Where something may
-// have run, the owner is told so at once: left to itself it would answer "in progress" until its own patience ends.
+// abandonPermit releases the id of a call that can't have run, so that the caller's next attempt may run. If the call
+// may have run, it reports an unknown outcome at once: otherwise the owner would answer "in progress" until its own
+// timeout.
 func (s *State) abandonPermit(c *call) {
 	if c.mayHaveRun {
 		s.reportOutcome(c, nil)
--- a/internal/reducer/leave.go
+++ b/internal/reducer/leave.go
@@ -1,5 +1,6 @@
-// A planned stop loses nothing: the fleet is told first, the records of idempotency ids go to the successor, then the
-// claims are handed over on the log, and the process ends only when its last call has.
+// In a planned stop no call or record is lost: the endpoints are first announced as leaving by gossip, the records of
+// idempotency ids go to the successor, then the claims are handed over on the log, and the process ends only after its
+// last call.
 //
 // Example: NodeLeaving → LeaveEndpoint by gossip → Handover to the witness → Claim{Kind: Handover} → Idle.
 
@@ -14,18 +15,20 @@
 
 const (
 	idClaimPrefix = "ids/"
-	// handoverTimeout is how long a leaving node waits for its successors to have its records.
+	// handoverTimeout is how long a leaving node waits for its successors to confirm its records, and then for the handover
+	// of its claims.
 	handoverTimeout = 2 * clock.Second
-	// maxOutstandingAtHandover is what a successor of a bank may wait out: a slice's term, once all loans are back. Were the claims handed
-	// over before, it would wait for the longest loan, and teams would be refused within their rate meanwhile.
+	// maxOutstandingAtHandover is the longest term of outstanding grants at which rate claims are handed over: that of a
+	// slice, after all loans were returned. A successor has to wait out that term; if it had to wait for the longest loan,
+	// teams would meanwhile be refused within their rate.
 	maxOutstandingAtHandover = 500 * clock.Millisecond
-	// leaveSpreadTime gives the news of a leaving node time to spread.
+	// leaveSpreadTime is how long a leaving node keeps running so that gossip can spread its leave.
 	leaveSpreadTime = clock.Second
-	// maxReportTime is how long a leaving node goes on telling the owners of ids how its calls ended.
+	// maxReportTime is how long a leaving node continues to report outcomes of its calls to the owners of idempotency ids.
 	maxReportTime = 4 * clock.Second
 )
 
-// handover is a claim's records on their way to the heir.
+// handover tracks the transfer of a claim's records to the successor.
 type handover struct {
 	epoch     identifier.Epoch
 	successor identifier.Node
@@ -59,8 +62,8 @@
 	}
 }
 
-// sendHandover sends the records to the node that the claim will go to. A heir uses those of the epoch just before its own
-// only, so they are sent again where the claim went on to another epoch, or another heir, since.
+// sendHandover sends a claim's records to its successor. A successor uses only records of the epoch immediately before
+// its own, so they are sent again if the claim's epoch or successor has changed since.
 func (s *State) sendHandover(n claimer.Name) {
 	name := deduplicator.Claim(n)
 	successor, known := s.claimer.HeirOf(n)
@@ -123,16 +126,17 @@
 	return true
 }
 
-// Idle tells whether a leaving node may end: its claims are handed over, the news has spread, and nothing is under way.
+// Idle reports whether a leaving node may stop: its claims are handed over, gossip has had time to spread its leave,
+// and no call is in progress.
 func (s *State) Idle(now clock.Time) bool {
 	l := s.leaving
 	if l == nil || l.leftAt == 0 || now.Sub(l.leftAt) < leaveSpreadTime {
 		return false
 	}
-	// An outcome that nobody was told of would be unknown for ever.
+	// An outcome that is not reported to the owner of its id can't be determined later.
 	reported := s.asker.Reports() == 0 || now.Sub(l.leftAt) > maxReportTime
 	return len(s.calls) == 0 && len(s.deliveries) == 0 && reported
 }
 
-// Leaving tells whether the node was asked to stop.
+// Leaving reports whether the node was asked to stop.
 func (s *State) Leaving() bool { return s.leaving != nil }
--- a/internal/reducer/lonenode_test.go
+++ b/internal/reducer/lonenode_test.go
@@ -9,8 +9,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/encoder"
 )
 
-// All other nodes of a fleet are gone. The one left must go on reading the log by itself; else it would hear of a withdrawn
-// key only when its news has grown stale, seconds after the operator was told that the key is withdrawn.
+// All other nodes of a fleet have failed. The remaining node must read the log itself; otherwise it would learn of a
+// withdrawn key only after its news has become stale, seconds after the operator got the withdrawal confirmed.
 func TestLoneNodeReadsTheLog(t *testing.T) {
 	w := &simulatedNode{now: 1, fail: t.Fatalf}
 	w.state = New(Options{Self: "a1", Domain: "alfa", Address: "127.0.0.1:1", Seed: 7, Decode: encoder.Decode})
--- a/internal/reducer/new.go
+++ b/internal/reducer/new.go
@@ -1,5 +1,5 @@
-// This joins the matters into one state. Every random source is seeded from the node's seed, each with a stream
-// of its own, so that a change in one matter does not shift the choices of another.
+// New creates the state of each package and connects them. Each package has a random source of its own, a separate
+// stream of the node's seed, so that a change in one package does not change the random choices of another.
 
 package reducer
 
@@ -18,10 +18,11 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// RateSlots is how many claims share the teams of one failure domain; it is the same at all nodes.
+// RateSlots is the number of claims among which the teams of one failure domain are divided; it must be the same at all
+// nodes.
 const RateSlots = 4
 
-// firstOffset is the offset of the first record that the platform's log ever had.
+// firstOffset is the offset of the first record in the history of the platform's log.
 const firstOffset identifier.Offset = 1
 
 // The streams of the node's random sources.
@@ -83,8 +84,8 @@
 	return rand.New(rand.NewPCG(o.Seed, n))
 }
 
-// claimNames are the claims that nodes of the domain may hold: its own rate slots, the ids without a home, and the
-// ids whose home it is.
+// claimNames returns the claims that nodes of the domain may hold: the domain's rate slots, the idempotency ids without
+// a home domain, and those whose home domain it is.
 func claimNames(d identifier.FailureDomain) []claimer.Name {
 	var names []claimer.Name
 	for slot := range RateSlots {
@@ -99,6 +100,7 @@
 	return names
 }
 
-// isIDClaim tells the claims of ids' owners. An owner gives nothing away that is used after its authority: a later one
-// takes whatever was allowed before for unknown, or has its record.
+// isIDClaim reports whether the claim is one over idempotency ids. The claimer treats these as instant: an owner grants
+// nothing that is used after its authority has ended, since a later owner either has the record of an earlier permit or
+// treats its outcome as unknown.
 func isIDClaim(n claimer.Name) bool { return strings.HasPrefix(string(n), idClaimPrefix) }
--- a/internal/reducer/random_test.go
+++ b/internal/reducer/random_test.go
@@ -12,14 +12,14 @@
 	"github.com/jackdawtide/jackdawtide/internal/retrier"
 )
 
-// randomCalls draws what callers, backend servers, the network and an operator do, in any order.
+// randomCalls performs random actions of callers, backend servers, the network and an operator, in any order.
 type randomCalls struct {
 	*simulatedNode
 	withdrawn  bool
 	sentWithID []idempotentCall
 }
 
-// idempotentCall is a request that a caller may send again with the same id.
+// idempotentCall is a request with an idempotency id, which a caller may send again with the same id.
 type idempotentCall struct {
 	service identifier.Service
 	id      identifier.Idempotency
@@ -39,10 +39,10 @@
 	m.call(testKey, b.service, "POST", b.id, 0)
 }
 
-// repeatWithID is a caller that got no answer, or does not believe the one it got.
+// repeatWithID is a caller that sends a request again with the same id, whether or not it got an answer.
 func (m *randomCalls) repeatWithID(t *rapid.T) {
 	if len(m.sentWithID) == 0 {
-		t.Skip("nothing booked")
+		t.Skip("no call with an id was sent yet")
 	}
 	b := rapid.SampledFrom(m.sentWithID).Draw(t, "booking")
 	m.call(testKey, b.service, "POST", b.id, 0)
@@ -50,14 +50,14 @@
 
 func (m *randomCalls) callNested(t *rapid.T) {
 	if len(m.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no call is running")
 	}
 	d := m.deliveries[rapid.SampledFrom(m.running).Draw(t, "parent")]
 	method := rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method")
 	m.nestedCall(d.token, d.root, "ice", method)
 }
 
-// callWithDeadToken is a backend server that goes on calling in the name of a call that is over, or invents one.
+// callWithDeadToken is a backend server that makes a nested call with the token of an ended delivery, or with none.
 func (m *randomCalls) callWithDeadToken(t *rapid.T) {
 	token := Token("")
 	for _, d := range m.deliveries {
@@ -68,13 +68,13 @@
 	c := m.nestedCall(token, 0, "ice", "GET")
 	a := m.calls[c]
 	if a.refusal == nil || a.refusal.Reason != UnknownToken {
-		t.Fatalf("a dead token was taken")
+		t.Fatalf("a nested call with the token of an ended delivery was not refused with UnknownToken")
 	}
 }
 
 func (m *randomCalls) takeForward(t *rapid.T) Forward {
 	if len(m.forwards) == 0 {
-		t.Skip("nothing is under way")
+		t.Skip("no attempt is in progress")
 	}
 	i := rapid.IntRange(0, len(m.forwards)-1).Draw(t, "forward")
 	f := m.forwards[i]
@@ -95,7 +95,7 @@
 	m.deliver(f, service, method)
 }
 
-// failToSend is a node that cannot be dialled.
+// failToSend is an attempt at a node that can't be dialed.
 func (m *randomCalls) failToSend(t *rapid.T) {
 	f := m.takeForward(t)
 	m.apply(&AnswerEnded{Call: f.Call, Phase: NotSent, Replayable: true, Wall: m.wall()})
@@ -103,7 +103,7 @@
 
 func (m *randomCalls) takeRunning(t *rapid.T) CallID {
 	if len(m.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no call is running")
 	}
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "running")
 	d := m.running[i]
@@ -133,7 +133,7 @@
 		}
 	}
 	if len(open) == 0 {
-		t.Skip("no caller waits")
+		t.Skip("no caller is waiting")
 	}
 	c := rapid.SampledFrom(open).Draw(t, "call")
 	m.apply(&CallCancelled{Call: c})
@@ -146,17 +146,18 @@
 
 func (m *randomCalls) withdrawKey(t *rapid.T) {
 	if m.withdrawn {
-		t.Skip("withdrawn already")
+		t.Skip("key already withdrawn")
 	}
 	m.withdrawn = true
 	m.simulatedNode.withdraw()
 	m.advance(clock.Second)
 	if _, ok := m.state.configurer.Resolve(otherKey); ok {
-		t.Fatalf("the withdrawn key still resolves")
+		t.Fatalf("the withdrawn key still resolves one second after its withdrawal")
 	}
 }
 
-// checkWithdrawnKey looks at what must hold at every moment, beyond what the world checks at each effect.
+// checkWithdrawnKey checks the invariant that no call is forwarded for a withdrawn key; simulatedNode checks the other
+// invariants at each effect.
 func (m *randomCalls) checkWithdrawnKey(t *rapid.T) {
 	if !m.withdrawn {
 		return
@@ -165,16 +166,16 @@
 		if f.KeyHash != otherKey {
 			continue
 		}
-		// It was sent before the withdrawal; its delivery must now be turned away, which deliverCall brings about.
+		// A call that was forwarded before the withdrawal may still be in progress; its delivery is refused in deliverCall.
 		if d := m.state.calls[f.Call]; d != nil && d.sentAt > m.now {
 			t.Fatalf("call %d was forwarded for a withdrawn key", f.Call)
 		}
 	}
 }
 
-// Requests, lost answers, unreachable nodes, callers that leave, and a key that is withdrawn come in any order. A fault
-// shows as a caller that gets two answers or none, a booking made twice, a "not run" that is a lie, or a storm of
-// retries.
+// Requests, lost answers, unreachable nodes, disconnecting callers and the withdrawal of a key occur in any order. The
+// test guards against callers that get two answers or none, a call that runs twice with one idempotency id, a refusal
+// that wrongly says "not run", and more retries than the allowance.
 func TestRandomCallSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &randomCalls{simulatedNode: newSimulatedNode(t.Fatalf)}
@@ -197,7 +198,8 @@
 	})
 }
 
-// settle lets everything under way end, after which every caller has its answer and the node has forgotten all calls.
+// settle ends all calls and deliveries in progress, and checks that every caller then has exactly one answer and that
+// the node has removed all calls.
 func (m *randomCalls) settle(t *rapid.T) {
 	for quiet := false; !quiet; quiet = len(m.forwards) == 0 && len(m.running) == 0 {
 		for len(m.forwards) > 0 {
@@ -210,7 +212,7 @@
 			m.running = m.running[1:]
 			m.apply(&DeliveryEnded{Delivery: id})
 		}
-		// A call that waits for another with the same id may be let go only now.
+		// A call that waits for another one with the same id may be forwarded only now.
 		m.advance(10 * clock.Second)
 	}
 	for c, a := range m.calls {
@@ -226,13 +228,13 @@
 	}
 }
 
-// Everything that one request needs breaks, again and again, at every hop. Without a bound over the whole chain each hop
-// would try its own few times, the deepest service would be asked a power of that, and a short fault would become an
-// outage that lasts.
+// All attempts of one request fail repeatedly at every hop. Without a retry budget for the whole call chain, each hop
+// would retry a few times, the number of calls to the deepest service would grow exponentially with the depth, and a
+// short fault would become a lasting outage.
 func TestRetriesOfOneRequestAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &randomCalls{simulatedNode: newSimulatedNode(t.Fatalf)}
-		// The damper would stop the retries before the allowance does.
+		// With default options the damper would stop the retries before the allowance does.
 		m.state.damper = retrier.NewDamper(retrier.DamperOptions{PerMille: 1_000_000, Burst: 1000})
 		m.call(testKey, "board", "GET", "", 0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -247,7 +249,7 @@
 	})
 }
 
-// refuseForward is another node whose endpoint is full.
+// refuseForward is a refusal by another node, whose endpoint is full.
 func (m *randomCalls) refuseForward(t *rapid.T) {
 	f := m.takeForward(t)
 	unused := rapid.Uint8Range(0, f.Allowance).Draw(t, "unused")
@@ -257,8 +259,8 @@
 	})
 }
 
-// A withdrawn key's call waits in a queue while the withdrawal is read. Were the key not looked up again when the slot
-// comes free, the caller would go on being served for as long as it keeps the queue full.
+// A call waits in a queue while the withdrawal of its key is read. If the key were not looked up again when a slot
+// becomes free, a caller that keeps the queue full would be served after its key was withdrawn.
 func TestWithdrawnKeyLeavesQueue(t *testing.T) {
 	w := newSimulatedNode(t.Fatalf)
 	for range 2 * len(iceEndpoints) {
--- a/internal/reducer/refusal_test.go
+++ b/internal/reducer/refusal_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// The only endpoint of a service is full. The caller would read that the service has no backend server, and its
-// operators would look for a VM that is gone instead of for an overload.
+// The only endpoint of a service is full. The call must be refused as shed: a refusal that says that the service has no
+// backend server would make operators look for a missing VM instead of an overload.
 func TestFullEndpointIsReportedAsOverload(t *testing.T) {
 	w := newSimulatedNode(t.Fatalf)
 	for _, id := range iceEndpoints[1:] {
@@ -29,8 +29,8 @@
 	assert.Assert(t, a.refusal.NotRun)
 }
 
-// A team has a valid key and no rate in the preset in force, as a team that bought nothing for peaks. Told only that it is
-// over its rate and may come back at once, its program would ask again without end.
+// A team has a valid key but no rate in the preset in force, for instance in a preset for peaks. If the refusal only
+// said that the rate is exceeded, with a short retry delay, the team's program would retry endlessly.
 func TestRefusalNamesTeamWithoutRate(t *testing.T) {
 	w := newSimulatedNode(t.Fatalf)
 	w.publish(configurer.IssueKey{Change: w.change("m", 0), Key: definer.Key{Hash: "cc33", Team: "surveyors"}})
--- a/internal/reducer/refusals.go
+++ b/internal/reducer/refusals.go
@@ -1,6 +1,6 @@
-// A refusal must tell the caller the truth about one thing above all: whether the request may have run. The
-// phase of an attempt only moves forward, and only a request none of whose attempts left notSent, or whose
-// sent attempts were all refused by a delivery node before dispatch, may be called "not run".
+// A refusal must state correctly whether the request may have run. The phase of an attempt only moves forward. A
+// request counts as "not run" only if each of its attempts either stayed in phase NotSent or was refused by a delivery
+// node before dispatch.
 //
 // Example: an answer lost after the request was sent gives Refusal{Reason: LostAnswer, NotRun: false}.
 
@@ -13,10 +13,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Token names a delivery to its backend server, which presents it with nested calls.
+// Token identifies a delivery to its backend server, which sends it with nested calls.
 type Token string
 
-// Phase tells how far an attempt got.
+// Phase is how far an attempt has progressed.
 type Phase uint8
 
 // The phases of an attempt.
@@ -26,7 +26,7 @@
 	Answered
 )
 
-// Reason says why a call was refused, as callers see it.
+// Reason is the reason for a refusal, as sent to callers.
 type Reason string
 
 // The reasons for a refusal.
@@ -82,19 +82,19 @@
 	return http.StatusServiceUnavailable
 }
 
-// Refusal is a final answer that is not the backend server's own.
+// Refusal is a final answer that a node gives instead of a backend server.
 type Refusal struct {
 	Reason Reason
-	// NotRun is true only where no backend server can have started the request.
+	// NotRun is set only if no backend server can have started the request.
 	NotRun     bool
 	RetryAfter clock.Duration
 	Detail     string
-	// DecidedBy is the node that refused, and Version the configuration it judged by.
+	// DecidedBy is the node that refused the call, Version the configuration version that the refusal is based on.
 	DecidedBy identifier.Node
 	Version   identifier.Version
 }
 
-// RemoteRefusal is a refusal as another node reported it.
+// RemoteRefusal is a refusal reported by another node.
 type RemoteRefusal struct {
 	Reason     Reason
 	NotRun     bool
@@ -102,13 +102,13 @@
 	DecidedBy  identifier.Node
 }
 
-// Tail is what comes back behind an answer.
+// Tail is control data that a delivery node sends after an answer's body.
 type Tail struct {
 	Allowance  uint8
 	Threshold  identifier.Threshold
 	Headroom   uint8
 	RetryRatio uint8
-	// Share is the part of the team's calls that come in at the node which sent the call; 0 tells nothing.
+	// Share is the share of the team's calls that enter at the node that sent the call; 255 stands for all, 0 for unknown.
 	Share uint8
 }
 
@@ -117,14 +117,14 @@
 	Status int
 	Header []Field
 	Body   []byte
-	// Kept is false where the answer was too large to keep; then a retry learns only that the request ran.
+	// Kept is false if the answer was too large to be recorded; a retry then learns only that the request ran.
 	Kept bool
 }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// DeliveryResult tells how a dispatched call ended at its backend server.
+// DeliveryResult is how a dispatched call ended at its backend server.
 type DeliveryResult uint8
 
 // The results of a dispatched call.
--- a/internal/reducer/rules.go
+++ b/internal/reducer/rules.go
@@ -1,4 +1,4 @@
-// The preset in force, laid out for look-ups, since it is asked several times for each call and changes rarely.
+// rules is the preset in force, indexed for lookups: it is read several times for each call and changes rarely.
 //
 // Example: rules.service("ice").match("GET", "/bulletins/aniva") finds the route with prefix "/bulletins".
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// defaultTimeout bounds a call to a service whose preset names none.
+// defaultTimeout limits a call to a service for which the preset sets no timeout.
 const defaultTimeout = 10 * clock.Second
 
 type rules struct {
@@ -56,8 +56,8 @@
 	return r
 }
 
-// match returns the first route that fits. A call that fits none is of normal priority, and idempotent only
-// where HTTP says so of its method.
+// match returns the first matching route. A call that matches no route has normal priority, and is idempotent only if
+// its method is safe in HTTP.
 func (r *serviceRules) match(method, path string) matchedRoute {
 	for i := range r.routes {
 		d := &r.routes[i]
--- a/internal/reducer/simulatednode_test.go
+++ b/internal/reducer/simulatednode_test.go
@@ -22,14 +22,14 @@
 	allowance = 3
 )
 
-// There are more endpoints than a request has retries, so that only its allowance can be what stops it.
+// There are more endpoints than a request has retries, so that only its retry allowance can end the retries.
 var (
 	iceEndpoints   = []identifier.Endpoint{"ice-1", "ice-2", "ice-3", "ice-4", "ice-5", "ice-6"}
 	boardEndpoints = []identifier.Endpoint{"board-1", "board-2", "board-3", "board-4", "board-5", "board-6"}
 )
 
-// simulatedNode is one node with a log that always works. Its effects are carried out at once, or kept for the test to decide
-// on: what was forwarded, and what a backend server works on.
+// simulatedNode is one node with a log that never fails. It performs the node's effects immediately, except for
+// forwarded calls and calls running at a backend server, which it keeps until the test ends them.
 type simulatedNode struct {
 	state    *State
 	now      clock.Time
@@ -44,7 +44,7 @@
 	fail       func(format string, args ...any)
 }
 
-// callRecord is what a caller saw, and what really happened to its call.
+// callRecord records what a caller received for its call, and how often the call was forwarded and ran.
 type callRecord struct {
 	root         CallID
 	key          identifier.KeyHash
@@ -84,7 +84,7 @@
 	w.apply(&MessageReceived{From: peerNode, Wall: w.wall(), Message: gossiper.Join{Self: gossiper.Member{
 		Node: peerNode, Domain: "alfa", Address: "127.0.0.1:2", State: gossiper.Alive, Incarnation: 1,
 	}}})
-	// The claims' terms have to pass before the node may act under them.
+	// The node may act under its claims only after the terms of possible earlier holders have passed.
 	w.advance(20 * clock.Second)
 	return w
 }
@@ -132,7 +132,7 @@
 	w.apply(&BackendAnnounced{Endpoint: id, Service: s, Slots: slots, ConnectionLimit: 100})
 }
 
-// advance lets time go by, with heartbeats and ticks.
+// advance simulates the passing of time, with heartbeats and ticks.
 func (w *simulatedNode) advance(d clock.Duration) {
 	const step = 10 * clock.Millisecond
 	for end := w.now.Add(d); w.now < end; {
@@ -182,7 +182,7 @@
 	}
 }
 
-// peer is a second node of the failure domain that does nothing but stand witness and answer pings.
+// peer simulates a second node of the failure domain that only acts as witness and answers pings.
 func (w *simulatedNode) peer(message any) {
 	var answer any
 	switch m := message.(type) {
@@ -191,7 +191,7 @@
 	case gossiper.Ping:
 		answer = gossiper.Ack{Sequence: m.Sequence}
 	case deduplicator.BeginRequest, deduplicator.FinishReport, deduplicator.AbandonReport:
-		w.fail("the peer holds no claim, but was sent %T", m)
+		w.fail("peer received %T, but holds no claim", m)
 	default:
 		return
 	}
@@ -242,8 +242,8 @@
 	w.checkRetryAllowance(a.root)
 }
 
-// checkRetryAllowance holds the promise that one root request causes at most its allowance of further attempts in its whole
-// chain, whatever is lost or refused.
+// checkRetryAllowance checks that one root request causes at most its retry allowance of further attempts in its whole
+// call chain, whatever is lost or refused.
 func (w *simulatedNode) checkRetryAllowance(root CallID) {
 	retries := 0
 	for _, a := range w.calls {
@@ -273,7 +273,7 @@
 	}
 }
 
-// deliver carries one forwarded call to this node's own backend server.
+// deliver delivers a forwarded call to a backend server of this node.
 func (w *simulatedNode) deliver(f Forward, s identifier.Service, method string) CallID {
 	w.nextCall++
 	d := w.nextCall
@@ -294,7 +294,7 @@
 	w.checkRunsAtMostOnce(w.calls[d.call])
 }
 
-// checkRunsAtMostOnce holds the promise that a request with an idempotency id runs at most once, over all its callers' retries.
+// checkRunsAtMostOnce checks that a request with an idempotency id runs at most once, over all of its callers' retries.
 func (w *simulatedNode) checkRunsAtMostOnce(a *callRecord) {
 	if a.idempotency == "" || a.idempotent {
 		return
--- a/internal/reducer/spend.go
+++ b/internal/reducer/spend.go
@@ -1,7 +1,8 @@
-// A root call pays with its team's rate before anything else is asked of the fleet. Where the slice at this node is
-// used up, the call waits a few milliseconds for the next one, since most of these waits end well.
+// A root call spends from its team's rate before it uses any other resource of the fleet. If the team's slice at this
+// node is used up, the call waits a few milliseconds for the next slice, since a bank grants most requests.
 //
-// Example: Spend gives Wait → granter.Send asks the bank → its Grant arrives → Resume → the call goes on.
+// Example: Spend returns Wait → granter.Send requests a slice from the bank → Grant arrives → Resume → the call
+// continues.
 
 package reducer
 
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -1,8 +1,8 @@
-// The state of one node. Each matter keeps its own part; what stands here is only what belongs to the calls
-// under way at this node, and how the parts are joined.
+// State holds all state of one node. Each package that decides (admission, gossip, claims, rates and so on) keeps its
+// own state; this package adds the state of the calls in progress at the node and connects the packages.
 //
-// Example: New(Options{Self: "a1", Domain: "alfa"}) knows nothing yet: it refuses every call with noPreset until
-// the first preset was read.
+// Example: New(Options{Self: "a1", Domain: "alfa"}) has no configuration: it refuses every call with noPreset until it
+// has read a preset.
 
 package reducer
 
@@ -22,7 +22,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// Options describe the node.
+// Options configures a node's State.
 type Options struct {
 	Self   identifier.Node
 	Domain identifier.FailureDomain
@@ -30,17 +30,17 @@
 	Address string
 	// Seeds are addresses of nodes to join through.
 	Seeds []string
-	// Seed makes all of the node's random choices repeatable.
+	// Seed seeds all of the node's random sources, so that a run can be repeated.
 	Seed uint64
-	// Decode reads the bytes of a log record.
+	// Decode decodes the bytes of a log record.
 	Decode func([]byte) (any, error)
-	// MaxSilence is how long a node serves without any news of the log; zero is for ever.
+	// MaxSilence is how long a node accepts calls without having received news of the log; zero sets no limit.
 	MaxSilence clock.Duration
-	// Retention is how long the log keeps its records.
+	// Retention is how long the log retains its records.
 	Retention clock.Duration
 }
 
-// State is all that a node knows.
+// State is the complete state of a node.
 type State struct {
 	options Options
 	rand    *rand.Rand
@@ -64,14 +64,16 @@
 	backends   map[identifier.Endpoint]*backend
 	decisions  *decisionRing
 	counters   Counters
-	// interests are the services that this node has called, searching the calls that wait for endpoints.
+	// interests holds the services that this node has called, waitingForEndpoints the calls that wait for an endpoint of
+	// their service.
 	interests           map[identifier.Service]bool
 	waitingForEndpoints map[identifier.Service][]*call
 	holds               map[claimer.Name]claimHold
 	leaving             *departure
 	logStart            identifier.Offset
 	lastSlowTick        clock.Time
-	// membersKnown tells that the members of the own failure domain were asked for, startedAt is the first tick.
+	// membersKnown is set once the node has determined the members of its failure domain, alone or with others; startedAt
+	// is the time of the first tick.
 	membersKnown bool
 	startedAt    clock.Time
 	now          clock.Time
@@ -80,7 +82,7 @@
 	verdicts     []limiter.Verdict
 }
 
-// Counters count what the node did since its start.
+// Counters counts calls and deliveries since the node's start.
 type Counters struct {
 	Entered    uint64
 	Nested     uint64
@@ -91,7 +93,7 @@
 	Refused    map[Reason]uint64
 }
 
-// Reduce takes one event in and appends its effects to out.
+// Reduce applies one event to the state and appends the resulting effects to out.
 func (s *State) Reduce(event Event, now clock.Time, out []Effect) []Effect {
 	s.now = now
 	s.out = out
