--- a/internal/reducer/endpointwait.go
+++ b/internal/reducer/endpointwait.go
@@ -18,8 +18,8 @@
 	maxWaitingCalls     = 1000
 )
 
-// waitForEndpoints queues the call if no endpoint of its service is known and the call has not waited yet, and reports
-// whether it did.
+// waitForEndpoints queues the call if no endpoint of its service is known, the call has not waited yet and fewer than
+// maxWaitingCalls calls wait for the service. It reports whether it queued the call.
 func (s *State) waitForEndpoints(c *call) bool {
 	if !s.interests[c.service] {
 		s.interests[c.service] = true
