--- a/internal/admitter/overload_test.go
+++ b/internal/admitter/overload_test.go
@@ -12,7 +12,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/limiter"
 )
 
-// during is in from second a to b, and out at any other time.
+// during returns a function of time that has the value in from second a to b, and out at any other time.
 func during(a, b clock.Time, in, out float64) func(clock.Time) float64 {
 	return func(t clock.Time) float64 {
 		if t >= a*1000 && t < b*1000 {
@@ -22,36 +22,37 @@
 	}
 }
 
-// surge has a service of 2000 calls a second that gets 1800, and 6000 from second 5 to 10.
+// surge has a service with a capacity of 2000 calls a second. It receives 1800, and 6000 from second 5 to 10.
 func surge() scenario {
 	return scenario{
-		seconds: 16, frontSlots: 100, frontWork: 50, patience: 500,
-		load: during(5, 10, 6000, 1800), slow: during(0, 0, 1, 1),
+		seconds: 16, frontSlots: 100, frontWork: 50, callerTimeout: 500,
+		load: during(5, 10, 6000, 1800), deepSlowdown: during(0, 0, 1, 1),
 	}
 }
 
-// small has a service of 200 calls a second that gets 160, and 600 from second 5 to 10.
+// small has a service with a capacity of 200 calls a second. It receives 160, and 600 from second 5 to 10.
 func small() scenario {
 	s := surge()
 	s.frontSlots, s.frontWork, s.load = 20, 100, during(5, 10, 600, 160)
 	return s
 }
 
-// deepSlow has 4 in 10 calls that need a deep service of 1000 calls a second, which takes 5 times as long from
-// second 5 to 25; callers retry three times at once. The front service has slots enough.
+// deepSlow has a deep service with a capacity of 1000 calls a second that 4 in 10 calls need. It takes 5 times as long
+// from second 5 to 25; callers retry three times without backoff. The front service is not overloaded.
 func deepSlow() scenario {
 	s := surge()
 	s.seconds, s.retries, s.nestingPart = 31, 3, 0.4
 	s.frontSlots, s.deepSlots, s.deepWork = 200, 40, 40
-	s.load, s.slow = during(0, 0, 0, 2000), during(5, 25, 5, 1)
+	s.load, s.deepSlowdown = during(0, 0, 0, 2000), during(5, 25, 5, 1)
 	return s
 }
 
-// tiny has requests that all need a deep service of two endpoints with six slots, through two fronts and three
-// entries: where chance weighs most. It answers 480 calls a second, gets 336, and 1008 from second 5 to 10.
+// tiny has requests that all need a deep service of two endpoints with six slots each, through two front endpoints and
+// three entry nodes, so that random variation is largest. It has a capacity of 480 calls a second and receives 336, and
+// 1008 from second 5 to 10.
 func tiny() scenario {
 	s := surge()
-	s.entries, s.fronts, s.deeps, s.nestingPart, s.patience = 3, 2, 2, 1, 1000
+	s.entries, s.fronts, s.deeps, s.nestingPart, s.callerTimeout = 3, 2, 2, 1, 1000
 	s.frontSlots, s.frontWork, s.deepSlots, s.deepWork = 120, 5, 12, 25
 	s.load = during(5, 10, 1008, 336)
 	return s
@@ -62,14 +63,14 @@
 	return s
 }
 
-type figures struct {
-	goodput, recovery, urgent, median, late, wasted, attempts float64
+type metrics struct {
+	goodput, recovery, urgent, median, p99, wasted, attempts float64
 }
 
-// measure averages over seeds: goodput over ideal from a second after the trigger to its end, and recovery to
-// 95% of the goodput before it.
-func measure(s scenario, end, ideal float64, seeds int) figures {
-	sum := figures{}
+// measure runs the scenario with several seeds and averages the results. goodput is relative to ideal and measured from
+// second 6 to the end of the overload; recovery is the time until 95% of the goodput before the overload is reached.
+func measure(s scenario, end, ideal float64, seeds int) metrics {
+	sum := metrics{}
 	n := float64(seeds)
 	for seed := range seeds {
 		r := run(s, uint64(seed))
@@ -78,94 +79,94 @@
 		sum.recovery += recovery(r.good, end, between(r.good, 2, 5)) / n
 		sum.urgent += r.urgentGood / r.urgentSent / n
 		sum.median += r.delays[len(r.delays)/2] / n
-		sum.late += r.delays[len(r.delays)*99/100] / n
+		sum.p99 += r.delays[len(r.delays)*99/100] / n
 		sum.attempts += r.attempts / total(r.sent) / n
 		sum.wasted += r.wasted / float64(s.seconds) / n
 	}
 	return sum
 }
 
-// Demand triples, or a deep service slows down while callers retry hard, or both. Without control the work goes to
-// calls that time out, and goes on doing so after the cause is gone. A user notices that nothing is answered, not
-// even bulletins, and that this outlasts the cause.
+// Demand triples, or a deep service slows down while callers retry without backoff, or both. Without admission control
+// the capacity is spent on calls that time out, even urgent calls get no answer, and retries keep the service overloaded
+// after the cause is gone (a metastable failure).
 func TestGoodputAndRecovery(t *testing.T) {
 	hard := func(s *scenario) { s.retries = 3 }
 	for name, c := range map[string]struct {
-		scenario             scenario
-		end, ideal, goodput  float64
-		mostGoodput, urgents float64
-		mostWasted           float64
+		scenario              scenario
+		end, ideal, goodput   float64
+		maxGoodput, minUrgent float64
+		maxWasted             float64
 	}{
-		"surge":               {scenario: surge(), end: 10, ideal: 2000, goodput: 0.95, urgents: 0.999},
-		"surge, hard retries": {scenario: with(surge(), hard), end: 10, ideal: 2000, goodput: 0.95, urgents: 0.999},
-		"surge at few slots":  {scenario: small(), end: 10, ideal: 200, goodput: 0.95, urgents: 0.999},
-		"deep service slow":   {scenario: deepSlow(), end: 25, ideal: 1400, goodput: 0.95, urgents: 0.999},
+		"surge":               {scenario: surge(), end: 10, ideal: 2000, goodput: 0.95, minUrgent: 0.999},
+		"surge, hard retries": {scenario: with(surge(), hard), end: 10, ideal: 2000, goodput: 0.95, minUrgent: 0.999},
+		"surge at few slots":  {scenario: small(), end: 10, ideal: 200, goodput: 0.95, minUrgent: 0.999},
+		"deep service slow":   {scenario: deepSlow(), end: 25, ideal: 1400, goodput: 0.95, minUrgent: 0.999},
 		"slow while load doubles": {
 			scenario: with(deepSlow(), func(s *scenario) { s.load = during(5, 25, 4000, 2000) }),
-			end:      25, ideal: 2600, goodput: 0.90, urgents: 0.999,
+			end:      25, ideal: 2600, goodput: 0.90, minUrgent: 0.999,
 		},
 		"surge at five endpoints": {
 			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts = 4, 5 }),
-			end:      10, ideal: 2000, goodput: 0.95, urgents: 0.999,
+			end:      10, ideal: 2000, goodput: 0.95, minUrgent: 0.999,
 		},
 		"surge, one of five slow": {
-			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts, s.weak = 4, 5, 4 }),
-			end:      10, ideal: 1700, goodput: 0.95, urgents: 0.999,
+			scenario: with(surge(), func(s *scenario) { s.entries, s.fronts, s.firstFrontSlowdown = 4, 5, 4 }),
+			end:      10, ideal: 1700, goodput: 0.95, minUrgent: 0.999,
 		},
 		"deep service slow, four fronts": {
 			scenario: with(deepSlow(), func(s *scenario) { s.entries, s.fronts = 4, 4 }),
-			end:      25, ideal: 1400, goodput: 0.95, urgents: 0.999,
+			end:      25, ideal: 1400, goodput: 0.95, minUrgent: 0.999,
 		},
-		"surge over tiny endpoints":               {scenario: tiny(), end: 10, ideal: 480, goodput: 0.95, urgents: 0.999},
-		"surge over tiny endpoints, hard retries": {scenario: with(tiny(), hard), end: 10, ideal: 480, goodput: 0.95, urgents: 0.999, mostWasted: 25},
+		"surge over tiny endpoints":               {scenario: tiny(), end: 10, ideal: 480, goodput: 0.95, minUrgent: 0.999},
+		"surge over tiny endpoints, hard retries": {scenario: with(tiny(), hard), end: 10, ideal: 480, goodput: 0.95, minUrgent: 0.999, maxWasted: 25},
 		"tiny deep endpoints slow while load doubles": {
 			scenario: with(tiny(), func(s *scenario) {
-				s.retries, s.load, s.slow = 3, during(5, 10, 672, 336), during(5, 10, 5, 1)
+				s.retries, s.load, s.deepSlowdown = 3, during(5, 10, 672, 336), during(5, 10, 5, 1)
 			}),
-			end: 10, ideal: 96, goodput: 0.90, urgents: 0.999,
+			end: 10, ideal: 96, goodput: 0.90, minUrgent: 0.999,
 		},
 		"deep service slow, no gate, for contrast": {
 			scenario: with(deepSlow(), func(s *scenario) { s.noGate = true }),
-			end:      25, ideal: 1400, mostGoodput: 0.6,
+			end:      25, ideal: 1400, maxGoodput: 0.6,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := measure(c.scenario, c.end, c.ideal, 4)
 			t.Logf("goodput %.3f, recovery %.0f ms, urgent %.4f, median %.0f ms, p99 %.0f ms, %.0f wasted a second, %.2f attempts",
-				f.goodput, f.recovery, f.urgent, f.median, f.late, f.wasted, f.attempts)
-			if c.mostGoodput > 0 {
-				assert.Assert(t, f.goodput <= c.mostGoodput)
+				f.goodput, f.recovery, f.urgent, f.median, f.p99, f.wasted, f.attempts)
+			if c.maxGoodput > 0 {
+				assert.Assert(t, f.goodput <= c.maxGoodput)
 				return
 			}
 			assert.Assert(t, f.goodput >= c.goodput)
 			assert.Assert(t, f.recovery <= 2000)
-			assert.Assert(t, f.urgent >= c.urgents)
-			assert.Assert(t, c.mostWasted == 0 || f.wasted <= c.mostWasted)
+			assert.Assert(t, f.urgent >= c.minUrgent)
+			assert.Assert(t, c.maxWasted == 0 || f.wasted <= c.maxWasted)
 		})
 	}
 }
 
-// Calls come in clusters by chance, also when there is room for all. A gate that takes each cluster for overload
-// refuses calls for nothing; a small congregation notices refusals on an ordinary day.
-func TestRefusesNothingWhileThereIsRoom(t *testing.T) {
+// Random arrivals come in bursts, also below capacity. A gate that treats each burst as overload refuses calls that the
+// service could have served.
+func TestRefusesNothingBelowCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
-		slots      int
-		work, load float64
-		patience   clock.Duration
+		slots         int
+		work, load    float64
+		callerTimeout clock.Duration
 	}{
 		"many slots, 90%":         {slots: 100, work: 50, load: 0.9},
 		"few slots, 80%":          {slots: 20, work: 20, load: 0.8},
 		"few slots and slow, 80%": {slots: 20, work: 100, load: 0.8},
 		"few slots and slow, 90%": {slots: 20, work: 100, load: 0.9},
-		"three slots, very slow":  {slots: 3, work: 400, load: 0.85, patience: 5000},
+		"three slots, very slow":  {slots: 3, work: 400, load: 0.85, callerTimeout: 5000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rate := c.load * float64(c.slots) / c.work * 1000
 			r := run(with(surge(), func(s *scenario) {
 				s.seconds, s.frontSlots, s.frontWork, s.load = 60, c.slots, c.work, during(0, 0, 0, rate)
-				s.patience = max(s.patience, c.patience)
+				s.callerTimeout = max(s.callerTimeout, c.callerTimeout)
 			}), 1)
 			refused := 1 - between(r.good, 1, 59)/between(r.sent, 1, 59)
 			t.Logf("%.4f refused or late", refused)
@@ -179,7 +180,7 @@
 }
 
 func report(b *testing.B, s scenario, end, ideal float64) {
-	f := figures{}
+	f := metrics{}
 	for range b.N {
 		f = measure(s, end, ideal, 4)
 	}
@@ -188,11 +189,11 @@
 	b.ReportMetric(math.Min(f.recovery, 1e6), "recoveryMs")
 	b.ReportMetric(f.urgent, "urgent")
 	b.ReportMetric(f.median, "medianMs")
-	b.ReportMetric(f.late, "p99Ms")
+	b.ReportMetric(f.p99, "p99Ms")
 	b.ReportMetric(f.wasted, "wasted/s")
 }
 
-// BenchmarkPolicies compares the variants under the same load: go test -bench Policies -benchtime 1x.
+// BenchmarkPolicies compares control laws and queue orders under the same load: go test -bench Policies -benchtime 1x.
 func BenchmarkPolicies(b *testing.B) {
 	for _, c := range []struct {
 		name   string
--- a/internal/reducer/attempt.go
+++ b/internal/reducer/attempt.go
@@ -1,8 +1,9 @@
-// An attempt is one sending of a call to one endpoint. After a failed one it is asked, in this order: may the
-// call run again at all, is the service in overload, is there an allowance left, is there time left.
+// An attempt sends a call to one endpoint. A failed attempt is followed by another one only if these conditions hold,
+// checked in this order: there is time left and the request can be sent again, the call may run again, the service is
+// not overloaded, and the retry allowance is not used up.
 //
-// Example: an attempt is refused with endpointFull, which vouches that nothing ran; the call goes to another
-// endpoint, at the cost of one retry of the root request's allowance.
+// Example: an attempt is refused with endpointFull, which guarantees that nothing ran; the call goes to another endpoint
+// and uses one retry of the root request's allowance.
 
 package reducer
 
@@ -13,35 +14,35 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// forward sends a call that has passed every check. The key is looked up once more, since the call may have
-// waited: were it not, a withdrawn key would go on working for as long as its calls wait.
+// forward sends a call that has passed all checks to an endpoint. It looks the key up again, since the call may have
+// waited: otherwise a withdrawn key would still work for calls that were waiting.
 func (s *State) forward(c *call) {
 	if c.parent == nil {
 		if _, ok := s.configurer.Resolve(c.keyHash); !ok {
-			s.abandonID(c)
+			s.abandonPermit(c)
 			s.refuse(c, Refusal{Reason: UnknownKey})
 			return
 		}
 	}
 	left := c.deadline.Sub(s.now)
 	if left <= 0 {
-		s.abandonID(c)
+		s.abandonPermit(c)
 		s.refuse(c, Refusal{Reason: DeadlinePassed})
 		return
 	}
-	if s.search(c) {
+	if s.waitForEndpoints(c) {
 		return
 	}
 	e, ok := s.router.Pick(c.service, s.now, c.excluded)
 	if !ok {
-		s.abandonID(c)
-		s.refuse(c, Refusal{Reason: c.noneLeft(), RetryAfter: s.backOff()})
+		s.abandonPermit(c)
+		s.refuse(c, Refusal{Reason: c.noEndpointReason(), RetryAfter: s.randomRetryAfter()})
 		return
 	}
 	c.attempt++
 	c.endpoint = e.ID
 	c.sentAt = s.now
-	c.carried = c.budget.Portion()
+	c.attemptAllowance = c.budget.Portion()
 	if c.attempt == 1 {
 		s.damper.First(c.service, s.now)
 	}
@@ -57,20 +58,20 @@
 		KeyHash:    c.keyHash,
 		Rank:       c.rank,
 		Deadline:   left,
-		Allowance:  c.carried,
+		Allowance:  c.attemptAllowance,
 		Depth:      c.depth,
 		Attempt:    c.attempt,
 		Idempotent: c.idempotent,
 		MaxBody:    c.maxBody,
-		Record:     c.owned,
+		Record:     c.hasPermit,
 	})
 }
 
-// noneLeft is the reason where no endpoint can be tried. After an attempt that may have run it is the lost answer that
-// the caller has to know of; "no backend server" would read as if nothing had happened. After a refusal it is that one:
-// a service whose only endpoint is full is overloaded, not gone.
-func (c *call) noneLeft() Reason {
-	if c.maybeRun {
+// noEndpointReason returns the refusal reason if no endpoint is left to try. After an attempt that may have run it is
+// LostAnswer, since NoBackend would suggest that nothing ran. After a refused attempt it is the reason of that refusal:
+// a service whose only endpoint is full is overloaded, not missing.
+func (c *call) noEndpointReason() Reason {
+	if c.mayHaveRun {
 		return LostAnswer
 	}
 	if c.lastReason != "" {
@@ -85,21 +86,21 @@
 	if !ok {
 		return
 	}
-	s.learn(c, e.Tail)
+	s.learnFromTail(c, e.Tail)
 	if e.Phase == NotSent {
-		// What never left this node cannot have spent any of the allowance that was to go with it.
-		c.budget.Return(c.carried, c.carried)
+		// An attempt that was never sent has used none of the allowance that was assigned to it.
+		c.budget.Return(c.attemptAllowance, c.attemptAllowance)
 	}
 	s.endAttempt(c, attemptOutcome(e), e.Tail)
 	if e.Relayed && e.Whole {
-		s.finishID(c, e.Outcome)
+		s.reportOutcome(c, e.Outcome)
 		s.record(c, "answered", s.options.Self)
 		s.emit(Finished{Call: c.id})
-		s.forget(c)
+		s.forgetCall(c)
 		return
 	}
 	if e.Phase == Sent || (e.Phase == Answered && (e.Refusal == nil || !e.Refusal.NotRun)) {
-		c.maybeRun = true
+		c.mayHaveRun = true
 	}
 	if s.retry(c, e) {
 		return
@@ -107,20 +108,20 @@
 	s.giveUp(c, e)
 }
 
-// learn keeps what the answer says of the service. A nested call's parent learns it as well, so that its own
-// callers are told what the whole chain can take.
-func (s *State) learn(c *call, t *Tail) {
+// learnFromTail updates the learned thresholds, retry ratio and shares from the tail of an answer. For a nested call it
+// also updates the parent's chain, so that answers to the parent's callers carry the threshold of the whole call chain.
+func (s *State) learnFromTail(c *call, t *Tail) {
 	if t == nil {
 		return
 	}
-	c.budget.Return(t.Allowance, c.carried)
-	s.board.LearnRoute(c.service, c.route, t.Threshold, s.now)
+	c.budget.Return(t.Allowance, c.attemptAllowance)
+	s.thresholds.LearnRouteThreshold(c.service, c.route, t.Threshold, s.now)
 	s.damper.Learn(c.service, t.RetryRatio, s.now)
 	if t.Share > 0 {
 		s.fairness.LearnShare(c.team, t.Share, s.now)
 	}
 	if c.parent != nil {
-		c.parent.note(c, t.Threshold, s.now)
+		c.parent.learnThreshold(c, t.Threshold, s.now)
 	}
 }
 
@@ -152,7 +153,7 @@
 }
 
 func (s *State) retry(c *call, e *AnswerEnded) bool {
-	if e.Relayed || e.TooLarge || e.TimedOut || !e.Replayable || s.leavesNoTime(c) {
+	if e.Relayed || e.TooLarge || e.TimedOut || !e.Replayable || s.noTimeToRetry(c) {
 		return false
 	}
 	may := retrier.MayRetry(retrier.Attempt{
@@ -173,10 +174,10 @@
 	return true
 }
 
-// minTimeForRetry is less than any useful answer takes.
+// minTimeForRetry is the least time to the deadline for another attempt; no useful answer arrives in less.
 const minTimeForRetry = 2 * clock.Millisecond
 
-func (s *State) leavesNoTime(c *call) bool {
+func (s *State) noTimeToRetry(c *call) bool {
 	return c.deadline.Sub(s.now) < minTimeForRetry
 }
 
@@ -217,10 +218,10 @@
 	}
 }
 
-// giveUp ends a call whose last attempt failed. The refusal is "not run" only if no attempt at all may have run.
+// giveUp refuses a call whose last attempt failed. The refusal says "not run" only if none of the attempts may have run.
 func (s *State) giveUp(c *call, e *AnswerEnded) {
-	s.abandonID(c)
-	r := Refusal{RetryAfter: s.backOff()}
+	s.abandonPermit(c)
+	r := Refusal{RetryAfter: s.randomRetryAfter()}
 	switch {
 	case e.TooLarge:
 		r.Reason = BodyTooLarge
@@ -229,7 +230,7 @@
 		r.Reason = e.Refusal.Reason
 		r.RetryAfter = e.Refusal.RetryAfter
 		r.DecidedBy = e.Refusal.DecidedBy
-	case e.TimedOut || s.leavesNoTime(c):
+	case e.TimedOut || s.noTimeToRetry(c):
 		r.Reason = DeadlinePassed
 	case e.Phase == NotSent:
 		r.Reason = Unreachable
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -1,6 +1,7 @@
-// A call enters here, by a caller's key or by the token of the call it is nested in. What both share begins in
-// begin: route, rank, threshold; a root call then pays with its team's rate, and a call that must not run twice
-// asks the owner of its idempotency id.
+// A call arrives either from a caller with a key (a root call) or from a backend server with the token of the delivery
+// that it is nested in. Both get their route and limits in applyRules. A root call then spends from its team's rate and
+// gets its rank; a nested call has the rank of its parent. Both are checked against the threshold, and a call that must
+// not run twice requests a permit from the owner of its idempotency id.
 //
 // Example: CallArrived → rank 0x4123 → slice spent → Forward to endpoint "ice-2" at node "a2".
 
@@ -18,10 +19,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// maxDepth stops services that call each other in a circle.
+// maxDepth is the limit for nested calls; it stops services that call each other in a cycle.
 const maxDepth = 32
 
-// maxExcluded is how many failed endpoints a call remembers.
+// maxExcluded is the upper bound of the failed endpoints that a call excludes from its next attempts.
 const maxExcluded = 4
 
 type call struct {
@@ -42,29 +43,30 @@
 	maxBody     int64
 	depth       uint8
 
-	// parent is the delivery that a nested call belongs to, and portion what it took of its allowance.
-	parent  *delivery
-	portion uint8
+	// parent is the delivery that a nested call belongs to, allowanceFromParent the part of the parent's retry allowance
+	// that the call received.
+	parent              *delivery
+	allowanceFromParent uint8
 
-	budget   retrier.Budget
-	carried  uint8
-	attempt  uint16
-	endpoint identifier.Endpoint
-	// lastEndpoint is where the attempt before went.
+	budget           retrier.Budget
+	attemptAllowance uint8
+	attempt          uint16
+	endpoint         identifier.Endpoint
+	// lastEndpoint is the endpoint of the previous attempt.
 	lastEndpoint identifier.Endpoint
-	// lastReason is why the attempt before was refused, if it was.
+	// lastReason is the reason with which the previous attempt was refused, if it was.
 	lastReason Reason
 	sentAt     clock.Time
 	excluded   []identifier.Endpoint
-	// maybeRun is set once any attempt may have started at a backend server.
-	maybeRun bool
-	// owned is set once the owner of the idempotency id let the call run.
-	owned bool
-	// asking is set while the owner is being asked.
-	asking bool
-	// searchUntil is set once the call has waited for endpoints of its service.
-	searchUntil clock.Time
-	payment     granter.Paid
+	// mayHaveRun is set once an attempt may have started at a backend server.
+	mayHaveRun bool
+	// hasPermit is set while the call has the permit of the owner of its idempotency id.
+	hasPermit bool
+	// awaitingOwner is set while the owner's answer to the permit request is pending.
+	awaitingOwner bool
+	// endpointWaitUntil is the time up to which the call waits for endpoints of its service; zero if it has not waited.
+	endpointWaitUntil clock.Time
+	payment           granter.Paid
 }
 
 func (s *State) callArrived(e *CallArrived) {
@@ -87,38 +89,40 @@
 		return
 	}
 	c.team = team
-	if s.refuseUnready(c) {
+	if s.refuseIfNotReady(c) {
 		return
 	}
-	if !s.begin(c, e.Deadline, e.ContentLength) {
+	if !s.applyRules(c, e.Deadline, e.ContentLength) {
 		return
 	}
 	if !s.rules.teams[c.team] {
 		detail := "team " + string(c.team) + " has no rate in preset " + string(s.rules.preset.Name)
-		s.refuse(c, Refusal{Reason: RateExceeded, RetryAfter: retryNextPreset, Detail: detail})
+		s.refuse(c, Refusal{Reason: RateExceeded, RetryAfter: retryAfterNoRate, Detail: detail})
 		return
 	}
 	c.budget = retrier.NewBudget(s.rules.preset.RetryAllowance)
-	s.spend(c)
+	s.spendRate(c)
 }
 
-// retryNextPreset is for what only another preset can change; it is long, since operators switch a few times a day.
-const retryNextPreset = 10 * clock.Second
+// retryAfterNoRate is the retry delay for refusals that only a switch to another preset can end. It is long, since
+// operators switch presets only a few times a day.
+const retryAfterNoRate = 10 * clock.Second
 
-// paid goes on with a root call that its team's rate has paid for. Paying comes first: were calls ranked before, a team
-// far above its rate would have its unimportant calls shed for nothing and spend all of its rate on urgent ones, at the
-// cost of the teams that keep to theirs.
-func (s *State) paid(c *call) {
-	s.fairness.Note(c.team, s.now)
+// rankAndAdmit assigns a rank to a root call that was paid for from its team's rate, and checks it against the
+// threshold. Payment comes first: otherwise calls of low priority would be shed before they use up any rate, and a team
+// far above its rate could spend all of it on urgent calls, at the cost of teams that stay within their rate.
+func (s *State) rankAndAdmit(c *call) {
+	s.fairness.CountCall(c.team, s.now)
 	c.rank = identifier.MakeRank(c.priority, s.fairness.Overuse(c.team, s.now), rootHash(c))
-	if !s.board.AdmitRoute(c.service, c.route, c.rank, s.now) {
-		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.backOff()})
+	if !s.thresholds.AdmitRoute(c.service, c.route, c.rank, s.now) {
+		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	s.claimID(c)
+	s.requestPermit(c)
 }
 
-// A caller's retry with the same id gets the same place within its class, so asking again earns nothing.
+// rootHash returns the hash from which the rank of a root call is made. A caller's retry with the same idempotency id
+// gets the same hash, so that a retry does not improve its rank.
 func rootHash(c *call) uint64 {
 	if c.idempotency != "" {
 		return xxh3.HashString(string(c.idempotency))
@@ -143,68 +147,71 @@
 		s.refuse(c, Refusal{Reason: UnknownToken})
 		return
 	}
-	c.join(d)
+	c.joinParent(d)
 	if c.depth > maxDepth {
 		s.refuse(c, Refusal{Reason: TooDeep})
 		return
 	}
 	if s.rules == nil {
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff()})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	if !s.begin(c, e.Deadline, e.ContentLength) {
+	if !s.applyRules(c, e.Deadline, e.ContentLength) {
 		return
 	}
 	c.deadline = min(c.deadline, d.deadline)
-	c.portion = d.budget.Portion()
-	c.budget = retrier.NewBudget(c.portion)
-	if !s.board.AdmitRoute(c.service, c.route, c.rank, s.now) {
-		d.note(c, s.board.ThresholdRoute(c.service, c.route, s.now), s.now)
-		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.backOff()})
+	c.allowanceFromParent = d.budget.Portion()
+	c.budget = retrier.NewBudget(c.allowanceFromParent)
+	if !s.thresholds.AdmitRoute(c.service, c.route, c.rank, s.now) {
+		d.learnThreshold(c, s.thresholds.ThresholdRoute(c.service, c.route, s.now), s.now)
+		s.refuse(c, Refusal{Reason: Shed, RetryAfter: s.randomRetryAfter()})
 		return
 	}
-	s.claimID(c)
+	s.requestPermit(c)
 }
 
-// join lets a nested call act for the team of the call that it is part of, and for no other.
-func (c *call) join(d *delivery) {
+// joinParent makes a nested call part of its parent delivery: it takes its team, rank and root request from there and
+// not from the backend server, which therefore can't act for another team.
+func (c *call) joinParent(d *delivery) {
 	c.parent = d
 	c.root = d.root
 	c.team = d.team
 	c.rank = d.rank
 	c.depth = d.depth + 1
-	d.nested++
+	d.nestedCalls++
 }
 
-// refuseKey must not call a key unknown that this node, just started, has not read of yet: a caller takes that for final.
+// refuseKey refuses a call whose key this node does not know. While a node that has just started still reads the
+// configuration, the reason is not UnknownKey, since callers treat that as final.
 func (s *State) refuseKey(c *call) {
-	if s.stillReads() {
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "this node is still reading the configuration"})
+	if s.stillReading() {
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "this node is still reading the configuration"})
 		return
 	}
 	s.refuse(c, Refusal{Reason: UnknownKey})
 }
 
-// stillReads tells that this node, just started, has not read to the end of the configuration yet. What it has read so
-// far may be long out of force everywhere else.
-func (s *State) stillReads() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
+// stillReading reports whether this node, after its start, has not yet read the configuration to the end. What it has
+// read so far may be outdated.
+func (s *State) stillReading() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
 
-func (s *State) refuseUnready(c *call) bool {
+func (s *State) refuseIfNotReady(c *call) bool {
 	switch {
 	case s.rules == nil:
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff()})
-	case s.stillReads():
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "this node is still reading the configuration"})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter()})
+	case s.stillReading():
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "this node is still reading the configuration"})
 	case !s.configurer.MayServe(s.now):
-		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.backOff(), Detail: "no news of the configuration for too long"})
+		s.refuse(c, Refusal{Reason: NoPreset, RetryAfter: s.randomRetryAfter(), Detail: "no news of the configuration for too long"})
 	default:
 		return false
 	}
 	return true
 }
 
-// begin finds the rules for the call and tells whether it may go on.
-func (s *State) begin(c *call, deadline clock.Duration, length int64) bool {
+// applyRules looks up the rules for the call and sets its route, limits and deadline. It returns false if it has
+// refused the call.
+func (s *State) applyRules(c *call, deadline clock.Duration, length int64) bool {
 	r, ok := s.rules.services[c.service]
 	if !ok {
 		s.refuse(c, Refusal{Reason: UnknownService, Detail: string(c.service)})
@@ -226,14 +233,15 @@
 	return true
 }
 
-// Refused callers that all come back at the same moment are the next surge, so the time varies.
-func (s *State) backOff() clock.Duration {
+// randomRetryAfter returns a random retry delay: if refused callers all retried at the same moment, they would cause the
+// next overload.
+func (s *State) randomRetryAfter() clock.Duration {
 	const least, spread = 500, 1000
 	return clock.Duration(least + s.rand.Int64N(spread))
 }
 
 func (s *State) refuse(c *call, r Refusal) {
-	r.NotRun = !c.maybeRun
+	r.NotRun = !c.mayHaveRun
 	r.DecidedBy = orNode(r.DecidedBy, s.options.Self)
 	r.Version = s.configurer.Version()
 	if r.Reason == EndpointFull || r.Reason == EndpointLeaving {
@@ -242,7 +250,7 @@
 	s.countRefusal(r.Reason)
 	s.record(c, string(r.Reason), r.DecidedBy)
 	s.emit(Refuse{Call: c.id, Refusal: r})
-	s.forget(c)
+	s.forgetCall(c)
 }
 
 func orNode(n, fallback identifier.Node) identifier.Node {
@@ -256,11 +264,11 @@
 	s.counters.Refused[r]++
 }
 
-// forget ends a call at this node and gives its unused allowance back to the call that it is nested in.
-func (s *State) forget(c *call) {
+// forgetCall removes a call from this node and returns its unused retry allowance to the delivery that it is nested in.
+func (s *State) forgetCall(c *call) {
 	if c.parent != nil {
-		c.parent.budget.Return(c.budget.Left(), c.portion)
-		c.parent.nested--
+		c.parent.budget.Return(c.budget.Left(), c.allowanceFromParent)
+		c.parent.nestedCalls--
 	}
 	delete(s.calls, c.id)
 }
@@ -272,9 +280,9 @@
 	}
 	if c.endpoint != "" {
 		s.endAttempt(c, router.Cancelled, nil)
-		c.maybeRun = true
+		c.mayHaveRun = true
 	}
-	s.abandonID(c)
+	s.abandonPermit(c)
 	s.record(c, string(Cancelled), s.options.Self)
-	s.forget(c)
+	s.forgetCall(c)
 }
--- a/internal/reducer/trail.go
+++ b/internal/reducer/decisions.go
@@ -1,5 +1,5 @@
-// When a caller asks why its request was refused, the answer must not depend on a log search. The node keeps its last
-// decisions in a ring, each with what it was judged by.
+// A node keeps its most recent decisions in a ring buffer, each with the data that it was based on, so that operators
+// can explain a refusal without searching logs.
 //
 // Example: explain 0190… → "shed" decided by node "a2" under version 12, rank 0x8123, threshold 0x7fff.
 
@@ -11,10 +11,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// trailSize is how many decisions a node remembers.
-const trailSize = 4096
+// decisionRingSize is the number of decisions that a node keeps.
+const decisionRingSize = 4096
 
-// Decision is what was decided on one call at this node, and by what.
+// Decision is a decision on a call or delivery at this node, with the data that it was based on.
 type Decision struct {
 	Request   identifier.Request
 	Root      identifier.Request
@@ -31,25 +31,25 @@
 	Wall      clock.Wall
 }
 
-type trail struct {
-	ring []Decision
-	next int
+type decisionRing struct {
+	entries []Decision
+	next    int
 }
 
-func newTrail(size int) *trail {
-	return &trail{ring: make([]Decision, size)}
+func newDecisionRing(size int) *decisionRing {
+	return &decisionRing{entries: make([]Decision, size)}
 }
 
-func (t *trail) add(d Decision) {
-	t.ring[t.next] = d
-	t.next = (t.next + 1) % len(t.ring)
+func (t *decisionRing) add(d Decision) {
+	t.entries[t.next] = d
+	t.next = (t.next + 1) % len(t.entries)
 }
 
-// find returns the decisions on a request and on the calls nested in it, oldest first.
-func (t *trail) find(r identifier.Request) []Decision {
+// find returns the decisions on a request and on its nested calls, oldest first.
+func (t *decisionRing) find(r identifier.Request) []Decision {
 	var found []Decision
-	for i := range t.ring {
-		d := t.ring[(t.next+i)%len(t.ring)]
+	for i := range t.entries {
+		d := t.entries[(t.next+i)%len(t.entries)]
 		if d.Request == r || (d.Root == r && r != "") {
 			found = append(found, d)
 		}
@@ -57,9 +57,9 @@
 	return found
 }
 
-// Explain returns what this node decided on a request, oldest first.
+// Explain returns this node's decisions on a request and on its nested calls, oldest first.
 func (s *State) Explain(r identifier.Request) []Decision {
-	return s.trail.find(r)
+	return s.decisions.find(r)
 }
 
 func (s *State) record(c *call, verdict string, by identifier.Node) {
@@ -78,9 +78,9 @@
 	}
 	if s.rules != nil {
 		d.Preset = s.rules.preset.Name
-		d.Threshold = s.board.ThresholdRoute(c.service, c.route, s.now)
+		d.Threshold = s.thresholds.ThresholdRoute(c.service, c.route, s.now)
 	}
-	s.trail.add(d)
+	s.decisions.add(d)
 }
 
 func (s *State) recordDelivery(d *delivery, r Reason) {
@@ -98,5 +98,5 @@
 		entry.Service = d.backend.service
 		entry.Threshold = d.backend.gate.Threshold()
 	}
-	s.trail.add(entry)
+	s.decisions.add(entry)
 }
--- a/internal/reducer/delivery.go
+++ b/internal/reducer/delivery.go
@@ -1,7 +1,8 @@
-// A delivery is a call on its way to a backend server of this VM. The gate keeps out what the whole service cannot
-// take, the limiter orders the rest, and the token lets the backend server's own calls go on in its name.
+// A delivery is a call at the node of its endpoint, on the way to a backend server of this VM. The gate refuses calls
+// beyond the capacity, the limiter queues and dispatches the others, and the token identifies the delivery in nested
+// calls of the backend server.
 //
-// Example: DeliveryArrived → Queue (no effect) → a slot comes free → Dispatch → DeliveryEnded → EndDelivery.
+// Example: DeliveryArrived → Queue (no effect) → a slot becomes free → Dispatch → DeliveryEnded → EndDelivery.
 
 package reducer
 
@@ -26,17 +27,17 @@
 	token    Token
 	route    admitter.Route
 	backend  *backend
-	// share is the part of the team's calls that come in at the same entry.
+	// share is the share of the team's calls that enter at the same node as this one; 255 stands for all.
 	share   uint8
 	arrived clock.Time
 	started bool
-	// nested counts the calls that the backend server has under way on behalf of this one.
-	nested int
+	// nestedCalls counts the calls in progress that the backend server has made on behalf of this one.
+	nestedCalls int
 }
 
-// note tells the delivery's backend server what a service that it calls can take.
-func (d *delivery) note(c *call, t identifier.Threshold, now clock.Time) {
-	d.backend.chain.Note(d.route, c.service, t, now)
+// learnThreshold updates the chain of the delivery's backend server with the threshold of a service that it calls.
+func (d *delivery) learnThreshold(c *call, t identifier.Threshold, now clock.Time) {
+	d.backend.chain.LearnThreshold(d.route, c.service, t, now)
 }
 
 func (s *State) deliveryArrived(e *DeliveryArrived) {
@@ -73,10 +74,10 @@
 	}
 	s.deliveries[d.id] = d
 	if d.depth == 0 {
-		d.share = b.shares.Note(d.team, e.From, s.now)
+		d.share = b.shares.CountCall(d.team, e.From, s.now)
 	}
 	call := limiter.Call{ID: limiter.CallID(d.id), Rank: d.rank, Deadline: d.deadline}
-	s.carryOut(b, b.limiter.Offer(call, s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Offer(call, s.now, s.verdicts[:0]))
 }
 
 func (s *State) routeOf(e *DeliveryArrived) admitter.Route {
@@ -90,9 +91,10 @@
 	return r.match(e.Method, e.Path).route
 }
 
-// carryOut turns the limiter's verdicts into effects. A dispatch may turn out to be for a key that was withdrawn
-// while the call was queued; its slot then goes to the next call, which gives further verdicts.
-func (s *State) carryOut(b *backend, verdicts []limiter.Verdict) {
+// applyVerdicts converts the limiter's verdicts into effects. The loop also handles verdicts that are added while it
+// runs: if the key of a call was withdrawn while the call was queued, its slot goes to the next call, which gives a
+// further verdict.
+func (s *State) applyVerdicts(b *backend, verdicts []limiter.Verdict) {
 	s.verdicts = verdicts
 	for i := 0; i < len(s.verdicts); i++ {
 		v := s.verdicts[i]
@@ -115,7 +117,7 @@
 
 func (s *State) dispatch(b *backend, d *delivery) {
 	left := d.deadline.Sub(s.now)
-	if !s.keyStands(d) {
+	if !s.keyValid(d) {
 		s.dropDelivery(d, UnknownKey)
 		s.verdicts = b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts)
 		return
@@ -124,20 +126,20 @@
 	s.tokens[d.token] = d
 	b.gate.Served(s.now)
 	b.gate.Observe(s.now.Sub(d.arrived), s.now)
-	b.chain.Started(d.route)
+	b.chain.CountCall(d.route)
 	s.counters.Dispatched++
 	s.emit(Dispatch{
 		Delivery:   d.id,
 		Endpoint:   b.id,
 		Deadline:   max(left, 1),
 		Self:       s.options.Self,
-		RetryAfter: s.backOff(),
+		RetryAfter: s.randomRetryAfter(),
 	})
 }
 
-// A call that waited in the queue may have lost its key meanwhile. Nested calls carry no key: they belong to a call
-// that was already dispatched, and its work is not cut short.
-func (s *State) keyStands(d *delivery) bool {
+// keyValid reports whether the delivery's key is still valid; it may have been withdrawn while the call was queued.
+// Nested calls carry no key: they belong to a call that was already dispatched and is not interrupted.
+func (s *State) keyValid(d *delivery) bool {
 	if d.keyHash == "" {
 		return true
 	}
@@ -152,7 +154,7 @@
 	}
 	b := d.backend
 	s.forgetDelivery(d)
-	s.carryOut(b, b.limiter.Done(limiter.CallID(d.id), limiterOutcome(e.Result), s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Done(limiter.CallID(d.id), limiterOutcome(e.Result), s.now, s.verdicts[:0]))
 	b.gate.Observe(b.limiter.QueueDelay(s.now), s.now)
 	s.emit(EndDelivery{Delivery: d.id, Tail: s.tail(d)})
 }
@@ -178,14 +180,14 @@
 	b := d.backend
 	s.forgetDelivery(d)
 	if d.started {
-		s.carryOut(b, b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts[:0]))
+		s.applyVerdicts(b, b.limiter.Done(limiter.CallID(d.id), limiter.Cancelled, s.now, s.verdicts[:0]))
 		return
 	}
-	s.carryOut(b, b.limiter.Cancel(limiter.CallID(d.id), s.now, s.verdicts[:0]))
+	s.applyVerdicts(b, b.limiter.Cancel(limiter.CallID(d.id), s.now, s.verdicts[:0]))
 }
 
-// forgetDelivery ends the token as well: a backend server that goes on calling in the name of a call that is over
-// would otherwise act for a team without a request of that team.
+// forgetDelivery removes the delivery and its token. If the token stayed valid, a backend server could make further
+// calls for a team without a request of that team.
 func (s *State) forgetDelivery(d *delivery) {
 	delete(s.deliveries, d.id)
 	delete(s.tokens, d.token)
@@ -199,7 +201,7 @@
 func (s *State) refuseDelivery(d *delivery, r Reason) {
 	s.countRefusal(r)
 	s.recordDelivery(d, r)
-	refusal := Refusal{Reason: r, NotRun: true, DecidedBy: s.options.Self, RetryAfter: s.backOff()}
+	refusal := Refusal{Reason: r, NotRun: true, DecidedBy: s.options.Self, RetryAfter: s.randomRetryAfter()}
 	s.emit(RefuseDelivery{Delivery: d.id, Refusal: refusal, Tail: s.tail(d)})
 }
 
--- a/internal/reducer/leave.go
+++ b/internal/reducer/leave.go
@@ -1,5 +1,6 @@
-// A planned stop loses nothing: the fleet is told first, the records of idempotency ids go to the successor, then the
-// claims are handed over on the log, and the process ends only when its last call has.
+// In a planned stop no call or record is lost: the endpoints are first announced as leaving by gossip, the records of
+// idempotency ids go to the successor, then the claims are handed over on the log, and the process ends only after its
+// last call.
 //
 // Example: NodeLeaving → LeaveEndpoint by gossip → Handover to the witness → Claim{Kind: Handover} → Idle.
 
@@ -14,81 +15,83 @@
 
 const (
 	idClaimPrefix = "ids/"
-	// handoverBound is how long a leaving node waits for its successors to have its records.
-	handoverBound = 2 * clock.Second
-	// shortWait is what a successor of a bank may wait out: a slice's term, once all loans are back. Were the claims handed
-	// over before, it would wait for the longest loan, and teams would be refused within their rate meanwhile.
-	shortWait = 500 * clock.Millisecond
-	// goodbyeBound gives the news of a leaving node time to spread.
-	goodbyeBound = clock.Second
-	// reportBound is how long a leaving node goes on telling the owners of ids how its calls ended.
-	reportBound = 4 * clock.Second
+	// handoverTimeout is how long a leaving node waits for its successors to confirm its records, and then for the handover
+	// of its claims.
+	handoverTimeout = 2 * clock.Second
+	// maxOutstandingAtHandover is the longest term of outstanding grants at which rate claims are handed over: that of a
+	// slice, after all loans were returned. A successor has to wait out that term; if it had to wait for the longest loan,
+	// teams would meanwhile be refused within their rate.
+	maxOutstandingAtHandover = 500 * clock.Millisecond
+	// leaveSpreadTime is how long a leaving node keeps running so that gossip can spread its leave.
+	leaveSpreadTime = clock.Second
+	// maxReportTime is how long a leaving node continues to report outcomes of its calls to the owners of idempotency ids.
+	maxReportTime = 4 * clock.Second
 )
 
-// handing is a claim's records on their way to the heir.
-type handing struct {
-	epoch identifier.Epoch
-	heir  identifier.Node
-	done  bool
+// handover tracks the transfer of a claim's records to the successor.
+type handover struct {
+	epoch     identifier.Epoch
+	successor identifier.Node
+	confirmed bool
 }
 
-type leave struct {
-	since     clock.Time
-	pending   map[deduplicator.Claim]handing
-	claimsAt  clock.Time
-	goodbyeAt clock.Time
+type departure struct {
+	startedAt        clock.Time
+	handovers        map[deduplicator.Claim]handover
+	claimsReleasedAt clock.Time
+	leftAt           clock.Time
 }
 
 func (s *State) nodeLeaving() {
 	if s.leaving != nil {
 		return
 	}
-	s.leaving = &leave{since: s.now, pending: make(map[deduplicator.Claim]handing)}
+	s.leaving = &departure{startedAt: s.now, handovers: make(map[deduplicator.Claim]handover)}
 	for _, b := range s.sortedBackends() {
 		s.startLeaving(b)
 	}
-	s.grant(s.granter.Leave(s.now))
+	s.applyGrants(s.granter.Leave(s.now))
 	s.sendHandovers()
 }
 
 func (s *State) sendHandovers() {
 	for _, c := range s.claimer.Dump(s.now) {
 		if c.Authority && isIDClaim(c.Name) {
-			s.handOver(c.Name)
+			s.sendHandover(c.Name)
 		}
 	}
 }
 
-// handOver sends the records to the node that the claim will go to. A heir uses those of the epoch just before its own
-// only, so they are sent again where the claim went on to another epoch, or another heir, since.
-func (s *State) handOver(n claimer.Name) {
+// sendHandover sends a claim's records to its successor. A successor uses only records of the epoch immediately before
+// its own, so they are sent again if the claim's epoch or successor has changed since.
+func (s *State) sendHandover(n claimer.Name) {
 	name := deduplicator.Claim(n)
-	heir, known := s.claimer.SuccessorOf(n)
-	h, held := s.hold(name)
+	successor, known := s.claimer.SuccessorOf(n)
+	h, held := s.holdOf(name)
 	if !held || !known {
 		return
 	}
-	p := s.leaving.pending[name]
-	if p.epoch != h.Epoch || p.heir != heir {
-		p = handing{epoch: h.Epoch, heir: heir}
+	p := s.leaving.handovers[name]
+	if p.epoch != h.Epoch || p.successor != successor {
+		p = handover{epoch: h.Epoch, successor: successor}
 	}
-	s.leaving.pending[name] = p
-	if p.done {
+	s.leaving.handovers[name] = p
+	if p.confirmed {
 		return
 	}
 	for _, part := range s.owner.Export(h, s.now) {
-		s.send(heir, "", part)
+		s.send(successor, "", part)
 	}
 }
 
-func (s *State) handedOver(from identifier.Node, m deduplicator.HandoverAnswer) {
+func (s *State) handoverConfirmed(from identifier.Node, m deduplicator.HandoverAnswer) {
 	if s.leaving == nil {
 		return
 	}
-	p, asked := s.leaving.pending[m.Claim]
-	if asked && p.epoch == m.Epoch && p.heir == from {
-		p.done = true
-		s.leaving.pending[m.Claim] = p
+	p, asked := s.leaving.handovers[m.Claim]
+	if asked && p.epoch == m.Epoch && p.successor == from {
+		p.confirmed = true
+		s.leaving.handovers[m.Claim] = p
 	}
 }
 
@@ -98,41 +101,42 @@
 		return
 	}
 	s.sendHandovers()
-	if l.claimsAt == 0 {
+	if l.claimsReleasedAt == 0 {
 		outstanding := s.granter.Outstanding(s.now)
-		ready := l.allHandedOver() && outstanding <= shortWait
-		if !ready && s.now.Sub(l.since) < handoverBound {
+		ready := l.allConfirmed() && outstanding <= maxOutstandingAtHandover
+		if !ready && s.now.Sub(l.startedAt) < handoverTimeout {
 			return
 		}
-		l.claimsAt = s.now
-		s.claim(s.claimer.Leave(outstanding, s.now))
+		l.claimsReleasedAt = s.now
+		s.applyClaims(s.claimer.Leave(outstanding, s.now))
 		return
 	}
-	if l.goodbyeAt == 0 && (s.claimer.Left() || s.now.Sub(l.claimsAt) > handoverBound) {
-		l.goodbyeAt = s.now
-		s.gossip(s.gossiper.Leave(s.now))
+	if l.leftAt == 0 && (s.claimer.Left() || s.now.Sub(l.claimsReleasedAt) > handoverTimeout) {
+		l.leftAt = s.now
+		s.applyGossip(s.gossiper.Leave(s.now))
 	}
 }
 
-func (l *leave) allHandedOver() bool {
-	for _, p := range l.pending {
-		if !p.done {
+func (l *departure) allConfirmed() bool {
+	for _, p := range l.handovers {
+		if !p.confirmed {
 			return false
 		}
 	}
 	return true
 }
 
-// Idle tells whether a leaving node may end: its claims are handed over, the news has spread, and nothing is under way.
+// Idle reports whether a leaving node may stop: its claims are handed over, gossip has had time to spread its leave,
+// and no call is in progress.
 func (s *State) Idle(now clock.Time) bool {
 	l := s.leaving
-	if l == nil || l.goodbyeAt == 0 || now.Sub(l.goodbyeAt) < goodbyeBound {
+	if l == nil || l.leftAt == 0 || now.Sub(l.leftAt) < leaveSpreadTime {
 		return false
 	}
-	// An outcome that nobody was told of would be unknown for ever.
-	reported := s.asker.Reports() == 0 || now.Sub(l.goodbyeAt) > reportBound
+	// An outcome that is not reported to the owner of its id can't be determined later.
+	reported := s.asker.Reports() == 0 || now.Sub(l.leftAt) > maxReportTime
 	return len(s.calls) == 0 && len(s.deliveries) == 0 && reported
 }
 
-// Leaving tells whether the node was asked to stop.
+// Leaving reports whether the node was asked to stop.
 func (s *State) Leaving() bool { return s.leaving != nil }
--- a/internal/reducer/refusal_test.go
+++ b/internal/reducer/refusal_test.go
@@ -11,10 +11,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// The only endpoint of a service is full. The caller would read that the service has no backend server, and its
-// operators would look for a VM that is gone instead of for an overload.
-func TestFullEndpointIsNoMissingOne(t *testing.T) {
-	w := newWorld(t.Fatalf)
+// The only endpoint of a service is full. The call must be refused as shed: a refusal that says that the service has no
+// backend server would make operators look for a missing VM instead of an overload.
+func TestFullEndpointIsReportedAsOverload(t *testing.T) {
+	w := newSimulatedNode(t.Fatalf)
 	for _, id := range iceEndpoints[1:] {
 		w.state.router.Remove(id)
 	}
@@ -29,12 +29,12 @@
 	assert.Assert(t, a.refusal.NotRun)
 }
 
-// A team has a valid key and no rate in the preset in force, as a team that bought nothing for peaks. Told only that it is
-// over its rate and may come back at once, its program would ask again without end.
-func TestTeamWithoutRateIsToldSo(t *testing.T) {
-	w := newWorld(t.Fatalf)
+// A team has a valid key but no rate in the preset in force, for instance in a preset for peaks. If the refusal only
+// said that the rate is exceeded, with a short retry delay, the team's program would retry endlessly.
+func TestRefusalNamesTeamWithoutRate(t *testing.T) {
+	w := newSimulatedNode(t.Fatalf)
 	w.publish(configurer.IssueKey{Change: w.change("m", 0), Key: definer.Key{Hash: "cc33", Team: "surveyors"}})
-	w.pass(clock.Second)
+	w.advance(clock.Second)
 	c := w.call("cc33", "ice", "GET", "", 0)
 	r := w.calls[c].refusal
 	assert.Equal(t, r.Reason, RateExceeded)
