--- a/internal/conductor/cold.go
+++ b/internal/conductor/cold.go
@@ -85,13 +85,13 @@
 		Burst:     max(1, coldSlackPart*c.options.Bounds.Cold.Slack),
 	}
 	c.limiter.SetCold(limit, c.coldUntil, now)
-	c.throttler.Limit(max(1, limit.PerSecond))
+	c.throttler.SetColdRate(max(1, limit.PerSecond))
 }
 
 // warm ends the limit when the local endpoint is warm.
 func (c *Conductor) warm(now clock.Time) {
 	if c.coldUntil <= now {
-		c.throttler.Limit(0)
+		c.throttler.SetColdRate(0)
 	}
 }
 
--- a/internal/limiter/adjust.go
+++ b/internal/limiter/adjust.go
@@ -11,24 +11,24 @@
 // tells something if it had already run longer than usual.
 func (l *Limiter) measure(d clock.Duration, o Outcome, now clock.Time) {
 	latency := float64(d)
-	if o == Failed || o == Cancelled && latency <= l.service.mean {
+	if o == Failed || o == Cancelled && latency <= l.serviceTime.mean {
 		return
 	}
-	l.service.add(latency)
+	l.serviceTime.add(latency)
 	if now.Sub(l.started) < l.options.ColdStart {
 		return
 	}
-	l.law.finished(sample{
-		latency: latency,
-		full:    l.inFlight >= l.limit-l.reserve(now),
-		quiet:   2*l.inFlight < l.limit,
+	l.law.observe(sample{
+		latency:   latency,
+		full:      l.inFlight >= l.limit-l.reservedSlots(now),
+		underHalf: 2*l.inFlight < l.limit,
 	}, now)
 }
 
-// coldFraction is the part of the slots that a cold backend server starts with.
-const coldFraction = 8
+// coldStartDivisor is the part of the slots that a cold backend server starts with.
+const coldStartDivisor = 8
 
-func (l *Limiter) adjust(now clock.Time) {
+func (l *Limiter) updateLimit(now clock.Time) {
 	l.law.tick(now)
 	l.limit = min(l.ramp(now), max(1, int(l.law.limit())))
 }
@@ -38,7 +38,7 @@
 	if age >= l.options.ColdStart {
 		return l.slots
 	}
-	low := max(1, l.slots/coldFraction)
+	low := max(1, l.slots/coldStartDivisor)
 	grown := clock.Duration(l.slots-low) * age / l.options.ColdStart
 	return low + int(grown)
 }
--- a/internal/limiter/cold.go
+++ b/internal/limiter/cold.go
@@ -18,38 +18,38 @@
 	PerSecond, Burst float64
 }
 
-// coldWait is for how much of the rate calls may wait: a nested call rarely waits longer than this.
-const coldWait = 200 * clock.Millisecond
+// coldQueueWait is for how much of the rate calls may wait: a nested call rarely waits longer than this.
+const coldQueueWait = 200 * clock.Millisecond
 
 // cold is the state of a limiter whose backend server is cold.
 type cold struct {
-	limit    ColdLimit
-	until    clock.Time
-	tokens   float64
-	refilled clock.Time
+	limit      ColdLimit
+	until      clock.Time
+	tokens     float64
+	lastRefill clock.Time
 }
 
 func (c *cold) refill(now clock.Time) {
-	seconds := float64(now.Sub(c.refilled)) / float64(clock.Second)
-	c.refilled = now
+	seconds := float64(now.Sub(c.lastRefill)) / float64(clock.Second)
+	c.lastRefill = now
 	c.tokens = min(c.limit.Burst, c.tokens+seconds*c.limit.PerSecond)
 }
 
-func (c *cold) queue() int {
-	return max(1, int(c.limit.PerSecond*float64(coldWait)/float64(clock.Second)))
+func (c *cold) queueBound() int {
+	return max(1, int(c.limit.PerSecond*float64(coldQueueWait)/float64(clock.Second)))
 }
 
 // SetCold holds calls to a rate until a moment; one that is not later than now ends that.
 func (l *Limiter) SetCold(limit ColdLimit, until, now clock.Time) {
 	if !l.isCold(now) {
-		l.cold.refilled, l.cold.tokens = now, l.coldTokens(limit, now)
+		l.cold.lastRefill, l.cold.tokens = now, l.initialColdTokens(limit, now)
 	}
 	l.cold.limit, l.cold.until = limit, until
 }
 
-// coldTokens is what is left of a burst after the calls that were dispatched within the last second.
-func (l *Limiter) coldTokens(limit ColdLimit, now clock.Time) float64 {
-	if l.dispatched && now.Sub(l.lastDispatch) < clock.Second {
+// initialColdTokens is what is left of a burst after the calls that were dispatched within the last second.
+func (l *Limiter) initialColdTokens(limit ColdLimit, now clock.Time) float64 {
+	if l.everDispatched && now.Sub(l.lastDispatch) < clock.Second {
 		return 0
 	}
 	return limit.Burst
@@ -59,8 +59,8 @@
 	return now < l.cold.until
 }
 
-// mayStart tells whether a cold backend server bears another call now.
-func (l *Limiter) mayStart(now clock.Time) bool {
+// hasColdToken tells whether a cold backend server bears another call now.
+func (l *Limiter) hasColdToken(now clock.Time) bool {
 	if !l.isCold(now) {
 		return true
 	}
@@ -68,18 +68,18 @@
 	return l.cold.tokens >= 1
 }
 
-// start counts a dispatched call.
-func (l *Limiter) start(now clock.Time) {
-	l.lastDispatch, l.dispatched = now, true
+// countDispatch counts a dispatched call.
+func (l *Limiter) countDispatch(now clock.Time) {
+	l.lastDispatch, l.everDispatched = now, true
 	if l.isCold(now) {
 		l.cold.tokens--
 	}
 }
 
-// longestQueue is how many calls may wait.
-func (l *Limiter) longestQueue(now clock.Time) int {
+// maxQueued is how many calls may wait.
+func (l *Limiter) maxQueued(now clock.Time) int {
 	if l.isCold(now) {
-		return min(l.options.Queue, l.cold.queue())
+		return min(l.options.Queue, l.cold.queueBound())
 	}
 	return l.options.Queue
 }
@@ -91,9 +91,9 @@
 	return uint8(math.MaxUint8 * min(1, l.cold.tokens/max(1, l.cold.limit.Burst)))
 }
 
-func (l *Limiter) coldDelay() clock.Duration {
+func (l *Limiter) coldQueueDelay() clock.Duration {
 	if l.cold.limit.PerSecond <= 0 {
-		return coldWait
+		return coldQueueWait
 	}
 	seconds := float64(l.queue.len()) / l.cold.limit.PerSecond
 	return clock.Duration(math.Ceil(seconds * float64(clock.Second)))
--- a/internal/limiter/cold_test.go
+++ b/internal/limiter/cold_test.go
@@ -12,7 +12,7 @@
 var coldLimit = ColdLimit{PerSecond: 13, Burst: 4}
 
 // A cold backend server that gets more calls in a second than it bears crashes and comes back cold.
-func TestColdBackendServerIsNotFlooded(t *testing.T) {
+func TestColdRateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Options{Slots: 45, Order: DueFirst}, 0)
 		until := clock.Time(rapid.Int64Range(500, 4000).Draw(t, "until"))
@@ -54,7 +54,7 @@
 }
 
 // A backend server that turns cold while it runs calls must not get a burst on top of those.
-func TestColdAgainAllowsNoBurst(t *testing.T) {
+func TestTurningColdAllowsNoBurst(t *testing.T) {
 	l := New(Options{Slots: 45, Order: DueFirst}, 0)
 	for id := range CallID(20) {
 		l.Offer(Call{ID: id, Deadline: 700, Due: 300}, 0, nil)
@@ -66,7 +66,7 @@
 }
 
 // Calls that can't get a token in time must be turned away at once: elsewhere they can still be run.
-func TestFewWaitForAColdBackendServer(t *testing.T) {
+func TestColdQueueIsShort(t *testing.T) {
 	l := New(Options{Slots: 45, Order: DueFirst}, 0)
 	l.SetCold(coldLimit, 3000, 0)
 	actions := map[Action]int{}
@@ -80,7 +80,7 @@
 	assert.Equal(t, l.Headroom(0), uint8(0))
 }
 
-func TestWarmBackendServerUsesItsSlots(t *testing.T) {
+func TestAllSlotsUsedAfterColdEnds(t *testing.T) {
 	l := New(Options{Slots: 45, Order: DueFirst}, 0)
 	l.SetCold(coldLimit, 3000, 0)
 	dispatched := 0
--- a/internal/limiter/dispatch.go
+++ b/internal/limiter/dispatch.go
@@ -18,7 +18,7 @@
 	l.queue.grow(n)
 }
 
-func (l *Limiter) take(c Call) int32 {
+func (l *Limiter) allocate(c Call) int32 {
 	if len(l.free) == 0 {
 		l.grow(len(l.entries) + 1)
 	}
@@ -44,21 +44,21 @@
 func (l *Limiter) dispatch(number int32, now clock.Time, out []Verdict) []Verdict {
 	e := &l.entries[number]
 	e.running = true
-	e.dispatched = now
+	e.dispatchedAt = now
 	l.inFlight++
-	l.start(now)
+	l.countDispatch(now)
 	return append(out, Verdict{e.call.ID, Dispatch})
 }
 
 func (l *Limiter) dispatchAll(now clock.Time, out []Verdict) []Verdict {
-	defer l.noteQueue(now)
+	defer l.trackQueue(now)
 	for l.queue.len() > 0 {
-		number := l.next(now)
+		number := l.nextToDispatch(now)
 		c := l.entries[number].call
-		if !l.mayRun(c.Rank, now) || !l.mayStart(now) {
+		if !l.withinLimit(c.Rank, now) || !l.hasColdToken(now) {
 			return out
 		}
-		if l.doomed(c, now) {
+		if l.missesDeadline(c, now) {
 			l.unqueue(number)
 			out = append(out, Verdict{c.ID, Expire})
 			continue
@@ -71,9 +71,9 @@
 
 func (l *Limiter) expire(now clock.Time, out []Verdict) []Verdict {
 	for l.queue.len() > 0 {
-		number := l.queue.soonest.first()
+		number := l.queue.byExpiry.first()
 		c := l.entries[number].call
-		if !l.doomed(c, now) && (c.WaitUntil == 0 || now < c.WaitUntil) {
+		if !l.missesDeadline(c, now) && (c.WaitUntil == 0 || now < c.WaitUntil) {
 			return out
 		}
 		l.unqueue(number)
@@ -83,53 +83,53 @@
 }
 
 func (l *Limiter) shedWorst(out []Verdict) []Verdict {
-	number := l.queue.worst.first()
+	number := l.queue.byShed.first()
 	id := l.entries[number].call.ID
 	l.unqueue(number)
 	return append(out, Verdict{id, Shed})
 }
 
-// mayRun lets urgent calls use all slots, others what the limit leaves.
-func (l *Limiter) mayRun(r identifier.Rank, now clock.Time) bool {
+// withinLimit lets urgent calls use all slots, others what the limit leaves.
+func (l *Limiter) withinLimit(r identifier.Rank, now clock.Time) bool {
 	if r.Priority() == identifier.Urgent {
 		return l.inFlight < l.slots
 	}
-	return l.inFlight < l.limit-l.reserve(now)
+	return l.inFlight < l.limit-l.reservedSlots(now)
 }
 
 const (
-	// urgentMemory is how long after an urgent call the next one is expected.
-	urgentMemory = 10 * clock.Second
-	// urgentWait is how long an urgent call may wait for the next slot that comes free.
-	urgentWait = 20
-	// leastReserving is the smallest limit that a slot is kept back from.
-	leastReserving = 4
+	// urgentWindow is how long after an urgent call the next one is expected.
+	urgentWindow = 10 * clock.Second
+	// maxUrgentWaitMilliseconds is how long an urgent call may wait for the next slot that comes free.
+	maxUrgentWaitMilliseconds = 20
+	// minLimitWithReserve is the smallest limit that a slot is kept back from.
+	minLimitWithReserve = 4
 )
 
-// reserve keeps one slot back for urgent calls where slots come free too seldom. Otherwise uploads that take
+// reservedSlots keeps one slot back for urgent calls where slots come free too seldom. Otherwise uploads that take
 // minutes could hold all slots, and a bulletin would wait behind them although it is the first in the queue.
-func (l *Limiter) reserve(now clock.Time) int {
-	if l.limit < leastReserving || now.Sub(l.lastUrgent) >= urgentMemory {
+func (l *Limiter) reservedSlots(now clock.Time) int {
+	if l.limit < minLimitWithReserve || now.Sub(l.lastUrgent) >= urgentWindow {
 		return 0
 	}
-	if l.service.mean <= urgentWait*float64(l.limit) {
+	if l.serviceTime.mean <= maxUrgentWaitMilliseconds*float64(l.limit) {
 		return 0
 	}
 	return 1
 }
 
-// probeFraction of the limit may run even if the estimate says that it cannot end in time. Without it, a
+// probeDivisor of the limit may run even if the estimate says that it cannot end in time. Without it, a
 // backend server that was slow once would get no call by which its recovery could be measured: every call
 // would expire although the server is idle.
-const probeFraction = 16
+const probeDivisor = 16
 
-func (l *Limiter) doomed(c Call, now clock.Time) bool {
+func (l *Limiter) missesDeadline(c Call, now clock.Time) bool {
 	left := c.Deadline.Sub(now)
 	if left <= 0 {
 		return true
 	}
-	if l.inFlight < max(1, l.limit/probeFraction) {
+	if l.inFlight < max(1, l.limit/probeDivisor) {
 		return false
 	}
-	return float64(left) < l.service.optimistic()
+	return float64(left) < l.serviceTime.optimistic()
 }
--- a/internal/limiter/knee.go
+++ b/internal/limiter/knee.go
@@ -15,69 +15,69 @@
 
 const (
 	steady phase = iota
-	lower
-	higher
+	tryingLower
+	tryingHigher
 )
 
 const (
-	// roundCalls and roundTurns times the limit are the fewest answers that a round is judged by.
-	roundCalls = 200
-	roundTurns = 4
-	// roundMost ends a round of a service with long calls; a trial that takes longer costs more than it tells.
-	roundMost = 2 * clock.Second
-	// fullPart of a round's calls must have seen the limit reached.
-	fullPart = 0.9
-	// suspicious times the ordinary latency starts a trial.
-	suspicious = 1.5
-	// lowerPart and higherPart are the limits tried, as parts of the present one.
-	lowerPart  = 0.75
-	higherPart = 1.25
+	// minRoundCalls and roundTurns times the limit are the fewest answers that a round is judged by.
+	minRoundCalls         = 200
+	minRoundCallsPerLimit = 4
+	// maxRound ends a round of a service with long calls; a trial that takes longer costs more than it tells.
+	maxRound = 2 * clock.Second
+	// fullFraction of a round's calls must have seen the limit reached.
+	fullFraction = 0.9
+	// suspicionLatencyRatio times the ordinary latency starts a trial.
+	suspicionLatencyRatio = 1.5
+	// lowerTrialFactor and higherPart are the limits tried, as parts of the present one.
+	lowerTrialFactor  = 0.75
+	higherTrialFactor = 1.25
 	// A lower limit is kept if latency falls to enoughFall and throughput stays at enoughKept.
-	enoughFall = 0.87
-	enoughKept = 0.95
+	maxLatencyRatio    = 0.87
+	minThroughputRatio = 0.95
 	// A higher limit is kept if throughput rises to enoughGain.
-	enoughGain = 1.05
-	// firstPause and longestPause are between trials that change nothing.
-	firstPause   = clock.Second
-	longestPause = 30 * clock.Second
-	// easeUp is by how much the limit rises in a round that does not reach it.
-	easeUp = 1.1
-	// quietWeight is the weight of one call at low concurrency in the ordinary latency.
-	quietWeight = 1.0 / 64
+	minThroughputGain = 1.05
+	// minTrialPause and longestPause are between trials that change nothing.
+	minTrialPause = clock.Second
+	maxTrialPause = 30 * clock.Second
+	// unreachedLimitGrowth is by how much the limit rises in a round that does not reach it.
+	unreachedLimitGrowth = 1.1
+	// baselineWeight is the weight of one call at low concurrency in the ordinary latency.
+	baselineWeight = 1.0 / 64
 )
 
 // round sums up the answers since it began.
 type round struct {
-	began              clock.Time
-	count, full, total float64
+	began                     clock.Time
+	answers, full, latencySum float64
 }
 
 func (r round) latency() float64 {
-	return r.total / max(1, r.count)
+	return r.latencySum / max(1, r.answers)
 }
 
 func (r round) throughput(now clock.Time) float64 {
-	return r.count / float64(max(1, now.Sub(r.began)))
+	return r.answers / float64(max(1, now.Sub(r.began)))
 }
 
 // knee is KneeLaw.
 type knee struct {
 	slots, current float64
 	phase          phase
-	// ordinary is the latency without suspicion; zero while unknown.
-	ordinary, learned float64
-	hinted            bool
-	round             round
-	// settling is how many answers to skip: they ran under the limit before.
-	settling float64
+	// baselineLatency is the latency without suspicion; zero while unknown.
+	baselineLatency, baselineSamples float64
+	trialRequested                   bool
+	round                            round
+	// answersToSkip is how many answers to skip: they ran under the limit before.
+	answersToSkip float64
 	// latency, throughput and limit as they were before the trial.
 	latencyBefore, throughputBefore, limitBefore float64
-	next                                         clock.Time
+	nextTrial                                    clock.Time
 	pause                                        clock.Duration
 }
 
 func newKnee(slots float64) *knee {
-	return &knee{slots: slots, current: slots, pause: firstPause}
+	return &knee{slots: slots, current: slots, pause: minTrialPause}
 }
 
 func (k *knee) limit() float64 {
@@ -92,43 +92,43 @@
 	k.round = round{began: k.round.began}
 }
 
-// suspect lets the next full round start a trial; a backend server that lies about its load gains or costs no
+// requestTrial lets the next full round start a trial; a backend server that lies about its load gains or costs no
 // more than that, and the pause between trials bounds it.
-func (k *knee) suspect() {
-	k.hinted = true
+func (k *knee) requestTrial() {
+	k.trialRequested = true
 }
 
-func (k *knee) finished(s sample, now clock.Time) {
-	if s.quiet || k.learned < roundCalls && !s.full {
-		k.learn(s.latency)
+func (k *knee) observe(s sample, now clock.Time) {
+	if s.underHalf || k.baselineSamples < minRoundCalls && !s.full {
+		k.updateBaseline(s.latency)
 	}
-	if k.settling > 0 {
-		k.settling--
+	if k.answersToSkip > 0 {
+		k.answersToSkip--
 		k.round = round{began: now}
 		return
 	}
-	k.round.count++
-	k.round.total += s.latency
+	k.round.answers++
+	k.round.latencySum += s.latency
 	if s.full {
 		k.round.full++
 	}
-	if k.round.count >= max(roundCalls, roundTurns*k.current) {
+	if k.round.answers >= max(minRoundCalls, minRoundCallsPerLimit*k.current) {
 		k.endRound(now)
 	}
 }
 
-func (k *knee) learn(latency float64) {
-	k.learned++
-	weight := max(quietWeight, 1/k.learned)
-	k.ordinary += weight * (latency - k.ordinary)
+func (k *knee) updateBaseline(latency float64) {
+	k.baselineSamples++
+	weight := max(baselineWeight, 1/k.baselineSamples)
+	k.baselineLatency += weight * (latency - k.baselineLatency)
 }
 
 func (k *knee) tick(now clock.Time) {
-	if now.Sub(k.round.began) < roundMost {
+	if now.Sub(k.round.began) < maxRound {
 		return
 	}
 	if k.phase != steady {
-		k.revert(now)
+		k.revertLimit(now)
 	}
 	k.startRound(now)
 }
@@ -138,82 +138,82 @@
 }
 
 func (k *knee) endRound(now clock.Time) {
-	full := k.round.full >= fullPart*k.round.count
+	full := k.round.full >= fullFraction*k.round.answers
 	switch {
 	case k.phase == steady && full:
 		k.considerTrial(now)
 	case k.phase == steady:
-		k.current = min(k.slots, k.current*easeUp)
+		k.current = min(k.slots, k.current*unreachedLimitGrowth)
 	case !full:
-		k.revert(now)
-	case k.phase == lower:
-		k.judgeLower(now)
-	case k.phase == higher:
-		k.judgeHigher(now)
+		k.revertLimit(now)
+	case k.phase == tryingLower:
+		k.endLowerTrial(now)
+	case k.phase == tryingHigher:
+		k.endHigherTrial(now)
 	}
 	k.startRound(now)
 }
 
 func (k *knee) considerTrial(now clock.Time) {
 	latency := k.round.latency()
-	if k.ordinary > 0 && latency < k.ordinary {
-		k.ordinary = latency
+	if k.baselineLatency > 0 && latency < k.baselineLatency {
+		k.baselineLatency = latency
 	}
-	if now < k.next {
+	if now < k.nextTrial {
 		return
 	}
-	doubt := k.ordinary == 0 || latency > suspicious*k.ordinary || k.hinted
+	suspicion := k.baselineLatency == 0 || latency > suspicionLatencyRatio*k.baselineLatency || k.trialRequested
 	switch {
-	case doubt && k.current > 1:
-		k.try(lower, lowerPart, now)
+	case suspicion && k.current > 1:
+		k.startTrial(tryingLower, lowerTrialFactor, now)
 	case k.current < k.slots:
-		k.try(higher, higherPart, now)
+		k.startTrial(tryingHigher, higherTrialFactor, now)
 	}
 }
 
-func (k *knee) try(p phase, part float64, now clock.Time) {
-	k.hinted = false
+func (k *knee) startTrial(p phase, factor float64, now clock.Time) {
+	k.trialRequested = false
 	k.phase = p
 	k.latencyBefore = k.round.latency()
 	k.throughputBefore = k.round.throughput(now)
 	k.limitBefore = k.current
-	k.setLimit(k.current * part)
+	k.setLimit(k.current * factor)
 }
 
 func (k *knee) setLimit(limit float64) {
-	k.settling = max(k.current, limit)
+	k.answersToSkip = max(k.current, limit)
 	k.current = min(k.slots, max(1, limit))
 }
 
-func (k *knee) judgeLower(now clock.Time) {
-	fell := k.round.latency() <= enoughFall*k.latencyBefore
-	kept := k.round.throughput(now) >= enoughKept*k.throughputBefore
+func (k *knee) endLowerTrial(now clock.Time) {
+	fell := k.round.latency() <= maxLatencyRatio*k.latencyBefore
+	kept := k.round.throughput(now) >= minThroughputRatio*k.throughputBefore
 	if fell && kept {
-		k.keep(now)
+		k.keepLimit(now)
 		return
 	}
-	k.ordinary = k.latencyBefore
-	k.revert(now)
+	k.baselineLatency = k.latencyBefore
+	k.revertLimit(now)
 }
 
-func (k *knee) judgeHigher(now clock.Time) {
-	if k.round.throughput(now) >= enoughGain*k.throughputBefore {
-		k.keep(now)
+func (k *knee) endHigherTrial(now clock.Time) {
+	if k.round.throughput(now) >= minThroughputGain*k.throughputBefore {
+		k.keepLimit(now)
 		return
 	}
-	k.ordinary = k.latencyBefore
-	k.revert(now)
+	k.baselineLatency = k.latencyBefore
+	k.revertLimit(now)
 }
 
-func (k *knee) keep(now clock.Time) {
+func (k *knee) keepLimit(now clock.Time) {
 	k.phase = steady
-	k.pause = firstPause
-	k.next = now
+	k.pause = minTrialPause
+	k.nextTrial = now
 }
 
-func (k *knee) revert(now clock.Time) {
+func (k *knee) revertLimit(now clock.Time) {
 	k.phase = steady
 	k.setLimit(k.limitBefore)
-	k.next = now.Add(k.pause)
-	k.pause = min(longestPause, 2*k.pause)
+	k.nextTrial = now.Add(k.pause)
+	k.pause = min(maxTrialPause, 2*k.pause)
 }
--- a/internal/limiter/law.go
+++ b/internal/limiter/law.go
@@ -27,15 +27,15 @@
 // sample is one call that a backend server has answered.
 type sample struct {
 	latency float64
-	// full tells that the limit was reached when the call ended, quiet that less than half of it was in use.
-	full, quiet bool
+	// saturated tells that the limit was reached when the call ended, quiet that less than half of it was in use.
+	full, underHalf bool
 }
 
 // law is a policy for the limit; its limit stays within 1 and the slots.
 type law interface {
-	finished(s sample, now clock.Time)
+	observe(s sample, now clock.Time)
 	tick(now clock.Time)
-	suspect()
+	requestTrial()
 	setSlots(slots float64)
 	limit() float64
 }
@@ -56,11 +56,11 @@
 	slots float64
 }
 
-func (f *fixed) finished(sample, clock.Time) {}
+func (f *fixed) observe(sample, clock.Time) {}
 
 func (f *fixed) tick(clock.Time) {}
 
-func (f *fixed) suspect() {}
+func (f *fixed) requestTrial() {}
 
 func (f *fixed) setSlots(slots float64) {
 	f.slots = slots
@@ -71,36 +71,36 @@
 }
 
 const (
-	gradientFast      = 1.0 / 64
-	gradientSlow      = 1.0 / 4096
-	gradientTolerance = 1.5
-	gradientLeast     = 0.5
-	gradientSmooth    = 1.0 / 128
+	gradientRecentWeight   = 1.0 / 64
+	gradientLongTermWeight = 1.0 / 4096
+	gradientTolerance      = 1.5
+	gradientMinRatio       = 0.5
+	gradientLimitWeight    = 1.0 / 128
 )
 
 // gradient is GradientLaw: the product of the limit and the ratio of long-term to recent latency, and a
 // little more to probe with.
 type gradient struct {
-	slots, current     float64
-	fast, slow, counts float64
+	slots, current                          float64
+	recentLatency, longTermLatency, samples float64
 }
 
-func (g *gradient) finished(s sample, _ clock.Time) {
-	g.counts++
-	g.fast += max(gradientFast, 1/g.counts) * (s.latency - g.fast)
-	g.slow += max(gradientSlow, 1/g.counts) * (s.latency - g.slow)
+func (g *gradient) observe(s sample, _ clock.Time) {
+	g.samples++
+	g.recentLatency += max(gradientRecentWeight, 1/g.samples) * (s.latency - g.recentLatency)
+	g.longTermLatency += max(gradientLongTermWeight, 1/g.samples) * (s.latency - g.longTermLatency)
 	ratio := 1.0
-	if g.fast > 0 {
-		ratio = min(1, max(gradientLeast, gradientTolerance*g.slow/g.fast))
+	if g.recentLatency > 0 {
+		ratio = min(1, max(gradientMinRatio, gradientTolerance*g.longTermLatency/g.recentLatency))
 	}
-	want := g.current*ratio + math.Sqrt(g.current)
-	g.current += gradientSmooth * (want - g.current)
+	target := g.current*ratio + math.Sqrt(g.current)
+	g.current += gradientLimitWeight * (target - g.current)
 	g.current = min(g.slots, max(1, g.current))
 }
 
 func (g *gradient) tick(clock.Time) {}
 
-func (g *gradient) suspect() {}
+func (g *gradient) requestTrial() {}
 
 func (g *gradient) setSlots(slots float64) {
 	g.slots = slots
--- a/internal/limiter/law_test.go
+++ b/internal/limiter/law_test.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	announced = 100
-	unit      = 50.0
+	announced   = 100
+	baseLatency = 50.0
 )
 
 // A server tells how long a call takes that starts as one of n.
-type server func(n int, now clock.Time) float64
+type latencyModel func(n int, now clock.Time) float64
 
-// sound gives each of its announced slots its full speed.
-func sound(int, clock.Time) float64 { return unit }
+// healthyServer gives each of its announced slots its full speed.
+func healthyServer(int, clock.Time) float64 { return baseLatency }
 
-// overstated announces 100 slots, but beyond 40 its calls only get in each other's way.
-func overstated(n int, _ clock.Time) float64 {
+// overstatedSlots announces 100 slots, but beyond 40 its calls only get in each other's way.
+func overstatedSlots(n int, _ clock.Time) float64 {
 	over := max(0, float64(n)-40) / 40
-	return unit * (1 + over + over*over/2)
+	return baseLatency * (1 + over + over*over/2)
 }
 
-// waiting has calls that wait for a deep service, which is 5 times slower from second 10 on.
-func waiting(_ int, now clock.Time) float64 {
+// slowDependency has calls that wait for a deep service, which is 5 times slower from second 10 on.
+func slowDependency(_ int, now clock.Time) float64 {
 	if now >= 10_000 {
-		return 5 * unit
+		return 5 * baseLatency
 	}
-	return unit
+	return baseLatency
 }
 
-// load offers calls so that want of them are open at once, and counts the answers from second 10 to 30.
-type load struct {
+// loadGenerator offers calls so that want of them are open at once, and counts the answers from second 10 to 30.
+type loadGenerator struct {
 	limiter *Limiter
-	serve   server
+	serve   latencyModel
 	random  *rand.Rand
 	ends    map[clock.Time][]CallID
 	next    CallID
 	answers float64
 }
 
-func (l *load) step(now clock.Time, want int, out []Verdict) []Verdict {
+func (l *loadGenerator) step(now clock.Time, want int, out []Verdict) []Verdict {
 	out = l.limiter.Tick(now, out[:0])
 	for _, id := range l.ends[now] {
 		out = l.limiter.Done(id, Succeeded, now, out)
@@ -68,9 +68,9 @@
 	return out
 }
 
-// saturate returns the answers a second from second 10 to 30, under more calls than there are slots.
-func saturate(law Law, s server, hint float64) float64 {
-	l := &load{
+// saturatedThroughput returns the answers a second from second 10 to 30, under more calls than there are slots.
+func saturatedThroughput(law Law, s latencyModel, hint float64) float64 {
+	l := &loadGenerator{
 		limiter: New(Options{Slots: announced, Law: law}, 0), serve: s,
 		random: rand.New(rand.NewPCG(1, 1)), ends: map[clock.Time][]CallID{},
 	}
@@ -80,7 +80,7 @@
 		if now < 3000 {
 			want = announced / 4
 		}
-		l.limiter.Announced(hint, now)
+		l.limiter.ReportLoad(hint, now)
 		out = l.step(now, want, out)
 	}
 	return l.answers / 20
@@ -89,25 +89,25 @@
 // A backend server announces more slots than its VM can serve, or the service behind it slows down. Both show as
 // latency; the first asks for fewer calls at once, the second for none the fewer. A user notices timeouts if the
 // first goes unseen, and refusals by a healthy service if the second is taken for the first.
-func TestLimitFollowsTheKneeOnly(t *testing.T) {
+func TestKneeLawIgnoresSlowDependency(t *testing.T) {
 	for name, c := range map[string]struct {
 		law         Law
-		serve       server
+		serve       latencyModel
 		hint        float64
 		least, most float64
 	}{
-		"knee, sound":                     {law: KneeLaw, serve: sound, least: 1950, most: 2050},
-		"knee, sound, load lies":          {law: KneeLaw, serve: sound, hint: 2, least: 1900, most: 2050},
-		"knee, overstated":                {law: KneeLaw, serve: overstated, least: 750, most: 850},
-		"knee, overstated, load lies":     {law: KneeLaw, serve: overstated, hint: 0.1, least: 750, most: 850},
-		"knee, deep service slow":         {law: KneeLaw, serve: waiting, least: 380, most: 420},
-		"knee, deep slow and load lies":   {law: KneeLaw, serve: waiting, hint: 2, least: 370, most: 420},
-		"fixed, overstated, for contrast": {law: FixedLaw, serve: overstated, least: 500, most: 600},
-		"gradient, deep, for contrast":    {law: GradientLaw, serve: waiting, least: 50, most: 200},
+		"knee, sound":                     {law: KneeLaw, serve: healthyServer, least: 1950, most: 2050},
+		"knee, sound, load lies":          {law: KneeLaw, serve: healthyServer, hint: 2, least: 1900, most: 2050},
+		"knee, overstated":                {law: KneeLaw, serve: overstatedSlots, least: 750, most: 850},
+		"knee, overstated, load lies":     {law: KneeLaw, serve: overstatedSlots, hint: 0.1, least: 750, most: 850},
+		"knee, deep service slow":         {law: KneeLaw, serve: slowDependency, least: 380, most: 420},
+		"knee, deep slow and load lies":   {law: KneeLaw, serve: slowDependency, hint: 2, least: 370, most: 420},
+		"fixed, overstated, for contrast": {law: FixedLaw, serve: overstatedSlots, least: 500, most: 600},
+		"gradient, deep, for contrast":    {law: GradientLaw, serve: slowDependency, least: 50, most: 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := saturate(c.law, c.serve, c.hint)
+			got := saturatedThroughput(c.law, c.serve, c.hint)
 			t.Logf("%.0f answers a second", got)
 			assert.Assert(t, got >= c.least && got <= c.most, "%.0f answers a second", got)
 		})
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -15,29 +15,29 @@
 
 // Limiter decides on the calls of one backend server; it is not safe for concurrent use.
 type Limiter struct {
-	options  Options
-	slots    int
-	started  clock.Time
-	draining bool
-	entries  []entry
-	free     []int32
-	index    map[CallID]int32
-	queue    queue
-	inFlight int
-	limit    int
-	service  estimate
+	options     Options
+	slots       int
+	started     clock.Time
+	draining    bool
+	entries     []entry
+	free        []int32
+	index       map[CallID]int32
+	queue       queue
+	inFlight    int
+	limit       int
+	serviceTime estimate
 	// slack is the time that offered calls have left.
 	slack estimate
 	law   law
 	// lastUrgent is when an urgent call last came.
 	lastUrgent clock.Time
-	// waiting tells that calls are queued, waitingSince since when without a gap.
+	// slowDependency tells that calls are queued, waitingSince since when without a gap.
 	waiting      bool
 	waitingSince clock.Time
 	cold         cold
 	// lastDispatch is when a call was last dispatched, if one was.
-	lastDispatch clock.Time
-	dispatched   bool
+	lastDispatch   clock.Time
+	everDispatched bool
 }
 
 // New returns a limiter whose cold start begins now.
@@ -50,10 +50,10 @@
 		index:      make(map[CallID]int32, o.Slots+o.Queue),
 		queue:      queue{order: o.Order},
 		law:        newLaw(o.Law, float64(o.Slots)),
-		lastUrgent: now.Add(-urgentMemory),
+		lastUrgent: now.Add(-urgentWindow),
 	}
 	l.grow(o.Slots + o.Queue + 1)
-	l.adjust(now)
+	l.updateLimit(now)
 	return l
 }
 
@@ -62,7 +62,7 @@
 	if l.draining {
 		return append(out, Verdict{c.ID, Shed})
 	}
-	if l.doomed(c, now) {
+	if l.missesDeadline(c, now) {
 		return append(out, Verdict{c.ID, Expire})
 	}
 	if c.Rank.Priority() == identifier.Urgent {
@@ -70,22 +70,22 @@
 	}
 	l.slack.add(float64(c.Deadline.Sub(now)))
 	out = l.Tick(now, out)
-	number := l.take(c)
-	if l.mayRun(c.Rank, now) && l.mayStart(now) && l.queue.len() == 0 {
+	number := l.allocate(c)
+	if l.withinLimit(c.Rank, now) && l.hasColdToken(now) && l.queue.len() == 0 {
 		return l.dispatch(number, now, out)
 	}
 	l.queue.push(number, c)
 	queued := len(out)
 	out = append(out, Verdict{c.ID, Queue})
 	out = l.dispatchAll(now, out)
-	if l.queue.len() > l.longestQueue(now) {
+	if l.queue.len() > l.maxQueued(now) {
 		out = l.shedWorst(out)
 	}
-	return l.settle(c.ID, queued, out)
+	return l.dropQueueVerdict(c.ID, queued, out)
 }
 
-// settle drops the Queue verdict at the given place when a final one for the same call follows it.
-func (l *Limiter) settle(id CallID, queued int, out []Verdict) []Verdict {
+// dropQueueVerdict drops the Queue verdict at the given place when a final one for the same call follows it.
+func (l *Limiter) dropQueueVerdict(id CallID, queued int, out []Verdict) []Verdict {
 	for _, v := range out[queued+1:] {
 		if v.ID == id {
 			return append(out[:queued], out[queued+1:]...)
@@ -100,7 +100,7 @@
 	if !ok || !l.entries[number].running {
 		return out
 	}
-	l.measure(now.Sub(l.entries[number].dispatched), o, now)
+	l.measure(now.Sub(l.entries[number].dispatchedAt), o, now)
 	l.inFlight--
 	l.release(number)
 	return l.Tick(now, out)
@@ -125,7 +125,7 @@
 		}
 		return out
 	}
-	l.adjust(now)
+	l.updateLimit(now)
 	out = l.expire(now, out)
 	return l.dispatchAll(now, out)
 }
@@ -135,19 +135,19 @@
 	l.slots = max(slots, 1)
 	l.law.setSlots(float64(l.slots))
 	l.grow(l.slots + l.options.Queue + 1)
-	l.adjust(now)
+	l.updateLimit(now)
 }
 
-// overload is the announced load above which a backend server says that it is overloaded. A healthy one that is simply
-// full announces 1; were that a suspicion, each trial would take a quarter of its slots just when all are needed.
-const overload = 1.1
+// overloadThreshold is the announced load above which a backend server says that it is overloaded. A healthy one that is simply
+// saturated announces 1; were that a suspicion, each trial would take a quarter of its slots just when all are needed.
+const overloadThreshold = 1.1
 
-// Announced takes the backend server's load figure (1 is full) as a hint. All that it can do is to have the
-// limit tried out sooner; a figure that lies changes no verdict by itself.
-func (l *Limiter) Announced(load float64, now clock.Time) {
+// ReportLoad takes the backend server's load figure (1 is full) as a hint. All that it can do is to have the
+// coldRate tried out sooner; a figure that lies changes no verdict by itself.
+func (l *Limiter) ReportLoad(load float64, now clock.Time) {
 	_ = now
-	if load > overload {
-		l.law.suspect()
+	if load > overloadThreshold {
+		l.law.requestTrial()
 	}
 }
 
@@ -166,7 +166,7 @@
 	return l.queue.len()
 }
 
-// Limit returns how many calls may run at once now.
+// SetColdRate returns how many calls may run at once now.
 func (l *Limiter) Limit() int {
 	return l.limit
 }
@@ -186,22 +186,22 @@
 // QueueDelay returns how long a call would wait behind all that is queued, by the measured service time.
 func (l *Limiter) QueueDelay(now clock.Time) clock.Duration {
 	if l.isCold(now) {
-		return l.coldDelay()
+		return l.coldQueueDelay()
 	}
-	wait := float64(l.queue.len()) * l.service.mean / float64(l.limit)
+	wait := float64(l.queue.len()) * l.serviceTime.mean / float64(l.limit)
 	return clock.Duration(math.Ceil(wait))
 }
 
 const (
-	// chanceCalls times the square root of the limit is how many calls wait now and then at full but not
+	// burstQueueFactor times the square root of the limit is how many calls wait now and then at full but not
 	// excessive load.
-	chanceCalls = 4
-	// slackPart of the time that calls have left may at most go by in the queue.
-	slackPart = 1.0 / 2
+	burstQueueFactor = 4
+	// maxSlackFraction of the time that calls have left may at most go by in the queue.
+	maxSlackFraction = 1.0 / 2
 )
 
 // ExpectedDelay returns the queueing delay that chance alone causes, which is no sign of overload.
 func (l *Limiter) ExpectedDelay() clock.Duration {
-	chance := chanceCalls * l.service.mean / math.Sqrt(float64(l.limit))
-	return clock.Duration(min(chance, slackPart*l.slack.mean))
+	chance := burstQueueFactor * l.serviceTime.mean / math.Sqrt(float64(l.limit))
+	return clock.Duration(min(chance, maxSlackFraction*l.slack.mean))
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -137,7 +137,7 @@
 
 // Uploads hold slots for minutes. If they hold all of them, a bulletin that comes then waits for the next to
 // end, although it is first in the queue; a captain notices a timeout.
-func TestUrgentFindsASlotBesideLongCalls(t *testing.T) {
+func TestUrgentCallFindsReservedSlot(t *testing.T) {
 	l := New(Options{Slots: 8}, 0)
 	id, now := CallID(0), clock.Time(0)
 	offer := func(p identifier.Priority) []Verdict {
@@ -157,7 +157,7 @@
 
 // A call that has less time left than calls take would time out after it has used a slot. A user notices that
 // the service answers fewer calls just when it is slow.
-func TestWhatCannotEndInTimeIsNotRun(t *testing.T) {
+func TestCallsThatMissDeadlineExpire(t *testing.T) {
 	l := New(Options{Slots: 1}, 0)
 	for id := range CallID(20) {
 		l.Offer(Call{ID: id, Deadline: clock.Never}, 0, nil)
@@ -202,7 +202,7 @@
 // A request whose run takes longer than it may wait in the queue, such as one whose nested calls take most of the time,
 // must still be run. Judged by its wait alone it would look as if it could not end in time, and the endpoint would run
 // a sixteenth of what it can.
-func TestLongRunsWithShortWaits(t *testing.T) {
+func TestQueueTimeoutIsNoDeadline(t *testing.T) {
 	l := New(Options{Slots: 32, Law: FixedLaw, Order: DueFirst}, 0)
 	now := clock.Time(0)
 	for id := CallID(1); id <= 64; id++ {
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -19,49 +19,49 @@
 )
 
 type entry struct {
-	call       Call
-	dispatched clock.Time
-	running    bool
+	call         Call
+	dispatchedAt clock.Time
+	running      bool
 }
 
-// queue holds the entries of queued calls in four orders; numbers index into the limiter's entries.
+// queueBound holds the entries of queued calls in four orders; numbers index into the limiter's entries.
 type queue struct {
-	order    Order
-	sequence uint64
-	best     heap[uint64]
-	worst    heap[uint64]
-	soonest  heap[clock.Time]
-	ranked   heap[uint64]
-	urgent   int
+	order      Order
+	sequence   uint64
+	byDispatch heap[uint64]
+	byShed     heap[uint64]
+	byExpiry   heap[clock.Time]
+	byRank     heap[uint64]
+	urgent     int
 }
 
 func (q *queue) grow(n int) {
-	q.best.grow(n)
-	q.worst.grow(n)
-	q.soonest.grow(n)
-	q.ranked.grow(n)
+	q.byDispatch.grow(n)
+	q.byShed.grow(n)
+	q.byExpiry.grow(n)
+	q.byRank.grow(n)
 }
 
 func (q *queue) len() int {
-	return q.best.len()
+	return q.byDispatch.len()
 }
 
 func (q *queue) push(number int32, c Call) {
 	q.sequence++
-	q.best.push(number, q.dispatchKey(c))
-	q.worst.push(number, q.shedKey(c.Rank))
-	q.soonest.push(number, c.waitsUntil())
-	q.ranked.push(number, uint64(c.Rank)<<sequenceBits|sequenceMask&^q.sequence)
+	q.byDispatch.push(number, q.dispatchKey(c))
+	q.byShed.push(number, q.shedKey(c.Rank))
+	q.byExpiry.push(number, c.queueExpiry())
+	q.byRank.push(number, uint64(c.Rank)<<sequenceBits|sequenceMask&^q.sequence)
 	if c.Rank.Priority() == identifier.Urgent {
 		q.urgent++
 	}
 }
 
 func (q *queue) remove(number int32, c Call) {
-	q.best.remove(number)
-	q.worst.remove(number)
-	q.soonest.remove(number)
-	q.ranked.remove(number)
+	q.byDispatch.remove(number)
+	q.byShed.remove(number)
+	q.byExpiry.remove(number)
+	q.byRank.remove(number)
 	if c.Rank.Priority() == identifier.Urgent {
 		q.urgent--
 	}
--- a/internal/limiter/standing.go
+++ b/internal/limiter/standing.go
@@ -11,12 +11,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// standingAfter is how long a queue may go without clearing: a burst of as many calls as there are slots clears within two
+// standingQueueAfter is how long a queue may go without clearing: a burst of as many calls as there are slots clears within two
 // runs of some 50 ms.
-const standingAfter = 100 * clock.Millisecond
+const standingQueueAfter = 100 * clock.Millisecond
 
-// noteQueue follows since when the queue has not been empty.
-func (l *Limiter) noteQueue(now clock.Time) {
+// trackQueue follows since when the queue has not been empty.
+func (l *Limiter) trackQueue(now clock.Time) {
 	switch {
 	case l.queue.len() == 0:
 		l.waiting = false
@@ -25,10 +25,10 @@
 	}
 }
 
-// next returns the queued call that runs next.
-func (l *Limiter) next(now clock.Time) int32 {
-	if l.options.Order == DueFirst && l.waiting && now.Sub(l.waitingSince) > standingAfter {
-		return l.queue.ranked.first()
+// nextTrial returns the queued call that runs next.
+func (l *Limiter) nextToDispatch(now clock.Time) int32 {
+	if l.options.Order == DueFirst && l.waiting && now.Sub(l.waitingSince) > standingQueueAfter {
+		return l.queue.byRank.first()
 	}
-	return l.queue.best.first()
+	return l.queue.byDispatch.first()
 }
--- a/internal/limiter/standing_test.go
+++ b/internal/limiter/standing_test.go
@@ -9,24 +9,24 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// chain is a request that makes calls one after the other and is of use only if all are run in time.
-type chain struct {
+// requestChain is a request that makes calls one after the other and is of use only if all are run in time.
+type requestChain struct {
 	deadline clock.Time
 	left     int
 	rank     identifier.Rank
 }
 
-// playChains sends requests of some calls each to one endpoint, more than it can run, and returns the part of all requests
+// simulateChains sends requests of some calls each to one endpoint, more than it can run, and returns the part of all requests
 // that came to their end in time.
-func playChains(order Order, perSecond float64, calls int, within clock.Duration, ranked bool) float64 {
+func simulateChains(order Order, perSecond float64, calls int, within clock.Duration, ranked bool) float64 {
 	const slots, runTime, length = 43, 50, 20000
 	l := New(Options{Slots: slots, Law: FixedLaw, Order: order, Queue: 1000}, 0)
-	chains := map[CallID]chain{}
+	chains := map[CallID]requestChain{}
 	ends := map[clock.Time][]CallID{}
 	var id CallID
 	sent, served, credit := 0, 0, 0.0
 	var handle func(out []Verdict, now clock.Time)
-	offer := func(c chain, now clock.Time) {
+	offer := func(c requestChain, now clock.Time) {
 		id++
 		chains[id] = c
 		handle(l.Offer(Call{
@@ -61,7 +61,7 @@
 		delete(ends, now)
 		for credit += perSecond / 1000; credit >= 1; credit-- {
 			sent++
-			c := chain{deadline: now.Add(within), left: calls}
+			c := requestChain{deadline: now.Add(within), left: calls}
 			if ranked {
 				c.rank = identifier.MakeRank(identifier.Normal, 0, uint64(sent*7919))
 			}
@@ -77,7 +77,7 @@
 // A service at the end of the chains gets somewhat more calls than it can run, and its queue never clears. Each call of a
 // request waits its turn, so that all requests run out of time after most of their work; callers see the whole product
 // down although its slots are busy all the time.
-func TestChainsComeThroughAStandingQueue(t *testing.T) {
+func TestChainsCompleteDespiteStandingQueue(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
 		calls     int
@@ -92,9 +92,9 @@
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := playChains(DueFirst, c.perSecond, c.calls, c.within, false)
-			oldest := playChains(RankOldest, c.perSecond, c.calls, c.within, false)
-			ranked := playChains(DueFirst, c.perSecond, c.calls, c.within, true)
+			got := simulateChains(DueFirst, c.perSecond, c.calls, c.within, false)
+			oldest := simulateChains(RankOldest, c.perSecond, c.calls, c.within, false)
+			ranked := simulateChains(DueFirst, c.perSecond, c.calls, c.within, true)
 			t.Logf("%.2f served, %.2f oldest first, %.2f by rank", got, oldest, ranked)
 			assert.Assert(t, got >= c.least, "%.2f", got)
 			assert.Assert(t, ranked >= c.least, "%.2f", ranked)
--- a/internal/limiter/types.go
+++ b/internal/limiter/types.go
@@ -24,8 +24,8 @@
 	WaitUntil clock.Time
 }
 
-// waitsUntil is when a queued call expires.
-func (c Call) waitsUntil() clock.Time {
+// queueExpiry is when a queued call expires.
+func (c Call) queueExpiry() clock.Time {
 	if c.WaitUntil == 0 {
 		return c.Deadline
 	}
@@ -89,7 +89,7 @@
 	ClassOldest
 	// DueFirst goes by when the answer is due. Where those that can't all be served have been refused before, it
 	// makes the fewest answers late: a lookup due in 100 ms passes nested calls of requests due in a second. While the
-	// queue does not clear it goes by rank (see standing.go).
+	// queueBound does not clear it goes by rank (see standing.go).
 	DueFirst
 )
 
@@ -109,13 +109,13 @@
 
 const (
 	queuePerSlot = 4
-	smallestMax  = 64
+	minQueue     = 64
 )
 
 func (o Options) withDefaults() Options {
 	o.Slots = max(o.Slots, 1)
 	if o.Queue <= 0 {
-		o.Queue = max(smallestMax, queuePerSlot*o.Slots)
+		o.Queue = max(minQueue, queuePerSlot*o.Slots)
 	}
 	return o
 }
--- a/internal/reducer/backends.go
+++ b/internal/reducer/backends.go
@@ -94,7 +94,7 @@
 		return
 	}
 	b.heardAt = s.now
-	b.limiter.Announced(float64(e.Load)/loadUnit, s.now)
+	b.limiter.ReportLoad(float64(e.Load)/loadUnit, s.now)
 }
 
 func (s *State) backendLeaving(e *BackendLeaving) {
--- a/internal/throttler/shed.go
+++ b/internal/throttler/shed.go
@@ -27,21 +27,21 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[a].Worth, demands[b].Worth) })
 	refused := make([]float64, len(demands))
-	left := excess * total
-	for first := 0; first < len(order) && left > 0; {
-		last, load := first, 0.0
-		for ; last < len(order) && demands[order[last]].Worth == demands[order[first]].Worth; last++ {
-			load += demands[order[last]].Load
+	remaining := excess * total
+	for first := 0; first < len(order) && remaining > 0; {
+		end, load := first, 0.0
+		for ; end < len(order) && demands[order[end]].Worth == demands[order[first]].Worth; end++ {
+			load += demands[order[end]].Load
 		}
 		part := 0.0
 		if load > 0 {
-			part = min(1, left/load)
+			part = min(1, remaining/load)
 		}
-		for _, i := range order[first:last] {
+		for _, i := range order[first:end] {
 			refused[i] = part
 		}
-		left -= load
-		first = last
+		remaining -= load
+		first = end
 	}
 	return refused
 }
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -21,68 +21,68 @@
 )
 
 const (
-	// windowAtLeast and windowCalls bound the window over which rates are taken: with fewer calls chance alone makes
+	// minWindow and windowCalls bound the window over which rates are taken: with fewer calls chance alone makes
 	// a difference of a sixth, and windowAtMost keeps a quiet endpoint from being judged by what is long past.
-	windowAtLeast = 50 * clock.Millisecond
-	windowAtMost  = 400 * clock.Millisecond
-	windowCalls   = 40
-	// loop is taken for the time from a report of the excess to its effect here: two exchanges of 200 ms at half their
+	minWindow      = 50 * clock.Millisecond
+	maxWindow      = 400 * clock.Millisecond
+	minWindowCalls = 40
+	// feedbackDelay is taken for the time from a report of the excess to its effect here: two exchanges of 200 ms at half their
 	// period on average, and a chain of calls that was let in before.
-	loop = 450 * clock.Millisecond
+	feedbackDelay = 450 * clock.Millisecond
 	// arrivingGain and capacityGain are the weights of one window in the rates, excessGain that in the excess.
 	arrivingGain = 0.5
 	capacityGain = 0.2
 	excessGain   = 0.3
-	// usedCapacity is the part of the capacity that is aimed at; with all of it a queue would never shorten.
-	usedCapacity = 0.97
-	// drainSeconds is the time in which a standing queue is to shorten to nothing.
-	drainSeconds = 2.5
-	// growthPerSecond is how fast the capacity is taken to grow while the endpoint has free slots: what it can do is
+	// targetUtilization is the part of the capacity that is aimed at; with all of it a queue would never shorten.
+	targetUtilization = 0.97
+	// queueDrainSeconds is the time in which a standing queue is to shorten to nothing.
+	queueDrainSeconds = 2.5
+	// capacityGrowthPerSecond is how fast the capacity is taken to grow while the endpoint has free slots: what it can do is
 	// only seen when it is full, and an endpoint that was slow once must not be held to that.
-	growthPerSecond = 0.4
-	// mostAhead bounds by how much the capacity that was taken to grow may exceed what a full endpoint then answers. An
+	capacityGrowthPerSecond = 0.4
+	// maxCapacityOvershoot bounds by how much the capacity that was taken to grow may exceed what a full endpoint then answers. An
 	// endpoint that had been idle for ten seconds was taken for four hundred times as fast as it is, and 27 windows went
 	// by before any excess was seen.
-	mostAhead = 1.5
-	// Most is the largest excess: something is always let through, or nobody would notice that the load has gone.
-	Most = 0.95
-	// mostCold is the largest excess of a cold endpoint, whose limit is known and ends by itself; coldGain is the weight of one
+	maxCapacityOvershoot = 1.5
+	// MaxExcess is the largest excess: something is always let through, or nobody would notice that the load has gone.
+	MaxExcess = 0.95
+	// maxColdExcess is the largest excess of a cold endpoint, whose limit is known and ends by itself; coldGain is the weight of one
 	// window in it.
-	mostCold = 0.999
-	coldGain = 0.8
+	maxColdExcess  = 0.999
+	coldExcessGain = 0.8
 )
 
 // Throttler follows the excess load of one endpoint; it is not safe for concurrent use.
 type Throttler struct {
-	opened            clock.Time
-	arrived, run      float64
-	full              bool
-	arriving, capable float64
-	demand            float64
-	excess            float64
-	// limit is the calls a second that a cold endpoint bears, 0 while it is warm.
-	limit   float64
-	history []past
+	windowStart           clock.Time
+	arrived, answered     float64
+	saturated             bool
+	arrivalRate, capacity float64
+	demand                float64
+	excess                float64
+	// coldRate is the calls a second that a cold endpoint bears, 0 while it is warm.
+	coldRate float64
+	history  []refusalSample
 }
 
-// past is the part of the service's load that was refused from a moment on.
-type past struct {
+// refusalSample is the part of the service's load that was refused from a moment on.
+type refusalSample struct {
 	at      clock.Time
 	refused float64
 }
 
 // New returns a throttler without excess.
 func New(now clock.Time) *Throttler {
-	return &Throttler{opened: now, full: true}
+	return &Throttler{windowStart: now, saturated: true}
 }
 
-// Limit holds the endpoint for able to run a given number of calls a second, since it is cold; 0 ends that, and what it can
+// SetColdRate holds the endpoint for able to run a given number of calls a second, since it is cold; 0 ends that, and what it can
 // do is measured anew.
-func (t *Throttler) Limit(perSecond float64) {
-	if perSecond == 0 && t.limit > 0 {
-		t.capable, t.excess = 0, 0
+func (t *Throttler) SetColdRate(perSecond float64) {
+	if perSecond == 0 && t.coldRate > 0 {
+		t.capacity, t.excess = 0, 0
 	}
-	t.limit = perSecond
+	t.coldRate = perSecond
 }
 
 // Arrived counts a call that came for the endpoint for the first time.
@@ -94,72 +94,72 @@
 // sooner than the endpoint can work: counted by their starts, an endpoint whose every caller times out seems to run all
 // that comes, and nothing is refused though nothing is served.
 func (t *Throttler) Answered() {
-	t.run++
+	t.answered++
 }
 
 // Observe takes the number of waiting calls, and the part of the service's load that entries refuse by now; it is called on
 // each tick.
 func (t *Throttler) Observe(waiting int, refused float64, now clock.Time) {
-	t.full = t.full && waiting > 0
-	span := now.Sub(t.opened)
-	if span < windowAtLeast || span < windowAtMost && t.arrived < windowCalls {
+	t.saturated = t.saturated && waiting > 0
+	span := now.Sub(t.windowStart)
+	if span < minWindow || span < maxWindow && t.arrived < minWindowCalls {
 		return
 	}
-	t.learn(float64(span) / float64(clock.Second))
-	t.judge(float64(waiting), refused, now)
-	t.opened, t.arrived, t.run, t.full = now, 0, 0, true
+	t.updateRates(float64(span) / float64(clock.Second))
+	t.updateExcess(float64(waiting), refused, now)
+	t.windowStart, t.arrived, t.answered, t.saturated = now, 0, 0, true
 }
 
-func (t *Throttler) learn(seconds float64) {
-	t.arriving += arrivingGain * (t.arrived/seconds - t.arriving)
-	rate := t.run / seconds
+func (t *Throttler) updateRates(seconds float64) {
+	t.arrivalRate += arrivingGain * (t.arrived/seconds - t.arrivalRate)
+	rate := t.answered / seconds
 	switch {
-	case t.limit > 0:
-		t.capable = t.limit
-	case t.full && t.capable == 0:
-		t.capable = rate
-	case t.full:
-		t.capable = min(t.capable, mostAhead*rate)
-		t.capable += capacityGain * (rate - t.capable)
-	case t.capable > 0:
-		t.capable = max(t.capable, rate) * (1 + growthPerSecond*seconds)
+	case t.coldRate > 0:
+		t.capacity = t.coldRate
+	case t.saturated && t.capacity == 0:
+		t.capacity = rate
+	case t.saturated:
+		t.capacity = min(t.capacity, maxCapacityOvershoot*rate)
+		t.capacity += capacityGain * (rate - t.capacity)
+	case t.capacity > 0:
+		t.capacity = max(t.capacity, rate) * (1 + capacityGrowthPerSecond*seconds)
 	}
 }
 
-func (t *Throttler) judge(waiting, refused float64, now clock.Time) {
-	want := 0.0
-	t.demand = t.arriving / (1 - t.before(now))
-	if t.capable > 0 && t.demand > 0 {
-		want = 1 - (usedCapacity*t.capable-waiting/drainSeconds)/t.demand
+func (t *Throttler) updateExcess(waiting, refused float64, now clock.Time) {
+	target := 0.0
+	t.demand = t.arrivalRate / (1 - t.refusedNow(now))
+	if t.capacity > 0 && t.demand > 0 {
+		target = 1 - (targetUtilization*t.capacity-waiting/queueDrainSeconds)/t.demand
 	}
-	gain, most := excessGain, Most
-	if t.limit > 0 {
-		gain, most = coldGain, mostCold
+	gain, maximum := excessGain, MaxExcess
+	if t.coldRate > 0 {
+		gain, maximum = coldExcessGain, maxColdExcess
 	}
-	t.excess += gain * (min(most, max(0, want)) - t.excess)
-	if t.excess < leastExcess {
+	t.excess += gain * (min(maximum, max(0, target)) - t.excess)
+	if t.excess < minExcess {
 		t.excess = 0
 	}
-	t.history = append(t.history, past{at: now, refused: min(mostCold, refused)})
-	for len(t.history) > 1 && now.Sub(t.history[1].at) >= loop {
+	t.history = append(t.history, refusalSample{at: now, refused: min(maxColdExcess, refused)})
+	for len(t.history) > 1 && now.Sub(t.history[1].at) >= feedbackDelay {
 		t.history = t.history[1:]
 	}
 }
 
-// leastExcess is taken for none, so that a calm fleet knows that it is calm.
-const leastExcess = 0.005
+// minExcess is taken for none, so that a calm fleet knows that it is calm.
+const minExcess = 0.005
 
-// before returns the refused part whose effect is seen now.
-func (t *Throttler) before(now clock.Time) float64 {
-	if len(t.history) == 0 || now.Sub(t.history[0].at) < loop {
+// refusedNow returns the refused part whose effect is seen now.
+func (t *Throttler) refusedNow(now clock.Time) float64 {
+	if len(t.history) == 0 || now.Sub(t.history[0].at) < feedbackDelay {
 		return 0
 	}
 	return t.history[0].refused
 }
 
 // Rates returns the calls a second that arrive, and that the endpoint can answer as far as that has been seen.
-func (t *Throttler) Rates() (arriving, capable float64) {
-	return t.arriving, t.capable
+func (t *Throttler) Rates() (arrivalRate, capacity float64) {
+	return t.arrivalRate, t.capacity
 }
 
 // Demand returns the calls a second that would arrive if nothing were refused.
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// byClass are demands of classes of which each is worth half of the one before.
-func byClass(loads map[int]float64) []Demand {
+// demandsByClass are demands of classes of which each is worth half of the one before.
+func demandsByClass(loads map[int]float64) []Demand {
 	demands := make([]Demand, Classes)
 	for c := range demands {
 		demands[c] = Demand{Load: loads[c], Worth: math.Exp2(-float64(c))}
@@ -21,7 +21,7 @@
 }
 
 func TestShed(t *testing.T) {
-	mix := byClass(map[int]float64{0: 60, 1: 30, 2: 10})
+	mix := demandsByClass(map[int]float64{0: 60, 1: 30, 2: 10})
 	tests := map[string]struct {
 		class  int
 		excess float64
@@ -50,7 +50,7 @@
 }
 
 // Whatever the mix, exactly the excess is refused, and nothing while something that is worth less is let through.
-func TestShedTakesTheExcessInOrder(t *testing.T) {
+func TestShedRefusesExcessInWorthOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
 		total := 0.0
@@ -59,7 +59,7 @@
 			demands = append(demands, d)
 			total += d.Load
 		}
-		excess := rapid.Float64Range(0, Most).Draw(t, "excess")
+		excess := rapid.Float64Range(0, MaxExcess).Draw(t, "excess")
 		refused := Shed(demands, excess)
 		sum := 0.0
 		for i, d := range demands {
@@ -81,10 +81,10 @@
 	served, expired, excess float64
 }
 
-// play puts a demand on an endpoint that runs 1000 calls a second and turns away what waits for 200 ms; the excess has
+// simulate puts a demand on an endpoint that runs 1000 calls a second and turns away what waits for 200 ms; the excess has
 // its effect after a lag.
-func play(demand func(now clock.Time) float64, lag, from, until clock.Time) outcome {
-	const capacity, patience = 1000.0, 0.2
+func simulate(demand func(now clock.Time) float64, lag, from, until clock.Time) outcome {
+	const capacity, queueTimeoutSeconds = 1000.0, 0.2
 	t := New(0)
 	var history []float64
 	var o outcome
@@ -98,7 +98,7 @@
 		queue += in
 		run := min(queue, capacity/1000)
 		queue -= run
-		expired := max(0, queue-capacity*patience)
+		expired := max(0, queue-capacity*queueTimeoutSeconds)
 		queue -= expired
 		for arriving += in; arriving >= 1; arriving-- {
 			t.Arrived()
@@ -119,7 +119,7 @@
 	return outcome{served: o.served / possible, expired: o.expired / possible, excess: t.Excess()}
 }
 
-func surge(height float64) func(clock.Time) float64 {
+func surgeDemand(height float64) func(clock.Time) float64 {
 	return func(now clock.Time) float64 {
 		if now < 2000 || now > 14000 {
 			return 700
@@ -130,17 +130,17 @@
 
 // The demand on a service rises beyond what it can take. Without refusals at the root its queue grows until every request
 // in it is too late; with refusals that overshoot, the service stands idle while callers are refused.
-func TestSurgesAreServedAsFarAsTheyFit(t *testing.T) {
+func TestSurgeGoodput(t *testing.T) {
 	tests := map[string]func(clock.Time) float64{
-		"1.3 times": surge(1300),
-		"1.5 times": surge(1500),
-		"2.5 times": surge(2500),
+		"1.3 times": surgeDemand(1300),
+		"1.5 times": surgeDemand(1500),
+		"2.5 times": surgeDemand(2500),
 		"waves":     func(now clock.Time) float64 { return 1200 * (1 + 0.25*math.Sin(float64(now)*2*math.Pi/5000)) },
 	}
 	for name, demand := range tests {
 		for _, lag := range []clock.Time{300, 600} {
 			t.Run(fmt.Sprintf("%s after %d ms", name, lag), func(t *testing.T) {
-				o := play(demand, lag, 0, 20000)
+				o := simulate(demand, lag, 0, 20000)
 				assert.Assert(t, o.served >= 0.94, "%+v", o)
 				assert.Assert(t, o.expired <= 0.08, "%+v", o)
 				t.Logf("%+v", o)
@@ -150,14 +150,14 @@
 }
 
 // The surge ends; refusing on would waste a service that has room again.
-func TestExcessGoesWhenTheDemandGoes(t *testing.T) {
-	o := play(surge(1800), 450, 14000, 17000)
+func TestExcessEndsWithSurge(t *testing.T) {
+	o := simulate(surgeDemand(1800), 450, 14000, 17000)
 	assert.Equal(t, o.excess, 0.0)
 	assert.Assert(t, o.served >= 0.9, "%+v", o)
 }
 
 // The endpoint was slow and is well again. What it could do then must not bind it for ever.
-func TestRecoveredEndpointIsUsed(t *testing.T) {
+func TestCapacityEstimateRecovers(t *testing.T) {
 	th := New(0)
 	now := clock.Time(0)
 	second := func(arriving, run, waiting int) {
@@ -184,8 +184,8 @@
 
 // An endpoint was full once and has had next to nothing to do for a long time; then a surge comes. What it was taken to be able to do in the
 // meantime must not hide the surge.
-func TestSurgeAfterALongCalmIsSeenAtOnce(t *testing.T) {
-	o := play(func(now clock.Time) float64 {
+func TestSurgeAfterIdlePeriodIsDetected(t *testing.T) {
+	o := simulate(func(now clock.Time) float64 {
 		if now > 3000 && now < 30000 {
 			return 50
 		}
@@ -196,15 +196,15 @@
 	assert.Assert(t, o.expired <= 0.3, "%+v", o)
 }
 
-func TestCalmEndpointHasNoExcess(t *testing.T) {
-	o := play(func(clock.Time) float64 { return 900 }, 450, 0, 10000)
+func TestNoExcessBelowCapacity(t *testing.T) {
+	o := simulate(func(clock.Time) float64 { return 900 }, 450, 0, 10000)
 	assert.Equal(t, o.excess, 0.0)
 	assert.Assert(t, o.served > 0.999)
 }
 
-// pair plays two endpoints of one service; the first runs little, and the load goes to both alike. What the entries refuse is
+// simulatePair plays two endpoints of one service; the first runs little, and the load goes to both alike. What the entries refuse is
 // the mean of both. It returns the part of the demand that is refused in the end.
-func pair(demand, slow, fast float64) float64 {
+func simulatePair(demand, slow, fast float64) float64 {
 	endpoints := []*Throttler{New(0), New(0)}
 	capacities := []float64{slow, fast}
 	queues, arriving, running := make([]float64, 2), make([]float64, 2), make([]float64, 2)
@@ -237,7 +237,7 @@
 
 // One of two endpoints has become slow. It takes the refusals of the whole service for its own, and what it says of its
 // excess would grow to all of its load: callers are refused though the other endpoint has room.
-func TestSlowEndpointDoesNotTakeTheServiceDown(t *testing.T) {
+func TestSlowEndpointDoesNotInflateServiceExcess(t *testing.T) {
 	tests := map[string]struct{ demand, slow, fast, least, most float64 }{
 		"both too slow":      {demand: 2000, slow: 200, fast: 500, least: 0.45, most: 0.7},
 		"the fast one fits":  {demand: 1200, slow: 200, fast: 700, least: 0.25, most: 0.4},
@@ -246,7 +246,7 @@
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := pair(c.demand, c.slow, c.fast)
+			got := simulatePair(c.demand, c.slow, c.fast)
 			t.Logf("%.2f refused", got)
 			assert.Assert(t, got >= c.least && got <= c.most, "%.2f refused", got)
 		})
