--- a/internal/throttler/doc.go
+++ b/internal/throttler/doc.go
@@ -1,2 +1,3 @@
-// Package throttler turns the queueing of a service into the part of each class of root requests that is refused.
+// Package throttler computes the fraction of each class of root requests to refuse from the excess load of the services
+// that they call.
 package throttler
--- a/internal/throttler/mix.go
+++ b/internal/throttler/mix.go
@@ -1,7 +1,7 @@
 package throttler
 
-// Classes is how many classes of importance are told apart; class 0 is the most important.
+// Classes is the number of priority classes; class 0 is the most important.
 const Classes = 16
 
-// Mix is how much of something each class brings.
+// Mix holds one amount, such as a load or a refused fraction, for each class.
 type Mix [Classes]float64
--- a/internal/throttler/shed.go
+++ b/internal/throttler/shed.go
@@ -1,23 +1,25 @@
 package throttler
 
-// What is refused for an overloaded service is what is worth least for the load that it brings there: of two equally important
-// requests, one that makes eight calls to the service goes before one that makes a single call, since eight of the other kind
-// can be served for it.
+// An overloaded service refuses the demands with the least importance for each call that they cause at the service. Of
+// two equally important kinds of request, one that makes eight calls to the service is refused before one that makes a
+// single call, since eight requests of the second kind can be served with the same capacity.
 //
-// Example: orders of importance 1 that make 8 calls each, and look-ups of importance 1/2 that make 1: orders are refused first.
+// Example: orders of importance 1 that make 8 calls each, and look-ups of importance 1/2 that make 1: orders are
+// refused first.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// Demand is what one kind of request brings to a service.
+// Demand is the load that one kind of request puts on a service.
 type Demand struct {
-	// Load is in calls, Worth the importance of one call.
+	// Load is in calls; Worth is the importance of one call.
 	Load, Worth float64
 }
 
-// Shed returns which part of each demand is refused to take an excess of the whole load off, the least worth first.
+// Shed returns the fraction of each demand to refuse so that the given fraction of the total load is removed, in order
+// of increasing worth.
 func Shed(demands []Demand, excess float64) []float64 {
 	order := make([]int, len(demands))
 	total := 0.0
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -1,71 +1,81 @@
 package throttler
 
-// The service at the end of a call chain is the one that fills up, but refusing there wastes all that was done above
-// it: its callers' requests fail after their work. So the node beside a full endpoint only says which part of its load
-// is too much, and the nodes that take root requests in refuse that part of what leads there, the least important
-// first, before any work.
+// An overloaded service deep in a call chain should not shed its calls itself: the work of its callers would be wasted.
+// So the node beside an endpoint only reports the excess, the fraction of its load that exceeds its capacity. The nodes
+// that admit root requests then refuse that fraction of the requests that lead to the service, the least important
+// first, before any work is done.
 //
-// What is refused takes effect about half a second later, by way of reports, root requests and their nested calls. A
-// law that waits for the queue and then turns up refusals step by step would swing between an idle and a drowned endpoint
-// (docs/design/platform.md). This one works out the excess from what arrives and what the endpoint answers:
+// A refusal takes effect after about half a second: the report has to reach the admitting nodes, and requests that were
+// admitted before still make their nested calls. A control law that raises refusals step by step while the queue grows
+// would oscillate between an idle and an overloaded endpoint (docs/design/platform.md). The excess is therefore
+// computed directly from the rates of arrivals and answers:
 //
-//	excess = 1 - capacity / demand, where demand = arriving / (1 - refused part half a second ago)
+//	excess = 1 - capacity / demand, where demand = arriving / (1 - refused fraction half a second ago)
 //
-// The refused part is what the entries go by: the excess of the whole service, which other endpoints have a say in. With
-// this endpoint's own in its place, a slow endpoint beside a faster one would take its demand for ever more than it is.
+// The refused fraction is that of the whole service, which the admitting nodes apply and to which the other endpoints
+// contribute. With this endpoint's own excess in its place, a slow endpoint beside a faster one would overestimate its
+// demand without bound.
 //
-// Example: 900 calls a second arrive while a tenth is refused, and 800 are answered: the demand is 1000, the excess 0.2.
+// Example: 900 calls a second arrive while a tenth is refused, and 800 are answered: the demand is 1000, the excess
+// 0.2.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
 const (
-	// minWindow and windowCalls bound the window over which rates are taken: with fewer calls chance alone makes
-	// a difference of a sixth, and windowAtMost keeps a quiet endpoint from being judged by what is long past.
+	// minWindow, maxWindow and minWindowCalls bound the window over which rates are measured. With fewer than
+	// minWindowCalls calls, chance alone changes a rate by a sixth; maxWindow limits how old the data of an endpoint
+	// with few calls can be.
 	minWindow      = 50 * clock.Millisecond
 	maxWindow      = 400 * clock.Millisecond
 	minWindowCalls = 40
-	// feedbackDelay is taken for the time from a report of the excess to its effect here: two exchanges of 200 ms at half their
-	// period on average, and a chain of calls that was let in before.
+	// feedbackDelay is the estimated time from a report of the excess to its effect on arrivals: on average half the
+	// period of each of two exchanges of 200 ms, and the duration of the call chains that were admitted before.
 	feedbackDelay = 450 * clock.Millisecond
-	// arrivingGain and capacityGain are the weights of one window in the rates, excessGain that in the excess.
+	// arrivingGain and capacityGain are the smoothing weights of one window in the rates, excessGain its weight in the
+	// excess.
 	arrivingGain = 0.5
 	capacityGain = 0.2
 	excessGain   = 0.3
-	// targetUtilization is the part of the capacity that is aimed at; with all of it a queue would never shorten.
+	// targetUtilization is the fraction of the capacity to use; at full utilization a queue would never shrink.
 	targetUtilization = 0.97
-	// queueDrainSeconds is the time in which a standing queue is to shorten to nothing.
+	// queueDrainSeconds is the time within which a standing queue should drain.
 	queueDrainSeconds = 2.5
-	// capacityGrowthPerSecond is how fast the capacity is taken to grow while the endpoint has free slots: what it can do is
-	// only seen when it is full, and an endpoint that was slow once must not be held to that.
+	// capacityGrowthPerSecond is the rate at which the capacity estimate grows while the endpoint has free slots.
+	// Capacity can be measured only when the endpoint is full, so the estimate of an endpoint that was once slow would
+	// otherwise stay too low.
 	capacityGrowthPerSecond = 0.4
-	// maxCapacityOvershoot bounds by how much the capacity that was taken to grow may exceed what a full endpoint then answers. An
-	// endpoint that had been idle for ten seconds was taken for four hundred times as fast as it is, and 27 windows went
-	// by before any excess was seen.
+	// maxCapacityOvershoot bounds the ratio of the grown capacity estimate to the rate that a full endpoint answers.
+	// Without it the estimate of an endpoint that was idle for ten seconds grew to four hundred times its capacity, and
+	// a surge was not seen as excess for 27 windows.
 	maxCapacityOvershoot = 1.5
-	// MaxExcess is the largest excess: something is always let through, or nobody would notice that the load has gone.
+	// MaxExcess is the largest excess. Some requests are always admitted, because the end of an overload shows only in
+	// their calls.
 	MaxExcess = 0.95
-	// maxColdExcess is the largest excess of a cold endpoint, whose limit is known and ends by itself; coldGain is the weight of one
-	// window in it.
+	// maxColdExcess is the largest excess of a cold endpoint, whose call rate is known and whose cold phase ends by
+	// itself; coldExcessGain is the smoothing weight of one window in it.
 	maxColdExcess  = 0.999
 	coldExcessGain = 0.8
 )
 
-// Throttler follows the excess load of one endpoint; it is not safe for concurrent use.
+// Throttler measures the excess load of one endpoint; it is not safe for concurrent use.
 type Throttler struct {
-	windowStart           clock.Time
-	arrived, answered     float64
-	saturated             bool
+	// windowStart is when the current window began; arrived and answered count its calls. The saturated flag stays true
+	// while calls were queued at every observation of the window.
+	windowStart       clock.Time
+	arrived, answered float64
+	saturated         bool
+	// arrivalRate, capacity and demand are smoothed rates in calls a second.
 	arrivalRate, capacity float64
 	demand                float64
 	excess                float64
-	// coldRate is the calls a second that a cold endpoint bears, 0 while it is warm.
+	// coldRate is the number of calls a second that a cold endpoint can run; 0 if the endpoint is warm.
 	coldRate float64
 	history  []refusalSample
 }
 
-// refusalSample is the part of the service's load that was refused from a moment on.
+// refusalSample is the fraction of the service's load that was refused from a given time on.
 type refusalSample struct {
 	at      clock.Time
 	refused float64
@@ -76,8 +86,8 @@
 	return &Throttler{windowStart: now, saturated: true}
 }
 
-// SetColdRate holds the endpoint for able to run a given number of calls a second, since it is cold; 0 ends that, and what it can
-// do is measured anew.
+// SetColdRate fixes the capacity at the given number of calls a second while the endpoint is cold; 0 ends the cold
+// phase, and the capacity is measured anew.
 func (t *Throttler) SetColdRate(perSecond float64) {
 	if perSecond == 0 && t.coldRate > 0 {
 		t.capacity, t.excess = 0, 0
@@ -85,19 +95,19 @@
 	t.coldRate = perSecond
 }
 
-// Arrived counts a call that came for the endpoint for the first time.
+// Arrived counts a call that reached the endpoint for the first time.
 func (t *Throttler) Arrived() {
 	t.arrived++
 }
 
-// Answered counts a call that the endpoint has run to its end. Calls that are given up while they run free their slots
-// sooner than the endpoint can work: counted by their starts, an endpoint whose every caller times out seems to run all
-// that comes, and nothing is refused though nothing is served.
+// Answered counts a call that the endpoint has completed. Started calls are not counted, since calls that their callers
+// abandon free their slots before the endpoint has done the work: an endpoint whose calls all time out would seem to
+// keep up with its load, and nothing would be refused although nothing is served.
 func (t *Throttler) Answered() {
 	t.answered++
 }
 
-// Observe takes the number of waiting calls, and the part of the service's load that entries refuse by now; it is called on
+// Observe takes the number of queued calls and the fraction of the service's load that is refused now; it is called on
 // each tick.
 func (t *Throttler) Observe(waiting int, refused float64, now clock.Time) {
 	t.saturated = t.saturated && waiting > 0
@@ -146,10 +156,11 @@
 	}
 }
 
-// minExcess is taken for none, so that a calm fleet knows that it is calm.
+// minExcess is the smallest excess that is reported; anything below counts as 0, so that a fleet without overload
+// reports none.
 const minExcess = 0.005
 
-// refusedNow returns the refused part whose effect is seen now.
+// refusedNow returns the refused fraction whose effect shows in the arrivals now.
 func (t *Throttler) refusedNow(now clock.Time) float64 {
 	if len(t.history) == 0 || now.Sub(t.history[0].at) < feedbackDelay {
 		return 0
@@ -157,7 +168,7 @@
 	return t.history[0].refused
 }
 
-// Rates returns the calls a second that arrive, and that the endpoint can answer as far as that has been seen.
+// Rates returns the calls a second that arrive, and the capacity estimate in calls a second.
 func (t *Throttler) Rates() (arrivalRate, capacity float64) {
 	return t.arrivalRate, t.capacity
 }
@@ -167,13 +178,14 @@
 	return t.demand
 }
 
-// Excess returns the part of the endpoint's load that is too much.
+// Excess returns the fraction of the endpoint's load that exceeds its capacity.
 func (t *Throttler) Excess() float64 {
 	return t.excess
 }
 
-// Mean returns the excess of a service: the mean of its endpoints' weighted by their demand, 0 without any. Weighted by
-// slots, an endpoint that has become slow and is left alone for it would halve the excess of the one that has all the load.
+// Mean returns the excess of a service: the mean of its endpoints' excesses weighted by their demand, 0 without any
+// demand. Weighted by slots, a slow endpoint to which the routers therefore send little would halve the excess of the
+// endpoint that carries the whole load.
 func Mean(excesses, demands []float64) float64 {
 	sum, weight := 0.0, 0.0
 	for i, e := range excesses {
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// demandsByClass are demands of classes of which each is worth half of the one before.
+// demandsByClass returns one demand for each class, each worth half of the class before it.
 func demandsByClass(loads map[int]float64) []Demand {
 	demands := make([]Demand, Classes)
 	for c := range demands {
@@ -27,14 +27,14 @@
 		excess float64
 		want   float64
 	}{
-		"nothing too much":           {2, 0, 0},
-		"half of the least":          {2, 0.05, 0.5},
-		"the next is spared":         {1, 0.05, 0},
-		"all of the least":           {2, 0.25, 1},
-		"half of the next":           {1, 0.25, 0.5},
-		"the most important last":    {0, 0.4, 0},
-		"and then in part":           {0, 0.7, 0.5},
-		"all of everything but most": {0, 0.95, 55.0 / 60},
+		"no excess":                            {2, 0, 0},
+		"half of the least important":          {2, 0.05, 0.5},
+		"the next class is not refused":        {1, 0.05, 0},
+		"all of the least important":           {2, 0.25, 1},
+		"half of the next class":               {1, 0.25, 0.5},
+		"the most important is refused last":   {0, 0.4, 0},
+		"the most important in part":           {0, 0.7, 0.5},
+		"all but a part of the most important": {0, 0.95, 55.0 / 60},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,13 +43,13 @@
 		})
 	}
 	assert.DeepEqual(t, Shed(nil, 0.5), []float64{})
-	// A class that nobody sends is refused nothing.
+	// A class without load is not refused.
 	assert.Equal(t, Shed([]Demand{{Load: 0, Worth: 1}, {Load: 5, Worth: 2}}, 0.9)[0], 0.0)
-	// Demands of equal worth lose equal parts.
+	// Demands of equal worth are refused in equal parts.
 	assert.DeepEqual(t, Shed([]Demand{{Load: 30, Worth: 1}, {Load: 10, Worth: 1}, {Load: 40, Worth: 2}}, 0.25), []float64{0.5, 0.5, 0})
 }
 
-// Whatever the mix, exactly the excess is refused, and nothing while something that is worth less is let through.
+// For any demands, exactly the excess is refused, and no demand is refused while one of lower worth is admitted.
 func TestShedRefusesExcessInWorthOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
@@ -66,23 +66,24 @@
 			sum += refused[i] * d.Load
 			for j, other := range demands {
 				if refused[i] > 0 && other.Worth < d.Worth && other.Load > 0 && refused[j] < 1-1e-9 {
-					t.Fatalf("worth %v loses %v though worth %v loses only %v", d.Worth, refused[i], other.Worth, refused[j])
+					t.Fatalf("worth %v has a refused fraction of %v though worth %v has only %v", d.Worth, refused[i], other.Worth, refused[j])
 				}
 			}
 		}
 		if math.Abs(sum-excess*total) > 1e-6*max(1, total) {
-			t.Fatalf("refused %v of %v, want %v", sum, total, excess*total)
+			t.Fatalf("refused a load of %v of %v, want %v", sum, total, excess*total)
 		}
 	})
 }
 
-// outcome is what became of the demand on a played service, as parts of what could have been served.
+// outcome is the result of a simulation: calls served and expired as fractions of what the service could have served,
+// and the last excess.
 type outcome struct {
 	served, expired, excess float64
 }
 
-// simulate puts a demand on an endpoint that runs 1000 calls a second and turns away what waits for 200 ms; the excess has
-// its effect after a lag.
+// simulate puts a demand on an endpoint that runs 1000 calls a second and expires calls that wait longer than 200 ms;
+// the excess takes effect after a lag.
 func simulate(demand func(now clock.Time) float64, lag, from, until clock.Time) outcome {
 	const capacity, queueTimeoutSeconds = 1000.0, 0.2
 	t := New(0)
@@ -128,8 +129,8 @@
 	}
 }
 
-// The demand on a service rises beyond what it can take. Without refusals at the root its queue grows until every request
-// in it is too late; with refusals that overshoot, the service stands idle while callers are refused.
+// The demand on a service exceeds its capacity. Without refusals at the root its queue grows until every request in it
+// times out; with refusals that overshoot, the service idles while callers are refused.
 func TestSurgeGoodput(t *testing.T) {
 	tests := map[string]func(clock.Time) float64{
 		"1.3 times": surgeDemand(1300),
@@ -149,14 +150,14 @@
 	}
 }
 
-// The surge ends; refusing on would waste a service that has room again.
+// The surge ends. Further refusals would waste a service that has free capacity again.
 func TestExcessEndsWithSurge(t *testing.T) {
 	o := simulate(surgeDemand(1800), 450, 14000, 17000)
 	assert.Equal(t, o.excess, 0.0)
 	assert.Assert(t, o.served >= 0.9, "%+v", o)
 }
 
-// The endpoint was slow and is well again. What it could do then must not bind it for ever.
+// A slow endpoint recovers. The capacity measured while it was slow must not limit it from then on.
 func TestCapacityEstimateRecovers(t *testing.T) {
 	th := New(0)
 	now := clock.Time(0)
@@ -182,8 +183,8 @@
 	assert.Assert(t, th.Excess() < 0.1, "%v", th.Excess())
 }
 
-// An endpoint was full once and has had next to nothing to do for a long time; then a surge comes. What it was taken to be able to do in the
-// meantime must not hide the surge.
+// An endpoint that was full once is nearly idle for a long time before a surge comes. The capacity estimate that grew
+// in the meantime must not hide the surge.
 func TestSurgeAfterIdlePeriodIsDetected(t *testing.T) {
 	o := simulate(func(now clock.Time) float64 {
 		if now > 3000 && now < 30000 {
@@ -202,8 +203,8 @@
 	assert.Assert(t, o.served > 0.999)
 }
 
-// simulatePair plays two endpoints of one service; the first runs little, and the load goes to both alike. What the entries refuse is
-// the mean of both. It returns the part of the demand that is refused in the end.
+// simulatePair simulates two endpoints of one service that get equal load; the first has the capacity slow, the second
+// fast. The refused fraction is the mean excess of both. It returns the refused fraction at the end.
 func simulatePair(demand, slow, fast float64) float64 {
 	endpoints := []*Throttler{New(0), New(0)}
 	capacities := []float64{slow, fast}
@@ -235,14 +236,14 @@
 	return refused
 }
 
-// One of two endpoints has become slow. It takes the refusals of the whole service for its own, and what it says of its
-// excess would grow to all of its load: callers are refused though the other endpoint has room.
+// One of two endpoints has become slow. If it took the refused fraction of the whole service for its own, its excess
+// would grow to all of its load, and callers would be refused although the other endpoint has free capacity.
 func TestSlowEndpointDoesNotInflateServiceExcess(t *testing.T) {
 	tests := map[string]struct{ demand, slow, fast, least, most float64 }{
-		"both too slow":      {demand: 2000, slow: 200, fast: 500, least: 0.45, most: 0.7},
-		"the fast one fits":  {demand: 1200, slow: 200, fast: 700, least: 0.25, most: 0.4},
-		"both fit":           {demand: 1000, slow: 600, fast: 900, least: 0, most: 0},
-		"one hardly answers": {demand: 1600, slow: 20, fast: 800, least: 0.4, most: 0.55},
+		"both overloaded":       {demand: 2000, slow: 200, fast: 500, least: 0.45, most: 0.7},
+		"fast one has capacity": {demand: 1200, slow: 200, fast: 700, least: 0.25, most: 0.4},
+		"both have capacity":    {demand: 1000, slow: 600, fast: 900, least: 0, most: 0},
+		"one nearly stopped":    {demand: 1600, slow: 20, fast: 800, least: 0.4, most: 0.55},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
