--- a/internal/limiter/adjust.go
+++ b/internal/limiter/adjust.go
@@ -1,5 +1,5 @@
-// The limit follows what is measured of the calls, and a ramp while the backend server is cold: its first calls
-// are slow, and all its slots at once would time out together.
+// The limit follows the measured latencies and, while the backend server starts cold, a ramp: its first calls are slow,
+// and calls in all its slots at once would time out together.
 //
 // Example: 80 slots, cold start of 10 s: the limit is 10 at first, 45 after 5 s and 80 after 10 s.
 
@@ -7,8 +7,8 @@
 
 import "github.com/jackdawtide/jackdawtide/internal/clock"
 
-// measure learns from calls that took their time; a failure may have been quick, and a cancelled call only
-// tells something if it had already run longer than usual.
+// measure records the latency of an ended call. A failed call is ignored, since it may have ended early; a cancelled
+// call counts only if it had already run longer than the mean.
 func (l *Limiter) measure(d clock.Duration, o Outcome, now clock.Time) {
 	latency := float64(d)
 	if o == Failed || o == Cancelled && latency <= l.serviceTime.mean {
@@ -25,7 +25,7 @@
 	}, now)
 }
 
-// coldStartDivisor is the part of the slots that a cold backend server starts with.
+// coldStartDivisor divides the slots to give the limit at which a cold backend server starts.
 const coldStartDivisor = 8
 
 func (l *Limiter) updateLimit(now clock.Time) {
--- a/internal/limiter/cold.go
+++ b/internal/limiter/cold.go
@@ -1,8 +1,8 @@
 package limiter
 
-// A cold backend server bears a few calls a second and crashes at many more, however few run at once. So while it is cold,
-// calls are dispatched by a token bucket, and few wait for a token: the others are turned away while they can still be run
-// elsewhere.
+// A cold backend server can run a few calls a second and crashes at many more, even if few run at once. So while it is
+// cold, calls are dispatched by a token bucket and few are queued for a token; the others are shed while they can still
+// be run at another endpoint.
 //
 // Example: 13 calls a second and a burst of 4: the first 4 calls run at once, then one each 77 ms.
 
@@ -12,16 +12,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// ColdLimit is the rate that a cold backend server bears.
+// ColdLimit is the rate of calls that a cold backend server can run.
 type ColdLimit struct {
 	// PerSecond is in calls a second, Burst in calls.
 	PerSecond, Burst float64
 }
 
-// coldQueueWait is for how much of the rate calls may wait: a nested call rarely waits longer than this.
+// coldQueueWait bounds the queue to the calls that get tokens within it: a nested call rarely waits longer.
 const coldQueueWait = 200 * clock.Millisecond
 
-// cold is the state of a limiter whose backend server is cold.
+// cold is the state of the token bucket for a cold backend server.
 type cold struct {
 	limit      ColdLimit
 	until      clock.Time
@@ -39,7 +39,7 @@
 	return max(1, int(c.limit.PerSecond*float64(coldQueueWait)/float64(clock.Second)))
 }
 
-// SetCold holds calls to a rate until a moment; one that is not later than now ends that.
+// SetCold limits calls to a rate until the given time; a time that is not later than now ends the limit.
 func (l *Limiter) SetCold(limit ColdLimit, until, now clock.Time) {
 	if !l.isCold(now) {
 		l.cold.lastRefill, l.cold.tokens = now, l.initialColdTokens(limit, now)
@@ -47,7 +47,8 @@
 	l.cold.limit, l.cold.until = limit, until
 }
 
-// initialColdTokens is what is left of a burst after the calls that were dispatched within the last second.
+// initialColdTokens returns the burst, or none if calls were dispatched within the last second: they count towards the
+// burst.
 func (l *Limiter) initialColdTokens(limit ColdLimit, now clock.Time) float64 {
 	if l.everDispatched && now.Sub(l.lastDispatch) < clock.Second {
 		return 0
@@ -59,7 +60,7 @@
 	return now < l.cold.until
 }
 
-// hasColdToken tells whether a cold backend server bears another call now.
+// hasColdToken returns whether a call may be dispatched as far as the cold limit is concerned.
 func (l *Limiter) hasColdToken(now clock.Time) bool {
 	if !l.isCold(now) {
 		return true
@@ -68,7 +69,7 @@
 	return l.cold.tokens >= 1
 }
 
-// countDispatch counts a dispatched call.
+// countDispatch records a dispatch and takes its token while the backend server is cold.
 func (l *Limiter) countDispatch(now clock.Time) {
 	l.lastDispatch, l.everDispatched = now, true
 	if l.isCold(now) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// maxQueued is how many calls may wait.
+// maxQueued returns how many calls may be queued.
 func (l *Limiter) maxQueued(now clock.Time) int {
 	if l.isCold(now) {
 		return min(l.options.Queue, l.cold.queueBound())
--- a/internal/limiter/cold_test.go
+++ b/internal/limiter/cold_test.go
@@ -11,7 +11,7 @@
 
 var coldLimit = ColdLimit{PerSecond: 13, Burst: 4}
 
-// A cold backend server that gets more calls in a second than it bears crashes and comes back cold.
+// A cold backend server that gets more calls in a second than its cold limit crashes and starts cold again.
 func TestColdRateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Options{Slots: 45, Order: DueFirst}, 0)
@@ -53,7 +53,7 @@
 	})
 }
 
-// A backend server that turns cold while it runs calls must not get a burst on top of those.
+// A backend server that turns cold while it runs calls must not get a burst in addition to them.
 func TestTurningColdAllowsNoBurst(t *testing.T) {
 	l := New(Options{Slots: 45, Order: DueFirst}, 0)
 	for id := range CallID(20) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Calls that can't get a token in time must be turned away at once: elsewhere they can still be run.
+// Calls that cannot get a token in time must be shed at once, since they can still be run at another endpoint.
 func TestColdQueueIsShort(t *testing.T) {
 	l := New(Options{Slots: 45, Order: DueFirst}, 0)
 	l.SetCold(coldLimit, 3000, 0)
--- a/internal/limiter/dispatch.go
+++ b/internal/limiter/dispatch.go
@@ -1,7 +1,7 @@
-// Which call runs next is decided here: never one that cannot end in time, and never so many that an urgent call
-// finds no slot.
+// This file decides which call runs next. It never dispatches a call that cannot end before its deadline, and it keeps
+// a slot free for urgent calls where slots rarely become free.
 //
-// Example: limit 10, one slot kept back, 9 calls run: an urgent call runs at once, a normal one waits.
+// Example: limit 10, one slot reserved, 9 calls run: an urgent call runs at once, a normal one waits.
 
 package limiter
 
@@ -89,7 +89,8 @@
 	return append(out, Verdict{id, Shed})
 }
 
-// withinLimit lets urgent calls use all slots, others what the limit leaves.
+// withinLimit returns whether a call may run now: urgent calls may use all slots, other calls the limit less the
+// reserved slot.
 func (l *Limiter) withinLimit(r identifier.Rank, now clock.Time) bool {
 	if r.Priority() == identifier.Urgent {
 		return l.inFlight < l.slots
@@ -98,15 +99,15 @@
 }
 
 const (
-	// urgentWindow is how long after an urgent call the next one is expected.
+	// urgentWindow is how long after an urgent call another one is expected.
 	urgentWindow = 10 * clock.Second
-	// maxUrgentWaitMilliseconds is how long an urgent call may wait for the next slot that comes free.
+	// maxUrgentWaitMilliseconds is the longest average time until a slot becomes free for which no slot is reserved.
 	maxUrgentWaitMilliseconds = 20
-	// minLimitWithReserve is the smallest limit that a slot is kept back from.
+	// minLimitWithReserve is the smallest limit of which a slot is reserved.
 	minLimitWithReserve = 4
 )
 
-// reservedSlots keeps one slot back for urgent calls where slots come free too seldom. Otherwise uploads that take
+// reservedSlots reserves one slot for urgent calls where slots rarely become free. Otherwise uploads that run for
 // minutes could hold all slots, and a bulletin would wait behind them although it is the first in the queue.
 func (l *Limiter) reservedSlots(now clock.Time) int {
 	if l.limit < minLimitWithReserve || now.Sub(l.lastUrgent) >= urgentWindow {
@@ -118,11 +119,12 @@
 	return 1
 }
 
-// probeDivisor of the limit may run even if the estimate says that it cannot end in time. Without it, a
-// backend server that was slow once would get no call by which its recovery could be measured: every call
+// probeDivisor divides the limit: up to that many calls may run even if they are estimated to miss their deadlines.
+// Otherwise a backend server that was slow once would get no call by which its recovery could be measured: every call
 // would expire although the server is idle.
 const probeDivisor = 16
 
+// missesDeadline returns whether the call's deadline has passed or is too close for the estimated service time.
 func (l *Limiter) missesDeadline(c Call, now clock.Time) bool {
 	left := c.Deadline.Sub(now)
 	if left <= 0 {
--- a/internal/limiter/doc.go
+++ b/internal/limiter/doc.go
@@ -1,2 +1,2 @@
-// Package limiter decides, for one local backend server, which calls run now, wait, or are shed.
+// Package limiter decides which calls to one local backend server run now, are queued, or are shed.
 package limiter
--- a/internal/limiter/estimate.go
+++ b/internal/limiter/estimate.go
@@ -1,5 +1,5 @@
-// Work that cannot end before its deadline is work in vain, and the backend server's own load figures lag or
-// lie. So the time that a call takes is measured here, from dispatch to answer.
+// A call that cannot end before its deadline would use a slot for nothing, and the load figures that a backend server
+// reports are late or false. So service times are measured here, from dispatch to answer.
 //
 // Example: answers after 40, 60 and 50 ms give a mean near 50 ms and an optimistic() a little below it.
 
@@ -8,11 +8,11 @@
 import "math"
 
 const (
-	// estimateWeight is the weight of the newest sample once there are enough of them.
+	// estimateWeight is the weight of the newest sample once there are enough samples.
 	estimateWeight = 1.0 / 32
 )
 
-// estimate follows the mean of service times and their mean deviation, in milliseconds.
+// estimate holds the exponentially smoothed mean and mean deviation of times in milliseconds.
 type estimate struct {
 	mean, deviation float64
 	samples         float64
@@ -26,7 +26,7 @@
 	e.deviation += weight * (math.Abs(gap) - e.deviation)
 }
 
-// optimistic is a service time that a good part of the calls stay under.
+// optimistic returns a time that is one mean deviation below the mean: a good part of the calls take less.
 func (e *estimate) optimistic() float64 {
 	return max(0, e.mean-e.deviation)
 }
--- a/internal/limiter/heap.go
+++ b/internal/limiter/heap.go
@@ -1,6 +1,6 @@
-// A queued call must be found in three ways: the next to run, the next to shed, the next to expire. Each is
-// a heap over the same entries, and an entry that leaves one has to leave the others at once, wherever it
-// stands in them. So the heap tracks positions, and keeps its memory so that a decision allocates nothing.
+// A queued call is looked up by several orders: the next to dispatch, to shed, or to expire. Each order is a heap over
+// the same entries, and an entry that is removed from one has to be removed from the others, at any position. So the
+// heap tracks positions, and it keeps its memory so that a decision allocates nothing.
 //
 // Example: push(3, 10), push(7, 5): first() is 7; remove(7): first() is 3.
 
--- a/internal/limiter/knee.go
+++ b/internal/limiter/knee.go
@@ -1,11 +1,11 @@
-// Latency rises for two reasons that ask for opposite answers. If the VM is past its knee, fewer calls at once
-// give as many answers, sooner. If a deeper service is slow, fewer calls at once give fewer answers, and a
-// law that follows latency would shrink a healthy service to a fraction just when slots are scarce. One
-// notices the second as goodput that falls by more than the slow service explains. So a rise only raises a
-// suspicion, and a short trial with a quarter less decides.
+// Latency rises for two reasons that require opposite reactions. If the VM is past the knee of its latency curve, a
+// lower concurrency limit gives the same throughput at a lower latency. If a deeper service is slow, a lower limit
+// reduces throughput, and a control law that only follows latency would shrink a healthy service when slots are scarce:
+// goodput would fall by more than the slow service causes. So a rise in latency only raises a suspicion, which a short
+// trial with a quarter less concurrency confirms or refutes.
 //
-// Example: 100 slots, latency up from 50 to 250 ms. A trial at 75 gives 75% of the throughput: back to 100, and
-// 250 ms is the new ordinary latency. Had it given 98%, 75 would be kept and the next trial made.
+// Example: 100 slots, latency up from 50 to 250 ms. A trial at 75 gives 75% of the throughput: back to 100, and 250 ms
+// is the new baseline latency. Had it given 98% at a lower latency, 75 would be kept.
 
 package limiter
 
@@ -20,33 +20,34 @@
 )
 
 const (
-	// minRoundCalls and roundTurns times the limit are the fewest answers that a round is judged by.
+	// A round is evaluated after minRoundCalls answers, or after minRoundCallsPerLimit times the limit if that is more.
 	minRoundCalls         = 200
 	minRoundCallsPerLimit = 4
-	// maxRound ends a round of a service with long calls; a trial that takes longer costs more than it tells.
+	// maxRound ends a round of a service with long calls; a longer trial would cost more than its result is worth.
 	maxRound = 2 * clock.Second
-	// fullFraction of a round's calls must have seen the limit reached.
+	// fullFraction is the fraction of a round's calls that must have seen the limit reached.
 	fullFraction = 0.9
-	// suspicionLatencyRatio times the ordinary latency starts a trial.
+	// suspicionLatencyRatio is the ratio of latency to baseline latency above which a trial of a lower limit starts.
 	suspicionLatencyRatio = 1.5
-	// lowerTrialFactor and higherPart are the limits tried, as parts of the present one.
+	// lowerTrialFactor and higherTrialFactor times the present limit are the limits tried.
 	lowerTrialFactor  = 0.75
 	higherTrialFactor = 1.25
-	// A lower limit is kept if latency falls to enoughFall and throughput stays at enoughKept.
+	// A lower limit is kept if its latency is at most maxLatencyRatio and its throughput at least minThroughputRatio of
+	// the values before the trial.
 	maxLatencyRatio    = 0.87
 	minThroughputRatio = 0.95
-	// A higher limit is kept if throughput rises to enoughGain.
+	// A higher limit is kept if its throughput is at least minThroughputGain times the throughput before the trial.
 	minThroughputGain = 1.05
-	// minTrialPause and longestPause are between trials that change nothing.
+	// The pause after a trial that changes nothing starts at minTrialPause and doubles up to maxTrialPause.
 	minTrialPause = clock.Second
 	maxTrialPause = 30 * clock.Second
-	// unreachedLimitGrowth is by how much the limit rises in a round that does not reach it.
+	// unreachedLimitGrowth is the factor by which the limit rises after a round in which it was not reached.
 	unreachedLimitGrowth = 1.1
-	// baselineWeight is the weight of one call at low concurrency in the ordinary latency.
+	// baselineWeight is the smoothing weight of one call at low concurrency in the baseline latency.
 	baselineWeight = 1.0 / 64
 )
 
-// round sums up the answers since it began.
+// round holds the sums over the answers since it began; full counts the answers that saw the limit reached.
 type round struct {
 	began                     clock.Time
 	answers, full, latencySum float64
@@ -60,17 +61,18 @@
 	return r.answers / float64(max(1, now.Sub(r.began)))
 }
 
-// knee is KneeLaw.
+// knee implements KneeLaw.
 type knee struct {
 	slots, current float64
 	phase          phase
-	// baselineLatency is the latency without suspicion; zero while unknown.
+	// baselineLatency is the latency without suspicion, zero while unknown; baselineSamples counts the calls measured
+	// for it.
 	baselineLatency, baselineSamples float64
 	trialRequested                   bool
 	round                            round
-	// answersToSkip is how many answers to skip: they ran under the limit before.
+	// answersToSkip is the number of answers still expected from calls that started under the previous limit.
 	answersToSkip float64
-	// latency, throughput and limit as they were before the trial.
+	// The latency, throughput and limit before the trial.
 	latencyBefore, throughputBefore, limitBefore float64
 	nextTrial                                    clock.Time
 	pause                                        clock.Duration
@@ -92,8 +94,8 @@
 	k.round = round{began: k.round.began}
 }
 
-// requestTrial lets the next full round start a trial; a backend server that lies about its load gains or costs no
-// more than that, and the pause between trials bounds it.
+// requestTrial lets the next full round start a trial. A backend server that reports a false load causes no more than a
+// trial, and the pause between trials bounds how often.
 func (k *knee) requestTrial() {
 	k.trialRequested = true
 }
--- a/internal/limiter/law.go
+++ b/internal/limiter/law.go
@@ -1,5 +1,5 @@
-// The announced slots are a promise of the backend server, not a measurement. How the limit follows what is
-// measured is a policy of its own, so that laws can be compared.
+// The announced slots are a claim of the backend server, not a measurement. The control law by which the concurrency
+// limit follows measurements is exchangeable, so that laws can be compared.
 //
 // Example: 100 announced slots, of which the VM can really use 40: under FixedLaw 100 calls run, all slowly.
 
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// Law names how the concurrency limit follows measured latency.
+// Law is the control law by which the concurrency limit follows measured latency.
 type Law uint8
 
 // The laws.
@@ -27,11 +27,11 @@
 // sample is one call that a backend server has answered.
 type sample struct {
 	latency float64
-	// saturated tells that the limit was reached when the call ended, quiet that less than half of it was in use.
+	// full is true if the limit was reached when the call ended, underHalf if less than half of the limit was in use.
 	full, underHalf bool
 }
 
-// law is a policy for the limit; its limit stays within 1 and the slots.
+// law computes the limit, which stays between 1 and the slots.
 type law interface {
 	observe(s sample, now clock.Time)
 	tick(now clock.Time)
@@ -51,7 +51,7 @@
 	}
 }
 
-// fixed is FixedLaw.
+// fixed implements FixedLaw.
 type fixed struct {
 	slots float64
 }
@@ -78,8 +78,8 @@
 	gradientLimitWeight    = 1.0 / 128
 )
 
-// gradient is GradientLaw: the product of the limit and the ratio of long-term to recent latency, and a
-// little more to probe with.
+// gradient implements GradientLaw: the limit is multiplied by the ratio of long-term to recent latency, and its square
+// root is added to probe for more.
 type gradient struct {
 	slots, current                          float64
 	recentLatency, longTermLatency, samples float64
--- a/internal/limiter/law_test.go
+++ b/internal/limiter/law_test.go
@@ -15,19 +15,19 @@
 	baseLatency = 50.0
 )
 
-// A server tells how long a call takes that starts as one of n.
+// A latencyModel returns how long a call takes that starts as one of n running calls.
 type latencyModel func(n int, now clock.Time) float64
 
-// healthyServer gives each of its announced slots its full speed.
+// healthyServer runs calls in each of its announced slots at full speed.
 func healthyServer(int, clock.Time) float64 { return baseLatency }
 
-// overstatedSlots announces 100 slots, but beyond 40 its calls only get in each other's way.
+// overstatedSlots announces 100 slots, but more than 40 calls at once slow each other down.
 func overstatedSlots(n int, _ clock.Time) float64 {
 	over := max(0, float64(n)-40) / 40
 	return baseLatency * (1 + over + over*over/2)
 }
 
-// slowDependency has calls that wait for a deep service, which is 5 times slower from second 10 on.
+// slowDependency makes its calls wait for a deeper service, which is 5 times slower from second 10 on.
 func slowDependency(_ int, now clock.Time) float64 {
 	if now >= 10_000 {
 		return 5 * baseLatency
@@ -35,7 +35,7 @@
 	return baseLatency
 }
 
-// loadGenerator offers calls so that want of them are open at once, and counts the answers from second 10 to 30.
+// loadGenerator offers calls so that the wanted number is open at once, and counts the answers from second 10 to 30.
 type loadGenerator struct {
 	limiter *Limiter
 	serve   latencyModel
@@ -68,7 +68,7 @@
 	return out
 }
 
-// saturatedThroughput returns the answers a second from second 10 to 30, under more calls than there are slots.
+// saturatedThroughput returns the answers a second from second 10 to 30 with more open calls than there are slots.
 func saturatedThroughput(law Law, s latencyModel, hint float64) float64 {
 	l := &loadGenerator{
 		limiter: New(Options{Slots: announced, Law: law}, 0), serve: s,
@@ -86,9 +86,9 @@
 	return l.answers / 20
 }
 
-// A backend server announces more slots than its VM can serve, or the service behind it slows down. Both show as
-// latency; the first asks for fewer calls at once, the second for none the fewer. A user notices timeouts if the
-// first goes unseen, and refusals by a healthy service if the second is taken for the first.
+// A backend server announces more slots than its VM can use, or the service that it depends on slows down. Both raise
+// latency; only the first calls for a lower limit. If the first case is missed, calls time out; if the second is
+// mistaken for the first, a healthy service refuses calls.
 func TestKneeLawIgnoresSlowDependency(t *testing.T) {
 	for name, c := range map[string]struct {
 		law         Law
@@ -96,14 +96,14 @@
 		hint        float64
 		least, most float64
 	}{
-		"knee, sound":                     {law: KneeLaw, serve: healthyServer, least: 1950, most: 2050},
-		"knee, sound, load lies":          {law: KneeLaw, serve: healthyServer, hint: 2, least: 1900, most: 2050},
-		"knee, overstated":                {law: KneeLaw, serve: overstatedSlots, least: 750, most: 850},
-		"knee, overstated, load lies":     {law: KneeLaw, serve: overstatedSlots, hint: 0.1, least: 750, most: 850},
-		"knee, deep service slow":         {law: KneeLaw, serve: slowDependency, least: 380, most: 420},
-		"knee, deep slow and load lies":   {law: KneeLaw, serve: slowDependency, hint: 2, least: 370, most: 420},
-		"fixed, overstated, for contrast": {law: FixedLaw, serve: overstatedSlots, least: 500, most: 600},
-		"gradient, deep, for contrast":    {law: GradientLaw, serve: slowDependency, least: 50, most: 200},
+		"knee, healthy":                             {law: KneeLaw, serve: healthyServer, least: 1950, most: 2050},
+		"knee, healthy, false load":                 {law: KneeLaw, serve: healthyServer, hint: 2, least: 1900, most: 2050},
+		"knee, overstated":                          {law: KneeLaw, serve: overstatedSlots, least: 750, most: 850},
+		"knee, overstated, false load":              {law: KneeLaw, serve: overstatedSlots, hint: 0.1, least: 750, most: 850},
+		"knee, slow dependency":                     {law: KneeLaw, serve: slowDependency, least: 380, most: 420},
+		"knee, slow dependency, false load":         {law: KneeLaw, serve: slowDependency, hint: 2, least: 370, most: 420},
+		"fixed, overstated, for comparison":         {law: FixedLaw, serve: overstatedSlots, least: 500, most: 600},
+		"gradient, slow dependency, for comparison": {law: GradientLaw, serve: slowDependency, least: 50, most: 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,8 +1,8 @@
-// One limiter stands in front of one backend server. It runs calls up to a limit within the announced slots,
-// queues by rank with deadlines, and gives up work that cannot end in time before it costs anything.
+// A limiter controls the calls to one backend server. It runs calls up to a concurrency limit within the announced
+// slots, queues the others by rank with deadlines, and expires calls that cannot end in time before they use a slot.
 //
-// Example: 2 slots, calls ranked 10, 20, 30, 5 offered in this order: 10 and 20 run, 30 and 5 wait, and the
-// first slot that comes free goes to 5.
+// Example: 2 slots, calls ranked 10, 20, 30, 5 offered in this order: 10 and 20 run, 30 and 5 wait, and the first slot
+// that becomes free goes to 5.
 
 package limiter
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Limiter decides on the calls of one backend server; it is not safe for concurrent use.
+// Limiter decides on the calls to one backend server; it is not safe for concurrent use.
 type Limiter struct {
 	options     Options
 	slots       int
@@ -26,16 +26,16 @@
 	inFlight    int
 	limit       int
 	serviceTime estimate
-	// slack is the time that offered calls have left.
+	// slack estimates the time that offered calls have left until their deadlines.
 	slack estimate
 	law   law
-	// lastUrgent is when an urgent call last came.
+	// lastUrgent is when the last urgent call was offered.
 	lastUrgent clock.Time
-	// slowDependency tells that calls are queued, waitingSince since when without a gap.
+	// waiting is true while calls are queued, and waitingSince is when the queue was last empty.
 	waiting      bool
 	waitingSince clock.Time
 	cold         cold
-	// lastDispatch is when a call was last dispatched, if one was.
+	// lastDispatch is when the last call was dispatched; everDispatched is false before the first one.
 	lastDispatch   clock.Time
 	everDispatched bool
 }
@@ -57,7 +57,7 @@
 	return l
 }
 
-// Offer takes a call in; the verdicts are for it and for any queued call that it displaced or that expired.
+// Offer takes a call; the verdicts are for it and for queued calls that it displaced or that expired.
 func (l *Limiter) Offer(c Call, now clock.Time, out []Verdict) []Verdict {
 	if l.draining {
 		return append(out, Verdict{c.ID, Shed})
@@ -84,7 +84,7 @@
 	return l.dropQueueVerdict(c.ID, queued, out)
 }
 
-// dropQueueVerdict drops the Queue verdict at the given place when a final one for the same call follows it.
+// dropQueueVerdict removes the Queue verdict at the given index if a final verdict for the same call follows it.
 func (l *Limiter) dropQueueVerdict(id CallID, queued int, out []Verdict) []Verdict {
 	for _, v := range out[queued+1:] {
 		if v.ID == id {
@@ -106,7 +106,7 @@
 	return l.Tick(now, out)
 }
 
-// Cancel sheds a queued call; a dispatched one keeps its slot until Done.
+// Cancel sheds a queued call; a dispatched call keeps its slot until Done.
 func (l *Limiter) Cancel(id CallID, now clock.Time, out []Verdict) []Verdict {
 	number, ok := l.index[id]
 	if !ok || l.entries[number].running {
@@ -117,7 +117,7 @@
 	return l.Tick(now, out)
 }
 
-// Tick drops what has expired, follows the ramp of a cold start, and dispatches what may run.
+// Tick expires queued calls, advances the ramp of a cold start, and dispatches calls within the limit.
 func (l *Limiter) Tick(now clock.Time, out []Verdict) []Verdict {
 	if l.draining {
 		for l.queue.len() > 0 {
@@ -130,7 +130,7 @@
 	return l.dispatchAll(now, out)
 }
 
-// SetSlots takes a new number of slots over; running calls beyond it finish. Call Tick next.
+// SetSlots sets the number of slots; running calls in excess of it finish. Call Tick next.
 func (l *Limiter) SetSlots(slots int, now clock.Time) {
 	l.slots = max(slots, 1)
 	l.law.setSlots(float64(l.slots))
@@ -138,12 +138,12 @@
 	l.updateLimit(now)
 }
 
-// overloadThreshold is the announced load above which a backend server says that it is overloaded. A healthy one that is simply
-// saturated announces 1; were that a suspicion, each trial would take a quarter of its slots just when all are needed.
+// overloadThreshold is the reported load above which a backend server is suspected to be overloaded. A healthy server
+// that is full reports 1; if that raised a suspicion, each trial would take a quarter of its slots when all are needed.
 const overloadThreshold = 1.1
 
-// ReportLoad takes the backend server's load figure (1 is full) as a hint. All that it can do is to have the
-// coldRate tried out sooner; a figure that lies changes no verdict by itself.
+// ReportLoad takes the load that the backend server reports (1 is full) as a hint. A high load only starts the next
+// trial of a lower limit sooner, so a false figure changes no verdict by itself.
 func (l *Limiter) ReportLoad(load float64, now clock.Time) {
 	_ = now
 	if load > overloadThreshold {
@@ -151,27 +151,27 @@
 	}
 }
 
-// Drain ends dispatching for good; the next Tick sheds what is queued.
+// Drain stops dispatching permanently; the next Tick sheds the queued calls.
 func (l *Limiter) Drain() {
 	l.draining = true
 }
 
-// InFlight returns how many calls the backend server runs.
+// InFlight returns how many calls the backend server is running.
 func (l *Limiter) InFlight() int {
 	return l.inFlight
 }
 
-// Queued returns how many calls wait.
+// Queued returns how many calls are queued.
 func (l *Limiter) Queued() int {
 	return l.queue.len()
 }
 
-// SetColdRate returns how many calls may run at once now.
+// Limit returns the concurrency limit now.
 func (l *Limiter) Limit() int {
 	return l.limit
 }
 
-// Headroom returns the free part of the limit as answers carry it: 0 is none, 255 all.
+// Headroom returns the free fraction of the limit as answers carry it: 0 is none, 255 all.
 func (l *Limiter) Headroom(now clock.Time) uint8 {
 	if l.isCold(now) && !l.draining {
 		return l.coldHeadroom()
@@ -183,7 +183,7 @@
 	return uint8(math.MaxUint8 * free / l.limit)
 }
 
-// QueueDelay returns how long a call would wait behind all that is queued, by the measured service time.
+// QueueDelay returns how long a call would wait behind all queued calls, by the measured service time.
 func (l *Limiter) QueueDelay(now clock.Time) clock.Duration {
 	if l.isCold(now) {
 		return l.coldQueueDelay()
@@ -193,14 +193,14 @@
 }
 
 const (
-	// burstQueueFactor times the square root of the limit is how many calls wait now and then at full but not
-	// excessive load.
+	// burstQueueFactor times the square root of the limit is the number of calls that random arrivals queue from time
+	// to time at full but not excessive load.
 	burstQueueFactor = 4
-	// maxSlackFraction of the time that calls have left may at most go by in the queue.
+	// maxSlackFraction is the largest fraction of the calls' remaining time that the expected delay may use.
 	maxSlackFraction = 1.0 / 2
 )
 
-// ExpectedDelay returns the queueing delay that chance alone causes, which is no sign of overload.
+// ExpectedDelay returns the queueing delay that random arrivals cause without overload.
 func (l *Limiter) ExpectedDelay() clock.Duration {
 	chance := burstQueueFactor * l.serviceTime.mean / math.Sqrt(float64(l.limit))
 	return clock.Duration(min(chance, maxSlackFraction*l.slack.mean))
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// oracle follows what each call was told, in plain maps.
+// oracle records the verdicts on each call in plain maps.
 type oracle struct {
 	calls           map[CallID]Call
 	queued, running map[CallID]bool
@@ -19,11 +19,11 @@
 	slots           int
 }
 
-// check takes the verdicts of one event in, in their order.
+// check verifies the verdicts of one event, in their order.
 func (o *oracle) check(t *rapid.T, verdicts []Verdict, now clock.Time, displacing bool) {
 	for _, v := range verdicts {
 		c := o.calls[v.ID]
-		assert.Assert(t, !o.final[v.ID], "a second final verdict for %d", v.ID)
+		assert.Assert(t, !o.final[v.ID], "call %d got a second final verdict", v.ID)
 		o.final[v.ID] = v.Action != Queue
 		delete(o.queued, v.ID)
 		switch v.Action {
@@ -41,7 +41,7 @@
 		}
 	}
 	for id := range o.queued {
-		assert.Assert(t, o.calls[id].Deadline > now, "an expired call still waits")
+		assert.Assert(t, o.calls[id].Deadline > now, "an expired call is still queued")
 	}
 }
 
@@ -123,8 +123,8 @@
 	})
 }
 
-// A backend server that has just started serves its first calls slowly. All its slots at once would time out; a
-// user notices errors after every rolling restart.
+// A backend server that has just started serves its first calls slowly. Calls in all its slots at once would time out,
+// and callers would see errors after every rolling restart.
 func TestColdStartIsRamped(t *testing.T) {
 	l := New(Options{Slots: 80, ColdStart: 10 * clock.Second}, 1000)
 	for second, limit := range map[int]int{0: 10, 5: 45, 10: 80, 20: 80} {
@@ -135,8 +135,8 @@
 	assert.Equal(t, l.Limit(), 10)
 }
 
-// Uploads hold slots for minutes. If they hold all of them, a bulletin that comes then waits for the next to
-// end, although it is first in the queue; a captain notices a timeout.
+// Uploads hold slots for minutes. If they hold all slots, a bulletin that arrives then waits for one of them to end
+// although it is first in the queue, and times out.
 func TestUrgentCallFindsReservedSlot(t *testing.T) {
 	l := New(Options{Slots: 8}, 0)
 	id, now := CallID(0), clock.Time(0)
@@ -155,8 +155,8 @@
 	assert.DeepEqual(t, offer(identifier.Urgent), []Verdict{{id, Dispatch}})
 }
 
-// A call that has less time left than calls take would time out after it has used a slot. A user notices that
-// the service answers fewer calls just when it is slow.
+// A call with less time left than calls take would use a slot and time out. The service would then answer fewer calls
+// whenever it is slow.
 func TestCallsThatMissDeadlineExpire(t *testing.T) {
 	l := New(Options{Slots: 1}, 0)
 	for id := range CallID(20) {
@@ -199,9 +199,9 @@
 	}
 }
 
-// A request whose run takes longer than it may wait in the queue, such as one whose nested calls take most of the time,
-// must still be run. Judged by its wait alone it would look as if it could not end in time, and the endpoint would run
-// a sixteenth of what it can.
+// A request whose run takes longer than its queue timeout, such as one whose nested calls take most of the time, must
+// still be run. If its run time were compared with its queue timeout instead of its deadline, it would seem unable to
+// end in time, and the endpoint would run only a sixteenth of its limit.
 func TestQueueTimeoutIsNoDeadline(t *testing.T) {
 	l := New(Options{Slots: 32, Law: FixedLaw, Order: DueFirst}, 0)
 	now := clock.Time(0)
@@ -222,7 +222,8 @@
 	assert.DeepEqual(t, l.Tick(now.Add(300), nil), []Verdict{{200, Expire}})
 }
 
-// A lookup that is due in 100 ms waits behind nested calls that are due much later; by age or rank it would be late.
+// A lookup that is due in 100 ms waits behind nested calls that are due much later; ordered by age or rank it would be
+// late.
 func TestDueFirst(t *testing.T) {
 	l := New(Options{Slots: 1, Law: FixedLaw, Order: DueFirst}, 0)
 	l.Offer(Call{ID: 1, Deadline: 5000, Due: 1000}, 0, nil)
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -1,8 +1,8 @@
-// Queued calls run most important first and are shed least important first, and both orders must agree at
-// every hop, or one hop works on a request that the next one refuses. The keys of the heaps say so in one
-// place.
+// Queued calls are dispatched most important first and shed least important first. All hops must use the same two
+// orders, or one hop works on a request that the next one refuses. So the keys of both orders are defined in this file
+// only.
 //
-// Example: rank 5 offered before rank 3: next() is rank 3, worst() is rank 5, whatever the order of arrival.
+// Example: with RankOldest, rank 5 is queued before rank 3: rank 3 is dispatched first and rank 5 is shed first.
 
 package limiter
 
@@ -14,7 +14,7 @@
 const (
 	sequenceBits = 48
 	sequenceMask = 1<<sequenceBits - 1
-	// dueSequenceBits leave 44 bits for the due time in milliseconds.
+	// dueSequenceBits leaves 44 bits for the due time in milliseconds.
 	dueSequenceBits = 20
 )
 
@@ -24,7 +24,7 @@
 	running      bool
 }
 
-// queueBound holds the entries of queued calls in four orders; numbers index into the limiter's entries.
+// queue holds the entries of queued calls in four orders; numbers index into the limiter's entries.
 type queue struct {
 	order      Order
 	sequence   uint64
@@ -84,7 +84,8 @@
 	}
 }
 
-// shedKey is smallest for the highest rank; among equals the one that would run last goes first.
+// shedKey is smallest for the highest rank, which is the least important; among equal ranks the call that would be
+// dispatched last is shed first.
 func (q *queue) shedKey(r identifier.Rank) uint64 {
 	worst := uint64(identifier.MaxRank-r) << sequenceBits
 	if q.order == RankNewest || q.order == ClassNewest {
--- a/internal/limiter/standing_test.go
+++ b/internal/limiter/standing_test.go
@@ -9,15 +9,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// requestChain is a request that makes calls one after the other and is of use only if all are run in time.
+// requestChain is a request that makes calls in sequence and succeeds only if all of them are run in time.
 type requestChain struct {
 	deadline clock.Time
 	left     int
 	rank     identifier.Rank
 }
 
-// simulateChains sends requests of some calls each to one endpoint, more than it can run, and returns the part of all requests
-// that came to their end in time.
+// simulateChains sends requests of some calls each to one endpoint, more than it can run, and returns the fraction of
+// the requests that complete in time.
 func simulateChains(order Order, perSecond float64, calls int, within clock.Duration, ranked bool) float64 {
 	const slots, runTime, length = 43, 50, 20000
 	l := New(Options{Slots: slots, Law: FixedLaw, Order: order, Queue: 1000}, 0)
@@ -74,9 +74,9 @@
 	return float64(served) / float64(sent)
 }
 
-// A service at the end of the chains gets somewhat more calls than it can run, and its queue never clears. Each call of a
-// request waits its turn, so that all requests run out of time after most of their work; callers see the whole product
-// down although its slots are busy all the time.
+// A service at the end of call chains gets slightly more calls than it can run, and its queue never empties. If each
+// call of a request waits in turn, all requests time out after most of their work is done, and callers see the whole
+// product down although its slots are always busy.
 func TestChainsCompleteDespiteStandingQueue(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
@@ -84,11 +84,11 @@
 		within    clock.Duration
 		least     float64
 	}{
-		"a tenth too much, short of time": {perSecond: 236, calls: 4, within: 400, least: 0.80},
-		"twice too much, short of time":   {perSecond: 430, calls: 4, within: 400, least: 0.30},
-		"a tenth too much":                {perSecond: 236, calls: 4, within: 800, least: 0.80},
-		"twice too much":                  {perSecond: 430, calls: 4, within: 800, least: 0.30},
-		"all fits":                        {perSecond: 190, calls: 4, within: 800, least: 0.98},
+		"a tenth too much, short deadline": {perSecond: 236, calls: 4, within: 400, least: 0.80},
+		"twice too much, short deadline":   {perSecond: 430, calls: 4, within: 400, least: 0.30},
+		"a tenth too much":                 {perSecond: 236, calls: 4, within: 800, least: 0.80},
+		"twice too much":                   {perSecond: 430, calls: 4, within: 800, least: 0.30},
+		"within capacity":                  {perSecond: 190, calls: 4, within: 800, least: 0.98},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/limiter/types.go
+++ b/internal/limiter/types.go
@@ -1,5 +1,5 @@
-// The reducer and the limiter exchange these: calls go in, verdicts come out as data, and nothing here
-// knows connections or timers.
+// The types that the reducer and the limiter exchange: calls go in, verdicts come out as data. The limiter knows
+// neither connections nor timers, so that its decisions can be tested and repeated.
 //
 // Example: with one slot, Offer(a) gives {a Dispatch}, Offer(b) gives {b Queue}, Done(a) gives {b Dispatch}.
 
@@ -13,18 +13,18 @@
 // CallID is a handle that the node gives to a call; it is unique among the node's open calls.
 type CallID uint64
 
-// Call is what the limiter needs to know of a call.
+// Call holds what the limiter needs to know about a call.
 type Call struct {
 	ID       CallID
 	Rank     identifier.Rank
 	Deadline clock.Time
-	// Due is when the caller expects the answer, by which DueFirst orders.
+	// Due is when the caller expects the answer; DueFirst orders by it.
 	Due clock.Time
-	// WaitUntil is when the call stops waiting in the queue; 0 is the deadline.
+	// WaitUntil is when the call's queue timeout ends; 0 means the deadline.
 	WaitUntil clock.Time
 }
 
-// queueExpiry is when a queued call expires.
+// queueExpiry returns when the call expires if it is still queued.
 func (c Call) queueExpiry() clock.Time {
 	if c.WaitUntil == 0 {
 		return c.Deadline
@@ -32,7 +32,7 @@
 	return min(c.WaitUntil, c.Deadline)
 }
 
-// Action is what becomes of a call.
+// Action is what the limiter does with a call.
 type Action uint8
 
 // Dispatch, Shed and Expire are final: a call gets exactly one of them, at most one Queue before it.
@@ -74,36 +74,37 @@
 	Cancelled
 )
 
-// Order is the order of dispatch among queued calls of one priority class; shedding always goes by rank.
+// Order is the order of dispatch among queued calls; shedding always goes by rank.
 type Order uint8
 
 // The orders of dispatch.
 const (
-	// RankOldest goes by rank, and oldest first among equal ranks.
+	// RankOldest dispatches by rank, and oldest first among equal ranks.
 	RankOldest Order = iota
-	// RankNewest goes by rank, and newest first among equal ranks.
+	// RankNewest dispatches by rank, and newest first among equal ranks.
 	RankNewest
-	// ClassNewest goes by priority class, and newest first within it.
+	// ClassNewest dispatches by priority class, and newest first within it.
 	ClassNewest
-	// ClassOldest goes by priority class, and oldest first within it.
+	// ClassOldest dispatches by priority class, and oldest first within it.
 	ClassOldest
-	// DueFirst goes by when the answer is due. Where those that can't all be served have been refused before, it
-	// makes the fewest answers late: a lookup due in 100 ms passes nested calls of requests due in a second. While the
-	// queueBound does not clear it goes by rank (see standing.go).
+	// DueFirst dispatches the call whose answer is due first. If the calls in excess of the capacity were refused
+	// earlier, this order makes the fewest answers late: a lookup due in 100 ms is run before nested calls of requests
+	// due in a second. While a standing queue lasts, dispatch goes by rank (see standing.go).
 	DueFirst
 )
 
-// Options set a limiter up; zero fields take the defaults.
+// Options configure a limiter; zero fields take the defaults.
 type Options struct {
-	// Slots is how many calls the backend server announced to run at once; at least 1 is used.
+	// Slots is the number of calls that the backend server announced to run at once; at least 1 is used.
 	Slots int
-	// ColdStart is how long the limit takes from a small part of the slots to all of them; zero means no ramp.
+	// ColdStart is the time in which the limit rises from a small fraction of the slots to all of them; zero means no
+	// ramp.
 	ColdStart clock.Duration
 	// Queue is the largest number of queued calls; default 4 for each slot, and at least 64.
 	Queue int
 	// Order is the order of dispatch.
 	Order Order
-	// Law is how the limit follows measured latency.
+	// Law is the control law by which the limit follows measured latency.
 	Law Law
 }
 
