--- a/internal/admitter/loop_test.go
+++ b/internal/admitter/loop_test.go
@@ -252,7 +252,7 @@
 func (w *world) forward(e entry, to identifier.Service, q *request, refused []identifier.Endpoint, answer func(ok, ran bool)) {
 	w.attempts++
 	if refused == nil {
-		e.damper.First(to, w.now)
+		e.damper.CountFirst(to, w.now)
 	}
 	sent := w.now
 	picked, _ := e.router.Pick(to, w.now, refused)
--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -6,7 +6,7 @@
 // each request would add a round trip to it and fail with that node.
 //
 // A node counts its own demand only as far as every other node has heard of it. When a team's demand rises everywhere
-// at once, each node would otherwise set its new figure against the others' old ones, and all of them together would
+// percentile once, each node would otherwise set its new figure against the others' old ones, and all of them together would
 // let several times the rate through until the next reports. What the others have heard shows in the age of their own
 // reports: who reported a second ago has heard what was reported here before that.
 //
@@ -21,34 +21,34 @@
 )
 
 const (
-	// demandMemory is the time constant of the measured demand: four reports long. A shift of callers from one node to
-	// others is followed within some two seconds; with half of it, the parts of a team that sends 2 requests a second
+	// demandTimeConstant is the time constant of the measured demand: four reports long. A shift of callers from one node to
+	// otherDemand is followed within some two seconds; with half of it, the parts of a team that sends 2 requests a second
 	// to each node vary by a third.
-	demandMemory = 2 * clock.Second
-	// silentMemory is how long a silent node keeps its part. A cut lasts seconds and its far side goes on serving;
+	demandTimeConstant = 2 * clock.Second
+	// silentRetention is how long a silent node keeps its part. A cut lasts seconds and its far side goes on serving;
 	// giving its part away would exceed the rate, keeping it costs a team at most that part.
-	silentMemory = 30 * clock.Second
+	silentRetention = 30 * clock.Second
 	// silentAfter is the age of a report from which its node is silent: three periods of the reports.
 	silentAfter = 1500 * clock.Millisecond
-	// reportPeriod is the least time between two reports of a calm node (mesher's period less a tenth), onSchedule the
+	// minReportPeriod is the least time between two reports of a calm node (mesher's period less a tenth), onSchedule the
 	// most with its way.
-	reportPeriod = 450 * clock.Millisecond
-	onSchedule   = 600 * clock.Millisecond
-	// roundTrip is how long a report may be on its way to the node that passes it on: one hop between failure domains
+	minReportPeriod = 450 * clock.Millisecond
+	maxReportPeriod = 600 * clock.Millisecond
+	// maxReportTransit is how long a report may be on its way to the node that passes it on: one hop between failure domains
 	// and a turn of the processor at both ends.
-	roundTrip = 50 * clock.Millisecond
-	// mostReserved keeps a lone node from having nothing left by a sum of figures from different moments.
-	mostReserved = 0.98
+	maxReportTransit = 50 * clock.Millisecond
+	// maxReserved keeps a lone node from having nothing left by a sum of figures from different moments.
+	maxReserved = 0.98
 	// What a team does not use of its rate is shared out equally, within these parts of it, so that the first requests
-	// at a node are not refused and chance is allowed for. A team that uses all of its rate has nothing to share out:
+	// percentile a node are not refused and chance is allowed for. A team that uses all of its rate has nothing to share out:
 	// nodes where few of its requests arrive would keep what the others need.
-	leastShared = 0.05
-	mostShared  = 0.5
-	// startTokens is what a bucket holds when its node starts. A bucket that began full would grant the burst again
+	minSharedFraction = 0.05
+	maxSharedFraction = 0.5
+	// initialTokens is what a bucket holds when its node starts. A bucket that began full would grant the burst again
 	// after every restart, to the fleet's sum after a restart of all.
-	startTokens = 1
-	// leastCapacity lets a node with a tiny part of a small burst hold one request's worth.
-	leastCapacity = 1
+	initialTokens = 1
+	// minCapacity lets a node with a tiny part of a small burst hold one request's worth.
+	minCapacity = 1
 )
 
 // Apportioner decides which requests of a team are within its rate; it is not safe for concurrent use.
@@ -60,38 +60,38 @@
 	nodes int
 	peers map[identifier.Node]peer
 	start clock.Time
-	// silent is how many of the peers are silent, horizon until when the others have heard this node's reports.
-	silent  int
-	horizon clock.Time
-	// heard is when reports last came in, summed when silence was last judged.
-	heard, summed clock.Time
+	// silentDemand is how many of the peers are silent, horizon until when the others have heard this node's reports.
+	silent         int
+	deliveredUntil clock.Time
+	// lastReportsAt is when reports last came in, summed when silence was last judged.
+	lastReportsAt, lastRefresh clock.Time
 }
 
 type peer struct {
 	demand map[identifier.Team]float64
-	// made is when the report was made, by this node's clock.
-	made clock.Time
-	// parts are the peer's parts, at that time, of the rates of the teams that it has a demand of; idle are those of all
+	// reportedAt is when the report was made, by this node's clock.
+	reportedAt clock.Time
+	// shares are the peer's parts, at that time, of the rates of the teams that it has a demand of; idle are those of all
 	// teams for a node without any demand.
-	parts, idle map[identifier.Team]float64
+	shares, idleShares map[identifier.Team]float64
 }
 
 func (p peer) isSilent(now clock.Time) bool {
-	return now.Sub(p.made) > silentAfter
+	return now.Sub(p.reportedAt) > silentAfter
 }
 
 type bucket struct {
 	rate, burst float64
 	tokens      float64
-	filled      clock.Time
+	filledAt    clock.Time
 	demand      float64
-	measured    clock.Time
-	// others is the demand at all other nodes, silent that part of it which is at silent ones, and reserved the part of
+	decayedAt   clock.Time
+	// otherDemand is the demand at all other nodes, silent that part of it which is at silent ones, and reserved the part of
 	// the rate that those keep.
-	others, silent, reserved float64
-	// told is the latest of this node's reported demands that all others have heard, reports are the later ones.
-	told    float64
-	reports []ownReport
+	otherDemand, silentDemand, reservedShare float64
+	// deliveredDemand is the latest of this node's reported demands that all others have heard, reports are the later ones.
+	deliveredDemand float64
+	reports         []ownReport
 }
 
 // ownReport is a demand that this node reported.
@@ -100,9 +100,9 @@
 	demand float64
 }
 
-// usedTolerance is the part of the tolerance by which buckets are larger than the burst. A burst that is cut in 18 holds
+// bucketToleranceFraction is the part of the tolerance by which buckets are larger than the burst. A burst that is cut in 18 holds
 // 3 requests at each node, and chance alone often brings more; the rest is left for reports that are late.
-const usedTolerance = 0.3
+const bucketToleranceFraction = 0.3
 
 // New returns an apportioner that knows no team.
 func New(self identifier.Node, t Tolerance, now clock.Time) *Apportioner {
@@ -125,7 +125,7 @@
 func (a *Apportioner) SetTeam(name identifier.Team, rate, burst float64, now clock.Time) {
 	b, ok := a.teams[name]
 	if !ok {
-		a.teams[name] = &bucket{rate: rate, burst: burst, tokens: startTokens, filled: now, measured: now}
+		a.teams[name] = &bucket{rate: rate, burst: burst, tokens: initialTokens, filledAt: now, decayedAt: now}
 		return
 	}
 	a.fill(b, now)
@@ -133,45 +133,45 @@
 	b.tokens = min(b.tokens, a.capacity(b))
 }
 
-// Heard is what another node reported.
-type Heard struct {
+// DemandReport is what another node reported.
+type DemandReport struct {
 	Node   identifier.Node
 	Demand map[identifier.Team]float64
-	// Made is when the report was made, by this node's clock.
-	Made clock.Time
+	// MadeAt is when the report was made, by this node's clock.
+	MadeAt clock.Time
 }
 
-// Hear takes over reports of other nodes.
-func (a *Apportioner) Hear(reports []Heard, now clock.Time) {
+// AddReports takes over reports of other nodes.
+func (a *Apportioner) AddReports(reports []DemandReport, now clock.Time) {
 	for _, r := range reports {
 		if r.Node != a.self {
-			a.peers[r.Node] = peer{demand: r.Demand, made: r.Made}
+			a.peers[r.Node] = peer{demand: r.Demand, reportedAt: r.MadeAt}
 		}
 	}
-	a.heard = now
-	a.sum(now)
+	a.lastReportsAt = now
+	a.refresh(now)
 	// Only now is known what all of them together ask for. Most nodes have no demand of most teams, and share one table of
 	// parts: with one each, 87 reports with 87 teams took 1.4 ms and 308 kB, two to five times a second at each node.
-	idle := make(map[identifier.Team]float64, len(a.teams))
+	idleShares := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
-		idle[name] = a.partOf(b, 0)
+		idleShares[name] = a.shareFor(b, 0)
 	}
 	for _, r := range reports {
 		if p, ok := a.peers[r.Node]; ok {
-			p.parts, p.idle = a.partsOf(p.demand), idle
+			p.shares, p.idleShares = a.sharesFor(p.demand), idleShares
 			a.peers[r.Node] = p
 		}
 	}
 }
 
-func (a *Apportioner) partsOf(demand map[identifier.Team]float64) map[identifier.Team]float64 {
-	parts := make(map[identifier.Team]float64, len(demand))
+func (a *Apportioner) sharesFor(demand map[identifier.Team]float64) map[identifier.Team]float64 {
+	shares := make(map[identifier.Team]float64, len(demand))
 	for name, d := range demand {
 		if b, ok := a.teams[name]; ok {
-			parts[name] = a.partOf(b, d)
+			shares[name] = a.shareFor(b, d)
 		}
 	}
-	return parts
+	return shares
 }
 
 // Forget drops a node that has stopped as planned: it lets nothing through any more.
@@ -179,86 +179,86 @@
 	delete(a.peers, node)
 }
 
-// sumPeriod is how often silence is judged: a fifteenth of the time after which a node counts as silent. Summing up all peers is
+// refreshPeriod is how often silence is judged: a fifteenth of the time after which a node counts as silent. Summing up all peers is
 // most of what a tick costs in a large fleet.
-const sumPeriod = 100 * clock.Millisecond
+const refreshPeriod = 100 * clock.Millisecond
 
 // Tick judges who is silent, and counts what the others have heard by now.
 func (a *Apportioner) Tick(now clock.Time) {
 	for _, b := range a.teams {
 		a.fill(b, now)
 	}
-	if now.Sub(a.summed) >= sumPeriod {
-		a.sum(now)
+	if now.Sub(a.lastRefresh) >= refreshPeriod {
+		a.refresh(now)
 	}
 }
 
-func (a *Apportioner) sum(now clock.Time) {
-	a.summed = now
-	a.silent, a.horizon = 0, now
+func (a *Apportioner) refresh(now clock.Time) {
+	a.lastRefresh = now
+	a.silent, a.deliveredUntil = 0, now
 	for _, b := range a.teams {
-		b.others, b.silent, b.reserved = 0, 0, 0
+		b.otherDemand, b.silentDemand, b.reservedShare = 0, 0, 0
 	}
 	for node, p := range a.peers {
-		if now.Sub(p.made) > silentMemory {
+		if now.Sub(p.reportedAt) > silentRetention {
 			delete(a.peers, node)
 			continue
 		}
-		a.add(p, now)
+		a.addPeer(p, now)
 	}
 	for _, b := range a.teams {
-		b.reserved = min(b.reserved, mostReserved)
-		b.hearUntil(a.horizon)
+		b.reservedShare = min(b.reservedShare, maxReserved)
+		b.deliverReports(a.deliveredUntil)
 	}
 }
 
-func (a *Apportioner) add(p peer, now clock.Time) {
+func (a *Apportioner) addPeer(p peer, now clock.Time) {
 	silent := p.isSilent(now)
 	if silent {
 		a.silent++
 	} else {
-		a.horizon = min(a.horizon, a.heardUntil(p, now))
+		a.deliveredUntil = min(a.deliveredUntil, a.reportsDeliveredUntil(p, now))
 	}
 	for name, demand := range p.demand {
 		b, ok := a.teams[name]
 		if !ok {
 			continue
 		}
-		b.others += demand
+		b.otherDemand += demand
 		if silent {
-			b.silent += demand
+			b.silentDemand += demand
 		}
 	}
 	if !silent {
 		return
 	}
-	for name, part := range p.idle {
-		if own, ok := p.parts[name]; ok {
-			part = own
+	for name, share := range p.idleShares {
+		if own, ok := p.shares[name]; ok {
+			share = own
 		}
 		if b, ok := a.teams[name]; ok {
-			b.reserved += part
+			b.reservedShare += share
 		}
 	}
 }
 
-// heardUntil is until when a peer has heard this node's reports. One that reports on schedule is about to ask again, and
+// reportsDeliveredUntil is until when a peer has heard this node's reports. One that reports on schedule is about to ask again, and
 // has heard the report before the latest.
-func (a *Apportioner) heardUntil(p peer, now clock.Time) clock.Time {
+func (a *Apportioner) reportsDeliveredUntil(p peer, now clock.Time) clock.Time {
 	asked := now
-	if now.Sub(a.heard) <= onSchedule {
-		asked = a.heard
+	if now.Sub(a.lastReportsAt) <= maxReportPeriod {
+		asked = a.lastReportsAt
 	}
-	if asked.Sub(p.made) <= onSchedule {
-		return asked.Add(-reportPeriod)
+	if asked.Sub(p.reportedAt) <= maxReportPeriod {
+		return asked.Add(-minReportPeriod)
 	}
-	return p.made.Add(-roundTrip)
+	return p.reportedAt.Add(-maxReportTransit)
 }
 
-// hearUntil counts the reports up to a time as heard by all.
-func (b *bucket) hearUntil(horizon clock.Time) {
+// deliverReports counts the reports up to a time as heard by all.
+func (b *bucket) deliverReports(horizon clock.Time) {
 	for len(b.reports) > 0 && b.reports[0].at <= horizon {
-		b.told = b.reports[0].demand
+		b.deliveredDemand = b.reports[0].demand
 		b.reports = b.reports[1:]
 	}
 }
@@ -277,7 +277,7 @@
 func (a *Apportioner) Demand(now clock.Time) map[identifier.Team]float64 {
 	demand := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
-		b.decay(now)
+		b.decayDemand(now)
 		b.reports = append(b.reports, ownReport{at: now, demand: b.demand})
 		if b.demand > 0.01 {
 			demand[name] = b.demand
@@ -304,26 +304,26 @@
 	if !ok || b.rate <= 0 {
 		return Verdict{Allowed: true, Part: 1}
 	}
-	b.decay(now)
-	b.demand += float64(clock.Second) / float64(demandMemory)
+	b.decayDemand(now)
+	b.demand += float64(clock.Second) / float64(demandTimeConstant)
 	a.fill(b, now)
-	part := a.part(b)
-	if b.tokens >= 1 || b.tokens >= 0 && a.calm(b, now) {
+	share := a.share(b)
+	if b.tokens >= 1 || b.tokens >= 0 && a.wellWithinRate(b, now) {
 		b.tokens--
-		return Verdict{Allowed: true, Part: part}
+		return Verdict{Allowed: true, Part: share}
 	}
-	perMilli := max(b.rate*part, 0.1) / float64(clock.Second)
+	perMilli := max(b.rate*share, 0.1) / float64(clock.Second)
 	return Verdict{
 		Wait:      clock.Duration((1 - b.tokens) / perMilli),
-		Part:      part,
-		Elsewhere: b.told+b.others <= pressingPart*b.rate,
+		Part:      share,
+		Elsewhere: b.deliveredDemand+b.otherDemand <= saturatingDemandRatio*b.rate,
 	}
 }
 
-// Spare takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3 requests
+// TakeForPeer takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3 requests
 // a second at each, single buckets refuse a sixth of a team that sends just its rate (in the package's test); one more
 // bucket to ask makes that a twentieth.
-func (a *Apportioner) Spare(team identifier.Team, now clock.Time) bool {
+func (a *Apportioner) TakeForPeer(team identifier.Team, now clock.Time) bool {
 	b, ok := a.teams[team]
 	if !ok || b.rate <= 0 {
 		return ok
@@ -336,13 +336,13 @@
 	return true
 }
 
-// calmPart is the part of its rate below which a team is calm: its requests are then within the rate, and where a bucket
+// withinRateFraction is the part of its rate below which a team is calm: its requests are then within the rate, and where a bucket
 // is empty chance has brought them to one node. A calm team may owe up to one request at each node; of 36 requests a
 // second over 18 nodes with a rate of 52, 3% are refused without that (in the package's test).
-const calmPart = 0.9
+const withinRateFraction = 0.9
 
-func (a *Apportioner) calm(b *bucket, now clock.Time) bool {
-	return now.Sub(a.start) >= settleTime && 2*len(a.peers) >= a.nodes-1 && b.told+b.others < calmPart*b.rate
+func (a *Apportioner) wellWithinRate(b *bucket, now clock.Time) bool {
+	return now.Sub(a.start) >= settleTime && 2*len(a.peers) >= a.nodes-1 && b.deliveredDemand+b.otherDemand < withinRateFraction*b.rate
 }
 
 // Return gives back the token of a request that did not run.
@@ -352,62 +352,62 @@
 	}
 }
 
-func (b *bucket) decay(now clock.Time) {
-	age := float64(now.Sub(b.measured)) / float64(demandMemory)
+func (b *bucket) decayDemand(now clock.Time) {
+	age := float64(now.Sub(b.decayedAt)) / float64(demandTimeConstant)
 	if age <= 0 {
 		return
 	}
 	b.demand /= 1 + age
-	b.measured = now
+	b.decayedAt = now
 }
 
 func (a *Apportioner) fill(b *bucket, now clock.Time) {
-	span := now.Sub(b.filled)
+	span := now.Sub(b.filledAt)
 	if span <= 0 {
 		return
 	}
-	b.filled = now
-	perSecond := b.rate * a.part(b) * a.overcommitment(b)
+	b.filledAt = now
+	perSecond := b.rate * a.share(b) * a.overcommitment(b)
 	b.tokens = min(a.capacity(b), b.tokens+perSecond*float64(span)/float64(clock.Second))
 }
 
 const (
-	// usedOvercommitment is the part of the tolerated excess by which the parts come to more than the whole where a
+	// overcommitmentFraction is the part of the tolerated excess by which the parts come to more than the whole where a
 	// team's demand is about its rate. Some buckets are then full while others are empty, and what runs over is lost.
-	usedOvercommitment = 0.5
-	// pressingPart of its rate is the demand from which no bucket is ever full, so that nothing runs over.
-	pressingPart = 1.4
+	overcommitmentFraction = 0.5
+	// saturatingDemandRatio of its rate is the demand from which no bucket is ever full, so that nothing runs over.
+	saturatingDemandRatio = 1.4
 )
 
 func (a *Apportioner) overcommitment(b *bucket) float64 {
-	if b.told+b.others > pressingPart*b.rate {
+	if b.deliveredDemand+b.otherDemand > saturatingDemandRatio*b.rate {
 		return 1
 	}
-	return 1 + usedOvercommitment*a.tolerance.Part
+	return 1 + overcommitmentFraction*a.tolerance.Part
 }
 
 func (a *Apportioner) capacity(b *bucket) float64 {
-	extra := usedTolerance * a.tolerance.Excess(b.rate, b.burst)
-	return max(leastCapacity, (b.burst+extra)*a.part(b))
+	extra := bucketToleranceFraction * a.tolerance.Excess(b.rate, b.burst)
+	return max(minCapacity, (b.burst+extra)*a.share(b))
 }
 
 // settleTime is how long after its start a node relies on equal parts: until then it can't know what arrives at it.
 const settleTime = 2 * clock.Second
 
-// part is this node's part of a team's rate. Half or more of the other nodes must have reported; with fewer, a node
+// share is this node's part of a team's rate. Half or more of the other nodes must have reported; with fewer, a node
 // that knows nothing would take its own demand for all there is.
-func (a *Apportioner) part(b *bucket) float64 {
+func (a *Apportioner) share(b *bucket) float64 {
 	equal := 1 / float64(a.nodes)
-	if b.filled.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
+	if b.filledAt.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
 		return equal
 	}
-	return a.partOf(b, b.told)
+	return a.shareFor(b, b.deliveredDemand)
 }
 
-// partOf is the part of the rate that goes with a demand at one node. Silent nodes have theirs set aside.
-func (a *Apportioner) partOf(b *bucket, demand float64) float64 {
-	shared := min(mostShared*b.rate, max(leastShared*b.rate, b.rate-b.told-b.others))
+// shareFor is the part of the rate that goes with a demand at one node. Silent nodes have theirs set aside.
+func (a *Apportioner) shareFor(b *bucket, demand float64) float64 {
+	shared := min(maxSharedFraction*b.rate, max(minSharedFraction*b.rate, b.rate-b.deliveredDemand-b.otherDemand))
 	equal := shared / float64(a.nodes)
-	whole := b.told + b.others - b.silent + equal*float64(max(1, a.nodes-a.silent))
-	return (1 - b.reserved) * (demand + equal) / whole
+	whole := b.deliveredDemand + b.otherDemand - b.silentDemand + equal*float64(max(1, a.nodes-a.silent))
+	return (1 - b.reservedShare) * (demand + equal) / whole
 }
--- a/internal/apportioner/apportioner_test.go
+++ b/internal/apportioner/apportioner_test.go
@@ -14,21 +14,21 @@
 
 const team = identifier.Team("parish")
 
-// fleet is some nodes that report to each other by way of hubs, as exchanges between real nodes do.
+// simulation is some nodes that report to each other by way of hubs, as exchanges between real nodes do.
 type fleet struct {
-	nodes   []*Apportioner
-	hubs    []hub
-	offsets []clock.Duration
-	passed  []clock.Time
+	nodes     []*Apportioner
+	hubs      []hub
+	offsets   []clock.Duration
+	allowedAt []clock.Time
 	// hubOf tells which hub a node exchanges reports with, stands whether it is suspended.
-	hubOf  func(node int, now clock.Time) int
-	stands func(node int, now clock.Time) bool
-	// stood is how long each node has been suspended; its clock is behind by that.
-	stood []clock.Duration
+	hubOf       func(node int, now clock.Time) int
+	isSuspended func(node int, now clock.Time) bool
+	// suspendedFor is how long each node has been suspended; its clock is behind by that.
+	suspendedFor []clock.Duration
 }
 
 // hub is the latest report of each node that a node passes on.
-type hub map[int]Heard
+type hub map[int]DemandReport
 
 var tolerance = Tolerance{Window: 5, Part: 0.1, Requests: 20}
 
@@ -36,10 +36,10 @@
 
 func newFleet(n int, rate, burst float64) *fleet {
 	f := &fleet{
-		hubs:   []hub{{}, {}},
-		hubOf:  func(int, clock.Time) int { return 0 },
-		stands: func(int, clock.Time) bool { return false },
-		stood:  make([]clock.Duration, n),
+		hubs:         []hub{{}, {}},
+		hubOf:        func(int, clock.Time) int { return 0 },
+		isSuspended:  func(int, clock.Time) bool { return false },
+		suspendedFor: make([]clock.Duration, n),
 	}
 	for i := range n {
 		a := New(nodeName(i), tolerance, 0)
@@ -57,14 +57,14 @@
 
 // clock returns a node's own time.
 func (f *fleet) clock(node int, now clock.Time) clock.Time {
-	return now.Add(-f.stood[node])
+	return now.Add(-f.suspendedFor[node])
 }
 
 // step lets one millisecond pass; each node exchanges its report once a period, at its own moment.
 func (f *fleet) step(now clock.Time) {
 	for i, a := range f.nodes {
-		if f.stands(i, now) {
-			f.stood[i]++
+		if f.isSuspended(i, now) {
+			f.suspendedFor[i]++
 			continue
 		}
 		own := f.clock(i, now)
@@ -73,38 +73,38 @@
 			continue
 		}
 		h := f.hubs[f.hubOf(i, now)]
-		h[i] = Heard{Node: nodeName(i), Demand: a.Demand(own), Made: now}
-		var reports []Heard
+		h[i] = DemandReport{Node: nodeName(i), Demand: a.Demand(own), MadeAt: now}
+		var reports []DemandReport
 		for j, report := range h {
 			// The newest report of a node counts, whichever way it comes.
-			if known, ok := a.peers[nodeName(j)]; !ok || known.made < report.Made.Add(-f.stood[i]) {
-				report.Made = report.Made.Add(-f.stood[i])
+			if known, ok := a.peers[nodeName(j)]; !ok || known.reportedAt < report.MadeAt.Add(-f.suspendedFor[i]) {
+				report.MadeAt = report.MadeAt.Add(-f.suspendedFor[i])
 				reports = append(reports, report)
 			}
 		}
-		a.Hear(reports, own)
+		a.AddReports(reports, own)
 	}
 }
 
-// play sends per-node rates and returns at which moments requests were let through.
-func (f *fleet) play(from, to clock.Time, perSecond func(node int, now clock.Time) float64) []clock.Time {
+// simulate sends per-node rates and returns at which moments requests were let through.
+func (f *fleet) simulate(from, to clock.Time, perSecond func(node int, now clock.Time) float64) []clock.Time {
 	credit := make([]float64, len(f.nodes))
 	for now := from; now < to; now++ {
 		f.step(now)
 		for i, a := range f.nodes {
 			credit[i] += perSecond(i, now) / float64(clock.Second)
-			for credit[i] >= 1 && !f.stands(i, now) {
+			for credit[i] >= 1 && !f.isSuspended(i, now) {
 				credit[i]--
 				if a.Take(team, f.clock(i, now)).Allowed {
-					f.passed = append(f.passed, now)
+					f.allowedAt = append(f.allowedAt, now)
 				}
 			}
 		}
 	}
-	return f.passed
+	return f.allowedAt
 }
 
-func mostIn(passed []clock.Time, window clock.Duration) int {
+func maxInWindow(passed []clock.Time, window clock.Duration) int {
 	most, first := 0, 0
 	for last := range passed {
 		for passed[last].Sub(passed[first]) >= window {
@@ -118,17 +118,17 @@
 // A team begins to send seven times its usual everywhere at once. Each node sees its own demand rise at once and the
 // others' only with their next report, so each takes itself for most of what there is. Users of the other teams notice:
 // the greedy team gets several times its rate until the reports are round.
-func TestRateHoldsWhenDemandRisesEverywhereAtOnce(t *testing.T) {
+func TestRateHoldsOnSimultaneousDemandRise(t *testing.T) {
 	const rate, burst, window = 180.0, 180.0, 5 * clock.Second
 	f := newFleet(14, rate, burst)
-	passed := f.play(0, 16000, func(_ int, now clock.Time) float64 {
+	passed := f.simulate(0, 16000, func(_ int, now clock.Time) float64 {
 		if now < 6000 {
 			return 110.0 / 14
 		}
 		return 110.0 * 7 / 14
 	})
 	allowed := rate*5 + burst
-	got := mostIn(passed, window)
+	got := maxInWindow(passed, window)
 	assert.Assert(t, float64(got) <= allowed*1.06+12, "%d requests in 5 s, want at most %.0f", got, allowed)
 	assert.Assert(t, float64(got) >= allowed*0.9, "%d requests in 5 s, want nearly %.0f", got, allowed)
 }
@@ -136,26 +136,26 @@
 // Five nodes of eighteen are suspended for three seconds, and one of them is the node that all exchange reports with. When
 // they wake they go on exchanging with each other, while the others have turned to another node and come back to the
 // first only after a second; meanwhile a team sends six times its usual. The woken nodes serve by what they knew, and the
-// others must have left them their part, or the team gets more than it bought and the others wait behind it.
-func TestRateHoldsWhenSuspendedNodesWakeIntoARise(t *testing.T) {
+// otherDemand must have left them their part, or the team gets more than it bought and the others wait behind it.
+func TestRateHoldsWhenNodesResumeDuringDemandRise(t *testing.T) {
 	const rate, burst, window = 168.0, 168.0, 5 * clock.Second
 	f := newFleet(18, rate, burst)
 	suspended := func(node int) bool { return node < 5 }
-	f.stands = func(node int, now clock.Time) bool { return suspended(node) && now >= 5000 && now < 8000 }
+	f.isSuspended = func(node int, now clock.Time) bool { return suspended(node) && now >= 5000 && now < 8000 }
 	f.hubOf = func(node int, now clock.Time) int {
 		if !suspended(node) && now >= 5400 && now < 9200 {
 			return 1
 		}
 		return 0
 	}
-	passed := f.play(0, 18000, func(_ int, now clock.Time) float64 {
+	passed := f.simulate(0, 18000, func(_ int, now clock.Time) float64 {
 		if now < 8100 {
 			return 0.7 * rate / 18
 		}
 		return 6 * 0.7 * rate / 18
 	})
 	allowed := rate*5 + burst
-	got := mostIn(passed, window)
+	got := maxInWindow(passed, window)
 	t.Logf("%d requests in 5 s, %.0f allowed", got, allowed)
 	assert.Assert(t, float64(got) <= allowed*1.02, "%d requests in 5 s, want at most %.0f", got, allowed)
 	assert.Assert(t, float64(got) >= allowed*0.85, "%d requests in 5 s, want nearly %.0f", got, allowed)
@@ -163,7 +163,7 @@
 
 // A cut parts the fleet in halves while a team's demand rises sixfold. Each half hears nothing more of the other, and
 // would give its own new demand nearly all of the rate.
-func TestRateHoldsAcrossACut(t *testing.T) {
+func TestRateHoldsDuringPartition(t *testing.T) {
 	const rate, burst, window = 168.0, 168.0, 5 * clock.Second
 	f := newFleet(18, rate, burst)
 	f.hubOf = func(node int, now clock.Time) int {
@@ -172,14 +172,14 @@
 		}
 		return 0
 	}
-	passed := f.play(0, 20000, func(_ int, now clock.Time) float64 {
+	passed := f.simulate(0, 20000, func(_ int, now clock.Time) float64 {
 		if now < 6200 {
 			return 0.7 * rate / 18
 		}
 		return 6 * 0.7 * rate / 18
 	})
 	allowed := rate*5 + burst
-	got := mostIn(passed, window)
+	got := maxInWindow(passed, window)
 	t.Logf("%d requests in 5 s, %.0f allowed", got, allowed)
 	assert.Assert(t, float64(got) <= allowed*1.06+12, "%d requests in 5 s, want at most %.0f", got, allowed)
 }
@@ -188,7 +188,7 @@
 // well within its rate would be refused there.
 func TestSkewedTeamWithinItsRateIsNotRefused(t *testing.T) {
 	f := newFleet(14, 180, 180)
-	passed := f.play(0, 20000, func(node int, _ clock.Time) float64 {
+	passed := f.simulate(0, 20000, func(node int, _ clock.Time) float64 {
 		if node < 3 {
 			return 110.0 / 3
 		}
@@ -205,21 +205,21 @@
 
 // All nodes are killed at once and start again while a team presses. Buckets that began full would grant the whole
 // burst a second time within the same window.
-func TestRestartOfAllGrantsNoSecondBurst(t *testing.T) {
+func TestFleetRestartGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst = 180.0, 180.0
 	press := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
 	f := newFleet(14, rate, burst)
-	f.play(0, 6000, func(int, clock.Time) float64 { return 5 })
-	before := f.play(6000, 8000, press)
+	f.simulate(0, 6000, func(int, clock.Time) float64 { return 5 })
+	before := f.simulate(6000, 8000, press)
 	again := newFleet(14, rate, burst)
 	for _, a := range again.nodes {
 		a.start = 8000
 		for _, b := range a.teams {
-			b.filled, b.measured = 8000, 8000
+			b.filledAt, b.decayedAt = 8000, 8000
 		}
 	}
-	after := again.play(8000, 12000, press)
-	got := mostIn(append(before, after...), 5*clock.Second)
+	after := again.simulate(8000, 12000, press)
+	got := maxInWindow(append(before, after...), 5*clock.Second)
 	assert.Assert(t, float64(got) <= (rate*5+burst)*1.06+12, "%d requests in 5 s", got)
 }
 
@@ -230,10 +230,10 @@
 		const rate, burst, nodes = 120.0, 120.0, 8
 		levels := rapid.SliceOfN(rapid.Float64Range(0, 120), nodes*4, nodes*4).Draw(t, "levels")
 		f := newFleet(nodes, rate, burst)
-		passed := f.play(0, 10000, func(node int, now clock.Time) float64 {
+		passed := f.simulate(0, 10000, func(node int, now clock.Time) float64 {
 			return levels[node*4+int(now/2500)]
 		})
-		got := mostIn(passed, 5*clock.Second)
+		got := maxInWindow(passed, 5*clock.Second)
 		if float64(got) > (rate*5+burst)*1.1+20 {
 			t.Fatalf("%d requests in 5 s", got)
 		}
@@ -249,7 +249,7 @@
 	assert.Assert(t, a.Take("unknown", 0).Allowed)
 }
 
-func TestReturnedTokenIsGivenAgain(t *testing.T) {
+func TestReturnedTokenIsReused(t *testing.T) {
 	a := New("n", Tolerance{}, 0)
 	a.SetTeam(team, 1, 1, 0)
 	assert.Assert(t, a.Take(team, 0).Allowed)
@@ -308,7 +308,7 @@
 					v := a.Take(team, now)
 					allowed := v.Allowed
 					for other := 0; !allowed && v.Elsewhere && other < test.others; other++ {
-						allowed = f.nodes[random.IntN(len(f.nodes))].Spare(team, now)
+						allowed = f.nodes[random.IntN(len(f.nodes))].TakeForPeer(team, now)
 					}
 					if now < 10000 {
 						continue
@@ -328,45 +328,45 @@
 
 // A silent node keeps the part that it had of each team's rate: by its demand where it had any, an idle node's where not. What
 // it is kept must not hang on how the parts are held.
-func TestSilentNodeKeepsItsPartOfEachTeam(t *testing.T) {
+func TestSilentNodeKeepsItsShares(t *testing.T) {
 	a := New("n0", tolerance, 0)
 	a.SetNodes(3)
 	teams := []identifier.Team{"busy", "idle"}
 	for _, name := range teams {
 		a.SetTeam(name, 100, 100, 0)
 	}
-	a.Hear([]Heard{
-		{Node: "n1", Demand: map[identifier.Team]float64{"busy": 60}, Made: 5000},
-		{Node: "n2", Demand: map[identifier.Team]float64{"busy": 20}, Made: 5000},
+	a.AddReports([]DemandReport{
+		{Node: "n1", Demand: map[identifier.Team]float64{"busy": 60}, MadeAt: 5000},
+		{Node: "n2", Demand: map[identifier.Team]float64{"busy": 20}, MadeAt: 5000},
 	}, 5000)
 	want := map[identifier.Team]float64{}
 	for _, name := range teams {
 		b := a.teams[name]
-		want[name] = a.partOf(b, a.peers["n1"].demand[name]) + a.partOf(b, a.peers["n2"].demand[name])
+		want[name] = a.shareFor(b, a.peers["n1"].demand[name]) + a.shareFor(b, a.peers["n2"].demand[name])
 	}
 	a.Tick(7000)
 	assert.Equal(t, a.silent, 2)
 	for _, name := range teams {
-		assert.Equal(t, a.teams[name].reserved, min(mostReserved, want[name]), "%s", name)
+		assert.Equal(t, a.teams[name].reservedShare, min(maxReserved, want[name]), "%s", name)
 	}
-	assert.Assert(t, a.teams["busy"].reserved > a.teams["idle"].reserved)
+	assert.Assert(t, a.teams["busy"].reservedShare > a.teams["idle"].reservedShare)
 }
 
-// BenchmarkHear takes in what 87 other nodes report, with 87 teams known, as each of 88 nodes does two to five times a second.
+// BenchmarkAddReports takes in what 87 other nodes report, with 87 teams known, as each of 88 nodes does two to five times a second.
 // With a table of parts for each node it took 1,402 us and 308 kB, with one for all idle nodes 23 us and 8 kB.
-func BenchmarkHear(b *testing.B) {
+func BenchmarkAddReports(b *testing.B) {
 	a := New("n0", tolerance, 0)
 	a.SetNodes(88)
 	for i := range 87 {
 		a.SetTeam(identifier.Team(fmt.Sprint("team-", i)), 20, 20, 0)
 	}
-	var reports []Heard
+	var reports []DemandReport
 	for i := 1; i < 88; i++ {
-		reports = append(reports, Heard{Node: nodeName(i)})
+		reports = append(reports, DemandReport{Node: nodeName(i)})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		a.Hear(reports, 1000)
+		a.AddReports(reports, 1000)
 	}
 }
 
--- a/internal/conductor/delivery.go
+++ b/internal/conductor/delivery.go
@@ -57,7 +57,7 @@
 		c.emit(TurnAway{ID: e.ID, Outcome: Moved, Reason: EndpointGone})
 		return
 	}
-	if e.RateUnchecked != "" && !c.apportioner.Spare(e.RateUnchecked, now) {
+	if e.RateUnchecked != "" && !c.apportioner.TakeForPeer(e.RateUnchecked, now) {
 		c.emit(TurnAway{ID: e.ID, Outcome: Over, Reason: OverRate})
 		return
 	}
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -328,7 +328,7 @@
 	life := w.nodes[i].life
 	wait, reached := clock.Duration(fuzzLatency), true
 	if w.nodes[w.nodeOf(p.Node)].frozen {
-		wait, reached = detector.Patience, false
+		wait, reached = detector.ProbeTimeout, false
 	}
 	w.after(wait, func() {
 		if n := w.nodes[i]; n.life == life && n.up && !n.frozen {
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -56,7 +56,7 @@
 	}
 	c.members[m.Node] = m
 	if m.Node != c.self.Node {
-		c.detector.Know(m.Node, m.Domain)
+		c.detector.SetDomain(m.Node, m.Domain)
 	}
 	if !ok {
 		c.table.MembersChanged()
@@ -141,7 +141,7 @@
 
 func (c *Conductor) peerFailed(e PeerFailed, now clock.Time) {
 	c.unanswered = true
-	c.detector.Doubt(e.Node, now)
+	c.detector.Suspect(e.Node, now)
 	if !e.Sought {
 		c.table.Failed(e.Node, now)
 	}
@@ -150,12 +150,12 @@
 func (c *Conductor) peerAnswered(e PeerAnswered, now clock.Time) {
 	c.table.Answered(e.Node)
 	c.answered, c.unanswered = now, false
-	c.detector.Word(e.Node, now)
+	c.detector.RecordContact(e.Node, now)
 	c.takeReports(c.table.Hear(e.Node, e.Answer), c.members[e.Node], now)
 }
 
 func (c *Conductor) takeReports(reports []exchanger.Report, from exchanger.Member, now clock.Time) {
-	heard := make([]apportioner.Heard, 0, len(reports))
+	heard := make([]apportioner.DemandReport, 0, len(reports))
 	for _, r := range reports {
 		if r.Member.Node == c.self.Node {
 			c.supersede(r.Member, now)
@@ -166,10 +166,10 @@
 		}
 		c.learnMember(MemberLearned{Member: r.Member}, now)
 		c.learnOthersCold(r, now)
-		c.router.Learn(r.Member.Endpoint, runTimesOf(r))
-		heard = append(heard, apportioner.Heard{Node: r.Member.Node, Demand: r.Demand, Made: now.Add(-r.Age)})
+		c.router.SetRunTimes(r.Member.Endpoint, runTimesOf(r))
+		heard = append(heard, apportioner.DemandReport{Node: r.Member.Node, Demand: r.Demand, MadeAt: now.Add(-r.Age)})
 	}
-	c.apportioner.Hear(heard, now)
+	c.apportioner.AddReports(heard, now)
 }
 
 // silencePeriod is how often silence is judged, a tenth of the time that it takes to be suspected.
@@ -216,7 +216,7 @@
 		NestedTime: c.runTimes.nested.time(),
 		ColdLeft:   c.coldLeft(c.self.Node, now),
 	}
-	c.router.Learn(c.self.Endpoint, runTimesOf(r))
+	c.router.SetRunTimes(c.self.Endpoint, runTimesOf(r))
 	c.table.Put(r, c.self, now)
 	return r
 }
@@ -224,7 +224,7 @@
 // Answer takes another node's question in and returns what it has not heard yet.
 func (c *Conductor) Answer(q exchanger.Question, now clock.Time) exchanger.Answer {
 	asking := q.Report.Member
-	c.detector.Word(asking.Node, now)
+	c.detector.RecordContact(asking.Node, now)
 	c.takeReports([]exchanger.Report{q.Report}, asking, now)
 	c.takeReports(q.Passed, asking, now)
 	return c.table.Answer(asking.Node, q.Heard, now)
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -50,16 +50,16 @@
 // draw takes a token of a pooled team; where it returns false, the request was refused or waits for TokenDrawn.
 func (c *Conductor) draw(r *call, now clock.Time) bool {
 	team := r.team.Name
-	if wait := c.pooler.Refused(team, now); wait > 0 {
+	if wait := c.pooler.EmptyFor(team, now); wait > 0 {
 		c.overRate(r, wait)
 		return false
 	}
 	holder := c.holder(team, now)
 	if holder.Node == c.self.Node {
-		return c.granted(r, c.pooler.Give(team, c.apportioner.Reach(now), now))
+		return c.granted(r, c.pooler.Take(team, c.apportioner.Reach(now), now))
 	}
 	if c.pooler.Avoids(holder.Node, now) {
-		return c.granted(r, c.pooler.Alone(team, len(c.members), now))
+		return c.granted(r, c.pooler.TakeFallback(team, len(c.members), now))
 	}
 	c.calls[r.id] = r
 	c.emit(Draw{
@@ -96,14 +96,14 @@
 	grant := e.Grant
 	if e.Answered {
 		c.pooler.Answered(e.Node)
-		c.detector.Word(e.Node, now)
+		c.detector.RecordContact(e.Node, now)
 		if !grant.Allowed {
-			c.pooler.Empty(team, grant.Wait, now)
+			c.pooler.MarkEmpty(team, grant.Wait, now)
 		}
 	} else {
 		c.pooler.Failed(e.Node, now)
-		c.detector.Doubt(e.Node, now)
-		grant = c.pooler.Alone(team, len(c.members), now)
+		c.detector.Suspect(e.Node, now)
+		grant = c.pooler.TakeFallback(team, len(c.members), now)
 	}
 	if !c.granted(r, grant) {
 		c.close(r.id)
@@ -118,8 +118,8 @@
 		c.emit(Give{ID: e.ID})
 		return
 	}
-	c.pooler.TakeBack(e.Team, e.Back)
-	c.emit(Give{ID: e.ID, Known: true, Grant: c.pooler.Give(e.Team, c.apportioner.Reach(now), now)})
+	c.pooler.ReturnTokens(e.Team, e.Back)
+	c.emit(Give{ID: e.ID, Known: true, Grant: c.pooler.Take(e.Team, c.apportioner.Reach(now), now)})
 }
 
 // refundToken gives a token back for a request that has certainly not run.
@@ -128,7 +128,7 @@
 	case !c.pools(team):
 		c.apportioner.Return(team)
 	case c.holder(team, now).Node == c.self.Node:
-		c.pooler.TakeBack(team, 1)
+		c.pooler.ReturnTokens(team, 1)
 	default:
 		c.pooler.Unused(team)
 	}
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -24,7 +24,7 @@
 	word := o == Answered || o == Moved || o == Full || o == Declined || o == Over
 	c.detector.Ended(r.at, word, now)
 	if o == Unreached || o == Broken {
-		c.detector.Doubt(r.at, now)
+		c.detector.Suspect(r.at, now)
 	}
 	r.at = ""
 }
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -21,62 +21,62 @@
 )
 
 const (
-	// silentFor is how long a node with attempts under way may say nothing before it is probed: more than most runs take
+	// probeAfterSilence is how long a node with attempts under way may say nothing before it is probed: more than most runs take
 	// (15 to 280 ms), and a fifth of the time in which the system's own timers notice.
-	silentFor = 300 * clock.Millisecond
-	// Patience is how long a probe may take: thirty round trips between failure domains, and two tenths of a second in which
+	probeAfterSilence = 300 * clock.Millisecond
+	// ProbeTimeout is how long a probe may take: thirty round trips between failure domains, and two tenths of a second in which
 	// a VM's share of its processor may be used up.
-	Patience = 250 * clock.Millisecond
-	// lostPause is the time until a node that is lost is probed again; it doubles up to mostPause, since some are gone for good.
-	// wellPause is that after a probe that reached its node: many slow requests would else cost a probe each 300 ms.
-	lostPause = 500 * clock.Millisecond
-	mostPause = 2 * clock.Second
-	wellPause = 1500 * clock.Millisecond
-	// leastLost is how many nodes of a failure domain must be lost for all of it to count so.
-	leastLost = 2
+	ProbeTimeout = 250 * clock.Millisecond
+	// minLostProbeInterval is the time until a node that is lost is probed again; it doubles up to mostPause, since some are gone for good.
+	// reachableProbeInterval is that after a probe that reached its node: many slow requests would else cost a probe each 300 ms.
+	minLostProbeInterval   = 500 * clock.Millisecond
+	maxLostProbeInterval   = 2 * clock.Second
+	reachableProbeInterval = 1500 * clock.Millisecond
+	// minLostForDomain is how many nodes of a failure domain must be lost for all of it to count so.
+	minLostForDomain = 2
 )
 
 // Detector watches the other nodes for one node; it is not safe for concurrent use.
 type Detector struct {
-	nodes   map[identifier.Node]*watch
-	domains map[identifier.FailureDomain]*domain
+	nodes   map[identifier.Node]*nodeState
+	domains map[identifier.FailureDomain]*domainState
 }
 
-type watch struct {
+type nodeState struct {
 	domain identifier.FailureDomain
-	// open counts the attempts under way, since is from when the node has said nothing to them.
-	open  int
-	since clock.Time
-	// doubted tells that the node gave no answer where it should have.
-	doubted bool
-	// next is when the node may be probed again, pause how long that was set for after the last probe in vain.
-	next    clock.Time
-	pause   clock.Duration
-	probing bool
-	lost    bool
+	// openAttempts counts the attempts under way, since is from when the node has said nothing to them.
+	openAttempts int
+	silentSince  clock.Time
+	// suspected tells that the node gave no answer where it should have.
+	suspected bool
+	// nextProbe is when the node may be probed again, pause how long that was set for after the last probe in vain.
+	nextProbe    clock.Time
+	lostInterval clock.Duration
+	probing      bool
+	lost         bool
 }
 
-type domain struct {
-	heard clock.Time
-	known bool
-	lost  bool
+type domainState struct {
+	lastContact clock.Time
+	contacted   bool
+	lost        bool
 }
 
 // New returns a detector that watches nobody.
 func New() *Detector {
-	return &Detector{nodes: map[identifier.Node]*watch{}, domains: map[identifier.FailureDomain]*domain{}}
+	return &Detector{nodes: map[identifier.Node]*nodeState{}, domains: map[identifier.FailureDomain]*domainState{}}
 }
 
-// Know takes over in which failure domain a node is.
-func (d *Detector) Know(node identifier.Node, in identifier.FailureDomain) {
+// SetDomain takes over in which failure domain a node is.
+func (d *Detector) SetDomain(node identifier.Node, in identifier.FailureDomain) {
 	w, ok := d.nodes[node]
 	if !ok {
-		w = &watch{}
+		w = &nodeState{}
 		d.nodes[node] = w
 	}
 	w.domain = in
 	if d.domains[in] == nil {
-		d.domains[in] = &domain{}
+		d.domains[in] = &domainState{}
 	}
 }
 
@@ -91,40 +91,40 @@
 	if !ok {
 		return
 	}
-	if w.open == 0 {
-		w.since = now
+	if w.openAttempts == 0 {
+		w.silentSince = now
 	}
-	w.open++
+	w.openAttempts++
 }
 
 // Ended notes the end of an attempt; word tells that the node gave an answer of any kind.
-func (d *Detector) Ended(node identifier.Node, word bool, now clock.Time) {
+func (d *Detector) Ended(node identifier.Node, answered bool, now clock.Time) {
 	w, ok := d.nodes[node]
 	if !ok {
 		return
 	}
-	w.open = max(0, w.open-1)
-	if word {
-		d.Word(node, now)
+	w.openAttempts = max(0, w.openAttempts-1)
+	if answered {
+		d.RecordContact(node, now)
 	}
 }
 
-// Word notes that a node has said something.
-func (d *Detector) Word(node identifier.Node, now clock.Time) {
+// RecordContact notes that a node has said something.
+func (d *Detector) RecordContact(node identifier.Node, now clock.Time) {
 	w, ok := d.nodes[node]
 	if !ok {
 		return
 	}
-	w.since, w.lost, w.doubted, w.pause = now, false, false, 0
+	w.silentSince, w.lost, w.suspected, w.lostInterval = now, false, false, 0
 	in := d.domains[w.domain]
-	in.heard, in.known, in.lost = now, true, false
+	in.lastContact, in.contacted, in.lost = now, true, false
 }
 
-// Doubt notes that a node gave no answer where it should have: it is probed at once.
-func (d *Detector) Doubt(node identifier.Node, now clock.Time) {
+// Suspect notes that a node gave no answer where it should have: it is probed at once.
+func (d *Detector) Suspect(node identifier.Node, now clock.Time) {
 	if w, ok := d.nodes[node]; ok && !w.lost {
-		w.doubted = true
-		w.next = min(w.next, now)
+		w.suspected = true
+		w.nextProbe = min(w.nextProbe, now)
 	}
 }
 
@@ -138,8 +138,8 @@
 func (d *Detector) Tick(now clock.Time) []identifier.Node {
 	var due []identifier.Node
 	for node, w := range d.nodes {
-		silent := w.open > 0 && now.Sub(w.since) >= silentFor
-		if w.probing || now < w.next || !silent && !w.lost && !w.doubted {
+		silent := w.openAttempts > 0 && now.Sub(w.silentSince) >= probeAfterSilence
+		if w.probing || now < w.nextProbe || !silent && !w.lost && !w.suspected {
 			continue
 		}
 		w.probing = true
@@ -155,30 +155,30 @@
 	if !ok {
 		return nil
 	}
-	w.probing, w.doubted = false, false
+	w.probing, w.suspected = false, false
 	if reached {
-		w.next = now.Add(wellPause)
-		d.Word(node, now)
+		w.nextProbe = now.Add(reachableProbeInterval)
+		d.RecordContact(node, now)
 		return nil
 	}
-	w.pause = min(mostPause, max(lostPause, 2*w.pause))
-	w.next = now.Add(w.pause)
-	before := d.lostOnes()
+	w.lostInterval = min(maxLostProbeInterval, max(minLostProbeInterval, 2*w.lostInterval))
+	w.nextProbe = now.Add(w.lostInterval)
+	before := d.lostNodes()
 	w.lost = true
 	in := d.domains[w.domain]
-	if d.lostIn(w.domain) >= leastLost && (!in.known || now.Sub(in.heard) >= silentFor) {
+	if d.countLost(w.domain) >= minLostForDomain && (!in.contacted || now.Sub(in.lastContact) >= probeAfterSilence) {
 		in.lost = true
 	}
-	var fresh []identifier.Node
-	for _, n := range d.lostOnes() {
+	var newlyLost []identifier.Node
+	for _, n := range d.lostNodes() {
 		if !slices.Contains(before, n) {
-			fresh = append(fresh, n)
+			newlyLost = append(newlyLost, n)
 		}
 	}
-	return fresh
+	return newlyLost
 }
 
-func (d *Detector) lostIn(in identifier.FailureDomain) int {
+func (d *Detector) countLost(in identifier.FailureDomain) int {
 	n := 0
 	for _, w := range d.nodes {
 		if w.domain == in && w.lost {
@@ -188,7 +188,7 @@
 	return n
 }
 
-func (d *Detector) lostOnes() []identifier.Node {
+func (d *Detector) lostNodes() []identifier.Node {
 	var lost []identifier.Node
 	for _, node := range slices.Sorted(maps.Keys(d.nodes)) {
 		if d.Lost(node) {
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -9,18 +9,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// watching knows three nodes in the east and one in the west.
-func watching() *Detector {
+// newTestDetector knows three nodes in the east and one in the west.
+func newTestDetector() *Detector {
 	d := New()
 	for _, node := range []identifier.Node{"e1", "e2", "e3"} {
-		d.Know(node, "east")
+		d.SetDomain(node, "east")
 	}
-	d.Know("w1", "west")
+	d.SetDomain("w1", "west")
 	return d
 }
 
 func TestSilentNodeIsProbed(t *testing.T) {
-	d := watching()
+	d := newTestDetector()
 	assert.Equal(t, len(d.Tick(5000)), 0)
 	d.Sent("e1", 5000)
 	assert.Equal(t, len(d.Tick(5299)), 0)
@@ -37,7 +37,7 @@
 // An endpoint is slow, and all requests there take a second. Its node can be reached and must not be given up; nor may each
 // slow request cost a probe.
 func TestSlowNodeIsNotLost(t *testing.T) {
-	d := watching()
+	d := newTestDetector()
 	probes := 0
 	for now := clock.Time(0); now < 10000; now += 25 {
 		if now%200 == 0 {
@@ -57,8 +57,8 @@
 // A failure domain is cut off. After two of its nodes nobody should have to find out about the third with requests of its
 // own: they would be lost.
 func TestFailureDomainIsLostAfterTwoNodes(t *testing.T) {
-	d := watching()
-	d.Word("e3", 4800)
+	d := newTestDetector()
+	d.RecordContact("e3", 4800)
 	d.Sent("e1", 5000)
 	d.Sent("e2", 5010)
 	d.Sent("w1", 5010)
@@ -68,28 +68,28 @@
 	assert.DeepEqual(t, d.Probed("e2", false, 5560), []identifier.Node{"e2", "e3"})
 	assert.Assert(t, d.Lost("e3") && !d.Lost("w1"))
 	// The cut is over: one word ends it for all that were only taken for lost.
-	d.Word("e2", 9000)
+	d.RecordContact("e2", 9000)
 	assert.Assert(t, !d.Lost("e3") && !d.Lost("e2") && d.Lost("e1"))
 }
 
 // Two nodes of a failure domain lose power and the third goes on answering.
 func TestFailureDomainThatAnswersIsNotLost(t *testing.T) {
-	d := watching()
+	d := newTestDetector()
 	d.Sent("e1", 5000)
 	d.Sent("e2", 5000)
 	d.Tick(5300)
 	d.Probed("e1", false, 5550)
-	d.Word("e3", 5540)
+	d.RecordContact("e3", 5540)
 	assert.DeepEqual(t, d.Probed("e2", false, 5550), []identifier.Node{"e2"})
 	assert.Assert(t, !d.Lost("e3"))
 }
 
 // An attempt that breaks is reason enough to look at once.
-func TestDoubtfulNodeIsProbedAtOnce(t *testing.T) {
-	d := watching()
+func TestSuspectedNodeIsProbedImmediately(t *testing.T) {
+	d := newTestDetector()
 	d.Sent("e1", 5000)
 	d.Ended("e1", false, 5020)
-	d.Doubt("e1", 5020)
+	d.Suspect("e1", 5020)
 	assert.DeepEqual(t, d.Tick(5025), []identifier.Node{"e1"})
 	d.Forget("e1")
 	assert.Equal(t, len(d.Probed("e1", false, 5300)), 0)
@@ -97,10 +97,10 @@
 }
 
 // After a doubt that a probe has settled, nothing more is owed: with 88 nodes that had once failed each other, a probe of each
-// pair every second and a half would go on for good.
-func TestSettledDoubtCostsNothing(t *testing.T) {
-	d := watching()
-	d.Doubt("e1", 5000)
+// chainPair every second and a half would go on for good.
+func TestClearedSuspicionCausesNoMoreProbes(t *testing.T) {
+	d := newTestDetector()
+	d.Suspect("e1", 5000)
 	assert.DeepEqual(t, d.Tick(5000), []identifier.Node{"e1"})
 	d.Probed("e1", true, 5003)
 	for now := clock.Time(5003); now < 20000; now += 25 {
@@ -109,7 +109,7 @@
 }
 
 func BenchmarkAttempt(b *testing.B) {
-	d := watching()
+	d := newTestDetector()
 	for i := range b.N {
 		d.Sent("e1", clock.Time(i))
 		d.Ended("e1", true, clock.Time(i))
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -38,7 +38,7 @@
 // Pools tells whether a team's rate is pooled among a number of nodes.
 func (p *Pooler) Pools(name identifier.Team, nodes int) bool {
 	b, ok := p.teams[name]
-	return ok && b.rate > 0 && nodes > 1 && b.rate <= mostPerNode*float64(nodes)
+	return ok && b.rate > 0 && nodes > 1 && b.rate <= maxPooledRatePerNode*float64(nodes)
 }
 
 // Weight orders the nodes that may hold a team's bucket; the highest does.
@@ -50,9 +50,9 @@
 	return h.Sum64()
 }
 
-// Give takes a token from the bucket at this node. Reach is the part of the fleet that this node hears: the rest keeps its
-// part of the rate, since it may be serving where this node can't see it.
-func (p *Pooler) Give(name identifier.Team, reach float64, now clock.Time) Grant {
+// Take takes a token from the bucket at this node. Reach is the part of the fleet that this node hears: the rest keeps its
+// share of the rate, since it may be serving where this node can't see it.
+func (p *Pooler) Take(name identifier.Team, reach float64, now clock.Time) Grant {
 	b, ok := p.teams[name]
 	if !ok || b.rate <= 0 {
 		return Grant{Allowed: ok}
@@ -62,35 +62,35 @@
 		b.tokens--
 		return Grant{Allowed: true}
 	}
-	perMilli := max(b.rate*reach, leastRate) / float64(clock.Second)
+	perMilli := max(b.rate*reach, minRate) / float64(clock.Second)
 	return Grant{Wait: clock.Duration((1 - b.tokens) / perMilli)}
 }
 
-// firstTokens is what a bucket holds that was taken over. With as much as operators tolerate in excess, three kills within
+// initialTokens is what a bucket holds that was taken over. With as much as operators tolerate in excess, three kills within
 // one window let 127 requests through where 119 are allowed (in conductor's fuzz).
-const firstTokens = 2
+const initialTokens = 2
 
-// leastRate keeps a wait finite, in requests a second.
-const leastRate = 0.1
+// minRate keeps a wait finite, in requests a second.
+const minRate = 0.1
 
-// TakeBack returns tokens that were given and not used.
-func (p *Pooler) TakeBack(name identifier.Team, tokens int) {
+// ReturnTokens returns tokens that were given and not used.
+func (p *Pooler) ReturnTokens(name identifier.Team, tokens int) {
 	if b, ok := p.teams[name]; ok && tokens > 0 {
 		b.tokens = min(p.capacity(b), b.tokens+float64(tokens))
 	}
 }
 
 func (p *Pooler) fill(b *pool, reach float64, now clock.Time) {
-	fresh := b.used && now.Sub(b.asked) <= restsAfter
-	if !b.used {
-		b.filled, b.tokens = now, firstTokens
+	fresh := b.takenBefore && now.Sub(b.lastTake) <= idleAfter
+	if !b.takenBefore {
+		b.filled, b.tokens = now, initialTokens
 	}
-	b.used, b.asked = true, now
+	b.takenBefore, b.lastTake = true, now
 	span := now.Sub(b.filled)
 	b.filled = now
 	b.tokens = min(p.capacity(b), b.tokens+b.rate*reach*float64(span)/float64(clock.Second))
 	if !fresh {
-		b.tokens = min(b.tokens, firstTokens)
+		b.tokens = min(b.tokens, initialTokens)
 	}
 }
 
@@ -99,18 +99,18 @@
 }
 
 func (p *Pooler) excess(b *pool) float64 {
-	return usedTolerance * p.tolerance.Excess(b.rate, b.burst)
+	return bucketToleranceFraction * p.tolerance.Excess(b.rate, b.burst)
 }
 
-// Empty notes the word of a bucket elsewhere that it is empty.
-func (p *Pooler) Empty(name identifier.Team, wait clock.Duration, now clock.Time) {
+// MarkEmpty notes the word of a bucket elsewhere that it is empty.
+func (p *Pooler) MarkEmpty(name identifier.Team, wait clock.Duration, now clock.Time) {
 	if b, ok := p.teams[name]; ok {
-		b.emptyUntil = now.Add(min(wait, longestRefusal))
+		b.emptyUntil = now.Add(min(wait, maxEmptyWait))
 	}
 }
 
-// Refused tells for how long a team's bucket is known to be empty; 0 if it is not.
-func (p *Pooler) Refused(name identifier.Team, now clock.Time) clock.Duration {
+// EmptyFor tells for how long a team's bucket is known to be empty; 0 if it is not.
+func (p *Pooler) EmptyFor(name identifier.Team, now clock.Time) clock.Duration {
 	b, ok := p.teams[name]
 	if !ok {
 		return 0
@@ -149,5 +149,5 @@
 // Avoids tells whether a node gave no answer a moment ago.
 func (p *Pooler) Avoids(node identifier.Node, now clock.Time) bool {
 	at, ok := p.failed[node]
-	return ok && now.Sub(at) < avoidFor
+	return ok && now.Sub(at) < avoidDuration
 }
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -24,7 +24,7 @@
 // drain takes tokens until there is none, and returns how many there were.
 func drain(p *Pooler, reach float64, now clock.Time) int {
 	for n := 0; ; n++ {
-		if !p.Give(team, reach, now).Allowed {
+		if !p.Take(team, reach, now).Allowed {
 			return n
 		}
 	}
@@ -55,13 +55,13 @@
 // granted again after each loss of a node would be paid for by the other teams.
 func TestBucketTakenOverIsNearlyEmpty(t *testing.T) {
 	p := newPooler(20, 20)
-	assert.Equal(t, drain(p, 1, 1000), firstTokens)
+	assert.Equal(t, drain(p, 1, 1000), initialTokens)
 	// A second at a time, so that it does not count as taken over again.
 	for now := clock.Time(2000); now < 6000; now += 1000 {
 		assert.Equal(t, drain(p, 1, now), 20)
 	}
 	// Not asked for longer than it takes to turn to another node: taken over again.
-	assert.Equal(t, drain(p, 1, 60000), firstTokens)
+	assert.Equal(t, drain(p, 1, 60000), initialTokens)
 }
 
 // A node that hears only a quarter of the fleet gives out a quarter of the rate: the rest may be serving out of its sight.
@@ -75,43 +75,43 @@
 	assert.Assert(t, given >= 49 && given <= 51, "%d", given)
 }
 
-func TestWaitSaysWhenThereIsAToken(t *testing.T) {
+func TestWaitEndsWhenTokenIsAvailable(t *testing.T) {
 	p := newPooler(10, 10)
 	drain(p, 1, 1000)
-	g := p.Give(team, 1, 1000)
+	g := p.Take(team, 1, 1000)
 	assert.Equal(t, g.Wait, 100*clock.Millisecond)
-	assert.Assert(t, p.Give(team, 1, 1100).Allowed)
+	assert.Assert(t, p.Take(team, 1, 1100).Allowed)
 }
 
 // A node can't reach the bucket. Its first request of a team that kept its rate goes through, the next ones have to wait
 // until the node with the bucket must have noticed; one of a team that was refused a moment ago waits at once.
-func TestAlone(t *testing.T) {
+func TestFallbackTokens(t *testing.T) {
 	p := newPooler(88, 88)
-	assert.Assert(t, p.Alone(team, 88, 1000).Allowed)
-	g := p.Alone(team, 88, 1100)
+	assert.Assert(t, p.TakeFallback(team, 88, 1000).Allowed)
+	g := p.TakeFallback(team, 88, 1100)
 	assert.Assert(t, !g.Allowed)
 	assert.Equal(t, g.Wait, 1400*clock.Millisecond+clock.Second)
 	allowed := 0
 	for now := clock.Time(1200); now < 12500; now += 100 {
-		if p.Alone(team, 88, now).Allowed {
+		if p.TakeFallback(team, 88, now).Allowed {
 			allowed++
 		}
 	}
 	assert.Equal(t, allowed, 9)
 
 	p = newPooler(88, 88)
-	p.Empty(team, 100, 900)
-	assert.Assert(t, !p.Alone(team, 88, 1000).Allowed)
+	p.MarkEmpty(team, 100, 900)
+	assert.Assert(t, !p.TakeFallback(team, 88, 1000).Allowed)
 
 	// All nodes were killed: none may let a request of its own through for want of the others.
 	p = New(tolerance, 0)
 	p.SetTeam(team, 88, 88)
-	assert.Assert(t, !p.Alone(team, 88, 1000).Allowed)
+	assert.Assert(t, !p.TakeFallback(team, 88, 1000).Allowed)
 }
 
 // Nodes are lost and join. Only the teams whose bucket a lost node had get another one, and the buckets are spread over
 // the nodes: with all at one node it would answer thousands of questions a second.
-func TestWeightSpreadsTheBuckets(t *testing.T) {
+func TestWeightSpreadsBuckets(t *testing.T) {
 	holder := func(team identifier.Team, without identifier.Node) (best identifier.Node) {
 		var weight uint64
 		for i := range 20 {
@@ -137,7 +137,7 @@
 	assert.Equal(t, len(held), 20)
 }
 
-func TestNodeThatFailedIsAvoidedForAMoment(t *testing.T) {
+func TestFailedNodeIsAvoidedTemporarily(t *testing.T) {
 	p := newPooler(10, 10)
 	assert.Assert(t, !p.Avoids("a", 0))
 	p.Failed("a", 1000)
@@ -148,9 +148,9 @@
 	assert.Assert(t, !p.Avoids("a", 3001))
 }
 
-func BenchmarkGive(b *testing.B) {
+func BenchmarkTake(b *testing.B) {
 	p := newPooler(1e6, 1e6)
 	for i := range b.N {
-		p.Give(team, 1, clock.Time(i))
+		p.Take(team, 1, clock.Time(i))
 	}
 }
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -31,10 +31,10 @@
 	warmUp   = 2 * time.Second
 	deadline = 10 * time.Second
 	// kneeCallers are more than it takes to use all that the machine has.
-	kneeCallers = 64
-	kneeTime    = 3 * time.Second
-	// kneePart is the part of the highest throughput at which latency "at the knee" is taken.
-	kneePart = 0.5
+	kneeCallers  = 64
+	kneeDuration = 3 * time.Second
+	// kneeLoadFraction is the part of the highest throughput at which latency "at the knee" is taken.
+	kneeLoadFraction = 0.5
 )
 
 // Options say what to measure.
@@ -78,25 +78,25 @@
 }
 
 func runDepth(ctx context.Context, o Options, depth int, report func(Line) error) error {
-	p, err := newPair(ctx, depth, o.Seed)
+	p, err := newChainPair(ctx, depth, o.Seed)
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	if err := p.warm(ctx); err != nil {
+	if err := p.warmUpPaths(ctx); err != nil {
 		return err
 	}
-	if err := report(p.line(ctx, o, "steady", o.Rate)); err != nil || !o.Knee {
+	if err := report(p.measure(ctx, o, "steady", o.Rate)); err != nil || !o.Knee {
 		return err
 	}
-	highest := p.highest(ctx)
-	line := p.line(ctx, o, "knee", highest*kneePart)
-	line.Highest = highest
+	maxThroughput := p.maxThroughput(ctx)
+	line := p.measure(ctx, o, "knee", maxThroughput*kneeLoadFraction)
+	line.Highest = maxThroughput
 	return report(line)
 }
 
-// pair is one chain of services, reachable directly and through nodes.
-type pair struct {
+// chainPair is one chain of services, reachable directly and through nodes.
+type chainPair struct {
 	depth  int
 	seed   uint64
 	fleet  *launcher.Fleet
@@ -106,11 +106,11 @@
 
 func serviceName(i int) string { return fmt.Sprintf("link%d", i) }
 
-// newPair launches the chain; the entry is the last member, whose own service is not part of the chain, so that each
+// newChainPair launches the chain; the entry is the last member, whose own service is not part of the chain, so that each
 // call passes two nodes.
-func newPair(ctx context.Context, depth int, seed uint64) (*pair, error) {
-	p := &pair{depth: depth, seed: seed, client: newClient()}
-	f, err := launcher.Start(ctx, launcher.Options{Plan: plan(depth), Seed: seed})
+func newChainPair(ctx context.Context, depth int, seed uint64) (*chainPair, error) {
+	p := &chainPair{depth: depth, seed: seed, client: newClient()}
+	f, err := launcher.Start(ctx, launcher.Options{Plan: buildPlan(depth), Seed: seed})
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: slots}, Timeout: deadline}
 }
 
-func plan(depth int) launcher.Plan {
+func buildPlan(depth int) launcher.Plan {
 	pl := launcher.Plan{Deployment: "prober", Domains: []string{"alfa"}}
 	preset := definer.Preset{
 		Name:    "prober",
@@ -151,7 +151,7 @@
 }
 
 // listenDirect makes the same chain without nodes, from its end to its start.
-func (p *pair) listenDirect() error {
+func (p *chainPair) listenDirect() error {
 	var next *responder.Server
 	for i := p.depth - 1; i >= 0; i-- {
 		target := next
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (p *pair) close() {
+func (p *chainPair) close() {
 	for _, s := range p.direct {
 		s.Crash()
 	}
@@ -180,7 +180,7 @@
 	p.client.CloseIdleConnections()
 }
 
-func (p *pair) get(ctx context.Context, target, key string) (string, int) {
+func (p *chainPair) get(ctx context.Context, target, key string) (string, int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, http.NoBody)
 	if err != nil {
 		return "", 0
@@ -200,40 +200,40 @@
 	return string(text), resp.StatusCode
 }
 
-func (p *pair) callDirect(ctx context.Context) bool {
+func (p *chainPair) callDirect(ctx context.Context) bool {
 	_, status := p.get(ctx, "http://"+p.direct[len(p.direct)-1].Address()+"/", "")
 	return status == http.StatusOK
 }
 
-func (p *pair) callNodes(ctx context.Context) bool {
+func (p *chainPair) callThroughNodes(ctx context.Context) bool {
 	entry := p.fleet.Members[len(p.fleet.Members)-1]
 	_, status := p.get(ctx, entry.CallerURL()+"/"+serviceName(0)+"/", p.fleet.Keys[team])
 	return status == http.StatusOK
 }
 
-// warm opens the connections and fills the team's bucket.
-func (p *pair) warm(ctx context.Context) error {
+// warmUpPaths opens the connections and fills the team's bucket.
+func (p *chainPair) warmUpPaths(ctx context.Context) error {
 	end := time.Now().Add(warmUp)
 	for time.Now().Before(end) {
-		p.callNodes(ctx)
+		p.callThroughNodes(ctx)
 		p.callDirect(ctx)
 	}
 	return ctx.Err()
 }
 
-func (p *pair) line(ctx context.Context, o Options, load string, rate float64) Line {
+func (p *chainPair) measure(ctx context.Context, o Options, load string, rate float64) Line {
 	direct := p.load(ctx, rate, o.Time, p.callDirect)
-	nodes := p.load(ctx, rate, o.Time, p.callNodes)
+	nodes := p.load(ctx, rate, o.Time, p.callThroughNodes)
 	l := Line{
 		Depth:     p.depth,
 		Load:      load,
 		Rate:      rate,
 		Calls:     int(nodes.times.TotalCount()),
 		Failed:    int(nodes.failed.Load() + direct.failed.Load()),
-		DirectP50: direct.at(50),
-		DirectP99: direct.at(99),
-		NodesP50:  nodes.at(50),
-		NodesP99:  nodes.at(99),
+		DirectP50: direct.percentile(50),
+		DirectP99: direct.percentile(99),
+		NodesP50:  nodes.percentile(50),
+		NodesP99:  nodes.percentile(99),
 	}
 	l.AddedP50 = l.NodesP50 - l.DirectP50
 	l.AddedP99 = l.NodesP99 - l.DirectP99
@@ -242,31 +242,31 @@
 	return l
 }
 
-type outcome struct {
+type latencies struct {
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
 	failed atomic.Int64
 }
 
-func newOutcome() *outcome {
-	return &outcome{times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func newLatencies() *latencies {
+	return &latencies{times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-func (o *outcome) add(d time.Duration) {
+func (o *latencies) add(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	// Values beyond the histogram's range are longer than any call may take.
 	_ = o.times.RecordValue(max(1, d.Microseconds()))
 }
 
-func (o *outcome) at(quantile float64) float64 {
+func (o *latencies) percentile(quantile float64) float64 {
 	const microsecondsPerMs = 1000
 	return float64(o.times.ValueAtQuantile(quantile)) / microsecondsPerMs
 }
 
 // load sends calls at random moments, without waiting for answers.
-func (p *pair) load(ctx context.Context, rate float64, d time.Duration, call func(context.Context) bool) *outcome {
-	out := newOutcome()
+func (p *chainPair) load(ctx context.Context, rate float64, d time.Duration, call func(context.Context) bool) *latencies {
+	out := newLatencies()
 	random := rand.New(rand.NewPCG(p.seed, 7))
 	var group sync.WaitGroup
 	next := time.Now()
@@ -287,25 +287,25 @@
 	return out
 }
 
-// highest is the throughput through the nodes with callers that wait for their answers.
-func (p *pair) highest(ctx context.Context) float64 {
+// maxThroughput is the throughput through the nodes with callers that wait for their answers.
+func (p *chainPair) maxThroughput(ctx context.Context) float64 {
 	var done atomic.Int64
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for range kneeCallers {
 		group.Go(func() {
 			for !stop.Load() && ctx.Err() == nil {
-				if p.callNodes(ctx) {
+				if p.callThroughNodes(ctx) {
 					done.Add(1)
 				}
 			}
 		})
 	}
-	time.Sleep(kneeTime / 3)
+	time.Sleep(kneeDuration / 3)
 	before := done.Load()
-	time.Sleep(kneeTime)
+	time.Sleep(kneeDuration)
 	after := done.Load()
 	stop.Store(true)
 	group.Wait()
-	return float64(after-before) / kneeTime.Seconds()
+	return float64(after-before) / kneeDuration.Seconds()
 }
--- a/internal/reducer/attempt.go
+++ b/internal/reducer/attempt.go
@@ -43,7 +43,7 @@
 	c.sentAt = s.now
 	c.carried = c.budget.Portion()
 	if c.attempt == 1 {
-		s.damper.First(c.service, s.now)
+		s.damper.CountFirst(c.service, s.now)
 	}
 	s.counters.Forwarded++
 	address, _ := s.gossiper.AddressOf(e.Node)
@@ -115,7 +115,7 @@
 	}
 	c.budget.Return(t.Allowance, c.carried)
 	s.board.LearnRoute(c.service, c.route, t.Threshold, s.now)
-	s.damper.Learn(c.service, t.RetryRatio, s.now)
+	s.damper.SetHint(c.service, t.RetryRatio, s.now)
 	if t.Share > 0 {
 		s.fairness.LearnShare(c.team, t.Share, s.now)
 	}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -64,24 +64,24 @@
 type Registrar struct {
 	options Options
 	local   Local
-	gone    map[identifier.Endpoint]tombstone
+	removed map[identifier.Endpoint]tombstone
 }
 
 // tombstone says up to which start an endpoint is known to have gone.
 type tombstone struct {
 	started int64
-	// unknown is set when the endpoint went before this node had heard of it.
-	unknown bool
-	since   clock.Time
+	// startUnknown is set when the endpoint went before this node had heard of it.
+	startUnknown bool
+	removedAt    clock.Time
 }
 
-// unknownTombstone is how long an endpoint that went unheard of is not believed: heartbeats are delayed by seconds,
+// unknownStartRetention is how long an endpoint that went unheard of is not believed: heartbeats are delayed by seconds,
 // and the default period between them is 1.5 s.
-const unknownTombstone = 15 * clock.Second
+const unknownStartRetention = 15 * clock.Second
 
 // New returns a registrar that has heard of no endpoint.
 func New(o Options) *Registrar {
-	return &Registrar{options: o, gone: map[identifier.Endpoint]tombstone{}}
+	return &Registrar{options: o, removed: map[identifier.Endpoint]tombstone{}}
 }
 
 // Local returns the endpoint as it is known now.
@@ -97,7 +97,7 @@
 	if a.Address != r.options.Address {
 		return false, ForeignError{Field: "address", Value: a.Address, Want: r.options.Address}
 	}
-	if r.isGone(a, now) || r.isOlder(a) {
+	if r.isRemoved(a, now) || r.isStale(a) {
 		return false, nil
 	}
 	before := r.local
@@ -113,7 +113,7 @@
 // since; it tells whether that changed what is known. An endpoint names itself in each request, so one that has taken its
 // place turns away what was meant for it.
 func (r *Registrar) Assume(id identifier.Endpoint, slots int64) bool {
-	if r.local.Endpoint != "" || len(r.gone) > 0 || id == "" || slots <= 0 {
+	if r.local.Endpoint != "" || len(r.removed) > 0 || id == "" || slots <= 0 {
 		return false
 	}
 	r.local = Local{
@@ -124,19 +124,19 @@
 	return true
 }
 
-func (r *Registrar) isGone(a Announcement, now clock.Time) bool {
-	t, ok := r.gone[a.Endpoint]
+func (r *Registrar) isRemoved(a Announcement, now clock.Time) bool {
+	t, ok := r.removed[a.Endpoint]
 	if !ok {
 		return false
 	}
-	if t.unknown && now.Sub(t.since) >= unknownTombstone {
+	if t.startUnknown && now.Sub(t.removedAt) >= unknownStartRetention {
 		return false
 	}
-	if t.unknown && a.Started > t.started {
+	if t.startUnknown && a.Started > t.started {
 		// The first start heard of after the removal is taken for the one that was removed.
 		if t.started == 0 {
 			t.started = a.Started
-			r.gone[a.Endpoint] = t
+			r.removed[a.Endpoint] = t
 			return true
 		}
 		return false
@@ -144,7 +144,7 @@
 	return a.Started <= t.started
 }
 
-func (r *Registrar) isOlder(a Announcement) bool {
+func (r *Registrar) isStale(a Announcement) bool {
 	l := r.local
 	if l.Assumed || !l.Known && l.Endpoint == "" {
 		return false
@@ -161,13 +161,13 @@
 // Remove takes an endpoint's word that it is gone; it tells whether that changed what is known.
 func (r *Registrar) Remove(id identifier.Endpoint, now clock.Time) bool {
 	if r.local.Endpoint != id {
-		if _, ok := r.gone[id]; !ok {
-			r.gone[id] = tombstone{unknown: true, since: now}
+		if _, ok := r.removed[id]; !ok {
+			r.removed[id] = tombstone{startUnknown: true, removedAt: now}
 		}
 		return false
 	}
 	// An assumed endpoint's start is not known; taken for 0, a late heartbeat would bring it back.
-	r.gone[id] = tombstone{started: r.local.Started, unknown: r.local.Assumed, since: now}
+	r.removed[id] = tombstone{started: r.local.Started, startUnknown: r.local.Assumed, removedAt: now}
 	changed := r.local.Known
 	r.local.Known = false
 	return changed
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-func beat(id identifier.Endpoint, started, sequence int64) Announcement {
+func heartbeat(id identifier.Endpoint, started, sequence int64) Announcement {
 	return Announcement{Endpoint: id, Service: "clock", Address: "10.0.0.1:80", Slots: 25, Started: started, Sequence: sequence}
 }
 
@@ -25,7 +25,7 @@
 	at       clock.Time
 }
 
-func said(a Announcement) step { return step{announce: &a} }
+func announceStep(a Announcement) step { return step{announce: &a} }
 
 // Heartbeats come late, twice, out of order and from processes that have ended. Taken at face value they would bring
 // an endpoint back that is leaving or gone, and callers' requests to it would fail.
@@ -35,49 +35,49 @@
 		usable   bool
 		endpoint identifier.Endpoint
 	}{
-		"first": {steps: []step{said(beat("a", 100, 1))}, usable: true, endpoint: "a"},
+		"first": {steps: []step{announceStep(heartbeat("a", 100, 1))}, usable: true, endpoint: "a"},
 		"leaving": {
-			steps:    []step{said(beat("a", 100, 1)), said(leaving(beat("a", 100, 2)))},
+			steps:    []step{announceStep(heartbeat("a", 100, 1)), announceStep(leaving(heartbeat("a", 100, 2)))},
 			endpoint: "a",
 		},
 		"late heartbeat after leaving": {
-			steps:    []step{said(beat("a", 100, 1)), said(leaving(beat("a", 100, 3))), said(beat("a", 100, 2))},
+			steps:    []step{announceStep(heartbeat("a", 100, 1)), announceStep(leaving(heartbeat("a", 100, 3))), announceStep(heartbeat("a", 100, 2))},
 			endpoint: "a",
 		},
 		"late heartbeat after removal": {
-			steps:    []step{said(beat("a", 100, 5)), {remove: "a"}, said(beat("a", 100, 6))},
+			steps:    []step{announceStep(heartbeat("a", 100, 5)), {remove: "a"}, announceStep(heartbeat("a", 100, 6))},
 			endpoint: "a",
 		},
 		"started again under the same id": {
-			steps:    []step{said(beat("a", 100, 5)), {remove: "a"}, said(beat("a", 900, 1))},
+			steps:    []step{announceStep(heartbeat("a", 100, 5)), {remove: "a"}, announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
 		},
 		"started again without removal": {
-			steps:    []step{said(beat("a", 100, 50)), said(beat("a", 900, 1))},
+			steps:    []step{announceStep(heartbeat("a", 100, 50)), announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
 		},
 		"heartbeat of the predecessor at the same address": {
-			steps:    []step{said(beat("a", 100, 5)), said(beat("b", 900, 1)), said(beat("a", 100, 6))},
+			steps:    []step{announceStep(heartbeat("a", 100, 5)), announceStep(heartbeat("b", 900, 1)), announceStep(heartbeat("a", 100, 6))},
 			usable:   true,
 			endpoint: "b",
 		},
 		"removal of the predecessor": {
-			steps:    []step{said(beat("a", 100, 5)), said(beat("b", 900, 1)), {remove: "a"}},
+			steps:    []step{announceStep(heartbeat("a", 100, 5)), announceStep(heartbeat("b", 900, 1)), {remove: "a"}},
 			usable:   true,
 			endpoint: "b",
 		},
 		"heartbeat of one that went unheard of": {
-			steps: []step{{remove: "a"}, said(beat("a", 100, 7))},
+			steps: []step{{remove: "a"}, announceStep(heartbeat("a", 100, 7))},
 		},
 		"start after one that went unheard of": {
-			steps:    []step{{remove: "a"}, said(beat("a", 100, 7)), said(beat("a", 900, 1))},
+			steps:    []step{{remove: "a"}, announceStep(heartbeat("a", 100, 7)), announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
 		},
 		"heartbeat long after one that went unheard of": {
-			steps:    []step{{remove: "a"}, {announce: ptr(beat("a", 100, 7)), at: clock.Time(unknownTombstone)}},
+			steps:    []step{{remove: "a"}, {announce: pointerTo(heartbeat("a", 100, 7)), at: clock.Time(unknownStartRetention)}},
 			usable:   true,
 			endpoint: "a",
 		},
@@ -99,19 +99,19 @@
 	}
 }
 
-func ptr(a Announcement) *Announcement { return &a }
+func pointerTo(a Announcement) *Announcement { return &a }
 
 // Another writer's heartbeat names a service or an address that is not this VM's. Believed, it would send requests to
 // whatever listens there.
 func TestForeignAnnouncementIsRefused(t *testing.T) {
 	r := New(Options{Service: "clock", Address: "10.0.0.1:80"})
-	other := beat("a", 1, 1)
+	other := heartbeat("a", 1, 1)
 	other.Service = "portal"
 	_, err := r.Announce(other, 0)
 	var foreign ForeignError
 	assert.Assert(t, errors.As(err, &foreign))
 	assert.Equal(t, foreign.Field, "service")
-	other = beat("a", 1, 1)
+	other = heartbeat("a", 1, 1)
 	other.Address = "10.0.0.2:80"
 	_, err = r.Announce(other, 0)
 	assert.Assert(t, errors.As(err, &foreign))
@@ -121,11 +121,11 @@
 
 func TestSuspendedUntilNextAnnouncement(t *testing.T) {
 	r := New(Options{Service: "clock", Address: "10.0.0.1:80"})
-	_, err := r.Announce(beat("a", 1, 1), 0)
+	_, err := r.Announce(heartbeat("a", 1, 1), 0)
 	assert.NilError(t, err)
 	assert.Assert(t, r.Suspend("a"))
 	assert.Assert(t, !r.Local().Usable())
-	changed, err := r.Announce(beat("a", 1, 2), 0)
+	changed, err := r.Announce(heartbeat("a", 1, 2), 0)
 	assert.NilError(t, err)
 	assert.Assert(t, changed)
 	assert.Assert(t, r.Local().Usable())
@@ -141,19 +141,19 @@
 		return r
 	}
 	r := start()
-	changed, err := r.Announce(beat("a", 100, 7), 0)
+	changed, err := r.Announce(heartbeat("a", 100, 7), 0)
 	assert.NilError(t, err)
 	assert.Assert(t, !changed && r.Local().Usable() && !r.Local().Assumed)
 
 	r = start()
-	changed, err = r.Announce(leaving(beat("a", 100, 7)), 0)
+	changed, err = r.Announce(leaving(heartbeat("a", 100, 7)), 0)
 	assert.NilError(t, err)
 	assert.Assert(t, changed && !r.Local().Usable())
 
 	// It leaves without a notice, and a heartbeat of before comes late.
 	r = start()
 	assert.Assert(t, r.Remove("a", 0))
-	_, err = r.Announce(beat("a", 100, 7), 500)
+	_, err = r.Announce(heartbeat("a", 100, 7), 500)
 	assert.NilError(t, err)
 	assert.Assert(t, !r.Local().Usable())
 
--- a/internal/relayer/probe.go
+++ b/internal/relayer/probe.go
@@ -29,7 +29,7 @@
 	reached := make(chan bool, openings)
 	for range openings {
 		go func() {
-			n, err := requester.Dial(context.Background(), p.Address, detector.Patience.Std())
+			n, err := requester.Dial(context.Background(), p.Address, detector.ProbeTimeout.Std())
 			if err == nil {
 				_ = n.Close()
 			}
--- a/internal/retrier/damper.go
+++ b/internal/retrier/damper.go
@@ -25,24 +25,24 @@
 	defaultPerMille         = 80
 	defaultBurst            = 10
 	defaultHintAge          = clock.Second
-	perRetry                = 1000
-	idleRefill              = clock.Second
-	hintOff         uint8   = 26
+	creditPerRetry          = 1000
+	refillPeriod            = clock.Second
+	minBlockingHint uint8   = 26
 	hintScale       float64 = 255
 )
 
 // Damper holds retries to each service down; it is not safe for concurrent use.
 type Damper struct {
 	options  DamperOptions
-	services map[identifier.Service]*damped
+	services map[identifier.Service]*serviceCredit
 }
 
-type damped struct {
+type serviceCredit struct {
 	// credit is in thousandths of a retry.
 	credit   int
 	refilled clock.Time
 	hint     uint8
-	hinted   clock.Time
+	hintedAt clock.Time
 }
 
 // NewDamper returns a damper that knows no service yet.
@@ -56,51 +56,51 @@
 	if o.HintAge <= 0 {
 		o.HintAge = defaultHintAge
 	}
-	return &Damper{options: o, services: make(map[identifier.Service]*damped)}
+	return &Damper{options: o, services: make(map[identifier.Service]*serviceCredit)}
 }
 
-// First counts a first attempt.
-func (d *Damper) First(service identifier.Service, now clock.Time) {
+// CountFirst counts a first attempt.
+func (d *Damper) CountFirst(service identifier.Service, now clock.Time) {
 	s := d.service(service, now)
-	s.credit = min(s.credit+d.options.PerMille, d.options.Burst*perRetry)
+	s.credit = min(s.credit+d.options.PerMille, d.options.Burst*creditPerRetry)
 }
 
-// Learn takes the hint over that an answer of the service carried (see Meter).
-func (d *Damper) Learn(service identifier.Service, hint uint8, now clock.Time) {
+// SetHint takes the hint over that an answer of the service carried (see Meter).
+func (d *Damper) SetHint(service identifier.Service, hint uint8, now clock.Time) {
 	s := d.service(service, now)
 	s.hint = hint
-	s.hinted = now
+	s.hintedAt = now
 }
 
 // Allow tells whether one retry may go to the service, and counts it.
 func (d *Damper) Allow(service identifier.Service, now clock.Time) bool {
 	s := d.service(service, now)
 	d.refill(s, now)
-	if s.hint >= hintOff && now.Sub(s.hinted) < d.options.HintAge {
+	if s.hint >= minBlockingHint && now.Sub(s.hintedAt) < d.options.HintAge {
 		return false
 	}
-	if s.credit < perRetry {
+	if s.credit < creditPerRetry {
 		return false
 	}
-	s.credit -= perRetry
+	s.credit -= creditPerRetry
 	return true
 }
 
 // refill earns one retry a second, so that a service with little traffic keeps its retries.
-func (d *Damper) refill(s *damped, now clock.Time) {
-	for now.Sub(s.refilled) >= idleRefill && s.credit < perRetry {
-		s.refilled = s.refilled.Add(idleRefill)
-		s.credit += perRetry
+func (d *Damper) refill(s *serviceCredit, now clock.Time) {
+	for now.Sub(s.refilled) >= refillPeriod && s.credit < creditPerRetry {
+		s.refilled = s.refilled.Add(refillPeriod)
+		s.credit += creditPerRetry
 	}
-	if now.Sub(s.refilled) >= idleRefill {
+	if now.Sub(s.refilled) >= refillPeriod {
 		s.refilled = now
 	}
 }
 
-func (d *Damper) service(name identifier.Service, now clock.Time) *damped {
+func (d *Damper) service(name identifier.Service, now clock.Time) *serviceCredit {
 	s, ok := d.services[name]
 	if !ok {
-		s = &damped{credit: perRetry, refilled: now}
+		s = &serviceCredit{credit: creditPerRetry, refilled: now}
 		d.services[name] = s
 	}
 	return s
--- a/internal/retrier/meter.go
+++ b/internal/retrier/meter.go
@@ -12,13 +12,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// meterWindow is the time in which what was counted loses half of its weight.
-const meterWindow = clock.Second
+// meterHalfLife is the time in which what was counted loses half of its weight.
+const meterHalfLife = clock.Second
 
 // Meter measures the part of retries among the calls that reach one service at one node.
 type Meter struct {
 	calls, retries float64
-	halved         clock.Time
+	decayedAt      clock.Time
 }
 
 // Note counts a call.
@@ -37,18 +37,18 @@
 	}
 	m.decay(now)
 	// One retry among few calls says nothing about overload.
-	return uint8(hintScale * m.retries / max(m.calls, meterLeast))
+	return uint8(hintScale * m.retries / max(m.calls, minMeteredCalls))
 }
 
-const meterLeast = 20
+const minMeteredCalls = 20
 
 func (m *Meter) decay(now clock.Time) {
-	passed := now.Sub(m.halved) / meterWindow
+	passed := now.Sub(m.decayedAt) / meterHalfLife
 	if passed <= 0 {
 		return
 	}
 	factor := math.Ldexp(1, -int(min(passed, math.MaxInt16)))
 	m.calls *= factor
 	m.retries *= factor
-	m.halved = m.halved.Add(passed * meterWindow)
+	m.decayedAt = m.decayedAt.Add(passed * meterHalfLife)
 }
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -10,15 +10,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// tree is a call to a service with the calls that it makes, each after or beside the others.
-type tree struct {
+// callTree is a call to a service with the calls that it makes, each after or beside the others.
+type callTree struct {
 	service  int
 	parallel bool
-	nested   []*tree
+	nested   []*callTree
 }
 
-func drawTree(t *rapid.T, depth int) *tree {
-	n := &tree{
+func drawTree(t *rapid.T, depth int) *callTree {
+	n := &callTree{
 		service:  rapid.IntRange(0, 4).Draw(t, "service"),
 		parallel: rapid.Bool().Draw(t, "parallel"),
 	}
@@ -30,15 +30,15 @@
 	return n
 }
 
-func (n *tree) count(into map[int]int) {
+func (n *callTree) count(into map[int]int) {
 	into[n.service]++
 	for _, child := range n.nested {
 		child.count(into)
 	}
 }
 
-// fleet runs trees in which any attempt may be refused, lost before or after it ran, or answered with an error.
-type fleet struct {
+// simulation runs trees in which any attempt may be refused, lost before or after it ran, or answered with an error.
+type simulation struct {
 	random   *rand.Rand
 	faults   float64
 	attempts map[int]int
@@ -46,7 +46,7 @@
 }
 
 // call is one hop: it attempts, and repeats what failed next to it as long as the budget lasts.
-func (f *fleet) call(n *tree, b *Budget, portion uint8) bool {
+func (f *simulation) call(n *callTree, b *Budget, portion uint8) bool {
 	carried := b.Take(portion)
 	for {
 		ok, unused, facts := f.attempt(n, carried)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (f *fleet) attempt(n *tree, carried uint8) (ok bool, unused uint8, facts Attempt) {
+func (f *simulation) attempt(n *callTree, carried uint8) (ok bool, unused uint8, facts Attempt) {
 	f.attempts[n.service]++
 	if f.random.Float64() < f.faults/2 {
 		return false, carried, Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}
@@ -97,7 +97,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, 3)
 		allowance := uint8(rapid.IntRange(0, 9).Draw(t, "allowance"))
-		f := &fleet{
+		f := &simulation{
 			random:   rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 			faults:   rapid.Float64Range(0, 1).Draw(t, "faults"),
 			attempts: map[int]int{},
@@ -141,14 +141,14 @@
 
 // When every call fails, every call asks for a retry, and the service gets twice its load just then. A user
 // notices that a short fault becomes a long one.
-func TestDamperHoldsRetriesUnderATenth(t *testing.T) {
+func TestDamperLimitsRetryRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDamper(DamperOptions{})
 		now, first, retries, quiet := clock.Time(0), 0, 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "calls") {
 			gap := rapid.SampledFrom([]clock.Duration{0, 0, 0, 1, 2, 700}).Draw(t, "gap")
 			now = now.Add(gap)
-			d.First("ice", now)
+			d.CountFirst("ice", now)
 			first++
 			for range 20 {
 				if d.Allow("ice", now) {
@@ -163,20 +163,20 @@
 
 // Each node alone sees few retries of many callers. Only the overloaded service sees them all, and if it could
 // not say so, each node would go on with its tenth.
-func TestHintTurnsRetriesOffAndAges(t *testing.T) {
+func TestHintBlocksRetriesUntilItExpires(t *testing.T) {
 	d := NewDamper(DamperOptions{})
 	m := &Meter{}
 	for i := range 100 {
-		d.First("ice", 0)
+		d.CountFirst("ice", 0)
 		m.Note(i%4 == 0, 0)
 	}
 	assert.Assert(t, d.Allow("ice", 0))
-	d.Learn("ice", m.Hint(false, 0), 0)
+	d.SetHint("ice", m.Hint(false, 0), 0)
 	assert.Assert(t, !d.Allow("ice", 999))
 	assert.Assert(t, d.Allow("ice", 1000), "the hint has aged")
-	d.Learn("ice", m.Hint(true, 1000), 1000)
+	d.SetHint("ice", m.Hint(true, 1000), 1000)
 	assert.Assert(t, !d.Allow("ice", 1500))
-	d.Learn("ice", m.Hint(false, 10_000), 1600)
+	d.SetHint("ice", m.Hint(false, 10_000), 1600)
 	assert.Assert(t, d.Allow("ice", 1600), "the retries are over")
 }
 
@@ -185,7 +185,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := clock.Time(i)
-		d.First("ice", now)
+		d.CountFirst("ice", now)
 		budget := NewBudget(3)
 		if MayRetry(Attempt{Phase: NotSent, Reason: Broken}) && d.Allow("ice", now) {
 			budget.Spend()
--- a/internal/router/eject.go
+++ b/internal/router/eject.go
@@ -10,64 +10,64 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// keepFactor is how many usable endpoints must stay for each ejected one.
-const keepFactor = 2
+// usablePerEjected is how many usable endpoints must stay for each ejected one.
+const usablePerEjected = 2
 
-func (r *Router) judge(m *member, o Outcome, now clock.Time) {
+func (r *Router) recordOutcome(m *member, o Outcome, now clock.Time) {
 	switch o {
 	case Succeeded, Refused:
 		m.failures = 0
-		r.restore(m, now)
+		r.readmit(m, now)
 	case Failed:
 		m.failures++
-		r.eject(m, now)
+		r.handleFailure(m, now)
 	case Cancelled:
 		m.probing = false
 	}
 }
 
-func (r *Router) restore(m *member, now clock.Time) {
+func (r *Router) readmit(m *member, now clock.Time) {
 	m.probing = false
-	if m.until == 0 {
+	if m.ejectedUntil == 0 {
 		return
 	}
-	m.until = 0
+	m.ejectedUntil = 0
 	m.ejections = max(0, m.ejections-1)
-	m.warmUp(now)
+	m.startWarmUp(now)
 }
 
-func (r *Router) eject(m *member, now clock.Time) {
-	if m.until != 0 {
+func (r *Router) handleFailure(m *member, now clock.Time) {
+	if m.ejectedUntil != 0 {
 		if m.probing {
 			m.probing = false
-			r.extend(m, now)
+			r.scheduleProbe(m, now)
 		}
 		return
 	}
 	if m.failures >= r.options.FailuresToEject && r.mayEject(m, now) {
-		r.extend(m, now)
+		r.scheduleProbe(m, now)
 	}
 }
 
 func (r *Router) mayEject(m *member, now clock.Time) bool {
 	s := r.services[m.endpoint.Service]
-	if m.group != &s.near && m.group != &s.far {
+	if m.group != &s.local && m.group != &s.remote {
 		return false
 	}
 	rest := s.usable() - 1
-	if rest >= keepFactor*(len(s.ejected.members)+1) {
+	if rest >= usablePerEjected*(len(s.ejected.members)+1) {
 		return true
 	}
-	other := s.other(m)
-	return rest == 1 && other.failures == 0 && other.known && other.used(now, r.options) < pairUse
+	other := s.otherUsable(m)
+	return rest == 1 && other.failures == 0 && other.hasMeasurement && other.utilization(now, r.options) < maxPairUtilization
 }
 
-// pairUse is how much of the only other endpoint may be in use for a failing one to be ejected.
-const pairUse = 0.5
+// maxPairUtilization is how much of the only other endpoint may be in use for a failing one to be ejected.
+const maxPairUtilization = 0.5
 
-// other returns the usable endpoint besides m; there must be exactly one.
-func (s *service) other(m *member) *member {
-	for _, g := range []*group{&s.near, &s.far} {
+// otherUsable returns the usable endpoint besides m; there must be exactly one.
+func (s *service) otherUsable(m *member) *member {
+	for _, g := range []*group{&s.local, &s.remote} {
 		for _, candidate := range g.members {
 			if candidate != m {
 				return candidate
@@ -77,23 +77,23 @@
 	return nil
 }
 
-// extend sets the next probe, later after each ejection, and jittered so that nodes do not probe together.
-func (r *Router) extend(m *member, now clock.Time) {
-	span := r.options.EjectTime << min(m.ejections, 10)
-	span = min(span, r.options.EjectMax)
+// scheduleProbe sets the next probe, later after each ejection, and jittered so that nodes do not probe together.
+func (r *Router) scheduleProbe(m *member, now clock.Time) {
+	interval := r.options.EjectTime << min(m.ejections, 10)
+	interval = min(interval, r.options.EjectMax)
 	m.ejections++
-	jitter := clock.Duration(r.options.Rand.Int64N(int64(span)/2 + 1))
-	m.until = now.Add(span + jitter)
+	jitter := clock.Duration(r.options.Rand.Int64N(int64(interval)/2 + 1))
+	m.ejectedUntil = now.Add(interval + jitter)
 }
 
 // probe returns an ejected endpoint whose time has come, for a single call.
-func (r *Router) probe(s *service, q request) *member {
+func (r *Router) probe(s *service, q pickRequest) *member {
 	n := len(s.ejected.members)
 	if n == 0 {
 		return nil
 	}
-	m := r.allowed(&s.ejected, r.options.Rand.IntN(n), q)
-	if m == nil || m.probing || q.now < m.until {
+	m := r.nextAllowed(&s.ejected, r.options.Rand.IntN(n), q)
+	if m == nil || m.probing || q.now < m.ejectedUntil {
 		return nil
 	}
 	m.probing = true
--- a/internal/router/group.go
+++ b/internal/router/group.go
@@ -12,15 +12,15 @@
 
 func (g *group) add(m *member) {
 	m.group = g
-	m.place = len(g.members)
+	m.index = len(g.members)
 	g.members = append(g.members, m)
 }
 
 func (g *group) remove(m *member) {
 	last := len(g.members) - 1
 	moved := g.members[last]
-	g.members[m.place] = moved
-	moved.place = m.place
+	g.members[m.index] = moved
+	moved.index = m.index
 	g.members[last] = nil
 	g.members = g.members[:last]
 	m.group = nil
@@ -28,18 +28,18 @@
 
 // service holds the endpoints of one service.
 type service struct {
-	// near and far are the usable endpoints of the own failure domain and of the others.
-	near, far group
+	// local and far are the usable endpoints of the own failure domain and of the others.
+	local, remote group
 	// ejected endpoints are probed; limited, stopping, ejected and suspect ones, in this order, are the last resort; leaving
 	// and evacuated ones are never picked; full ones wait for one of their calls to end, so that no pick has to search past them.
 	ejected, limited, stopping, suspect, leaving, full group
 	count                                              int
-	// used is the mean used part that answers told of, latency the mean over the answered calls.
-	used    float64
-	latency float64
+	// meanUtilization is the mean used part that answers told of, latency the mean over the answered calls.
+	meanUtilization float64
+	latency         float64
 }
 
 // usable returns how many endpoints take ordinary calls.
 func (s *service) usable() int {
-	return len(s.near.members) + len(s.far.members)
+	return len(s.local.members) + len(s.remote.members)
 }
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -13,78 +13,78 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// played is an endpoint with slots and a queue, in front of which calls wait.
-type played struct {
+// simulatedEndpoint is an endpoint with slots and a queue, in front of which calls wait.
+type simulatedEndpoint struct {
 	Endpoint
 	running int
-	waiting []*playedCall
+	waiting []*simulatedCall
 }
 
-type playedCall struct {
-	at             *played
+type simulatedCall struct {
+	at             *simulatedEndpoint
 	arrived, begun float64
 	ends           float64
 	own            bool
 }
 
-// ends orders calls by the time at which they end.
-type ends []*playedCall
+// callsByEnd orders calls by the time at which they end.
+type callsByEnd []*simulatedCall
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].ends < e[j].ends }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(*playedCall)) }
-func (e *ends) Pop() any {
+func (e callsByEnd) Len() int           { return len(e) }
+func (e callsByEnd) Less(i, j int) bool { return e[i].ends < e[j].ends }
+func (e callsByEnd) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *callsByEnd) Push(x any)        { *e = append(*e, x.(*simulatedCall)) }
+func (e *callsByEnd) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// play is one node's calls to an endpoint in its own failure domain and one elsewhere, which others load as well.
-type play struct {
-	router    *Router
-	random    *rand.Rand
-	endpoints map[identifier.Endpoint]*played
-	under     ends
-	waits     []float64
-	crossed   int
+// simulation is one node's calls to an endpoint in its own failure domain and one elsewhere, which others load as well.
+type simulation struct {
+	router           *Router
+	random           *rand.Rand
+	endpoints        map[identifier.Endpoint]*simulatedEndpoint
+	inProgress       callsByEnd
+	waits            []float64
+	crossDomainCalls int
 }
 
 const (
-	playedSlots = 26
-	playedRun   = 22.0
+	simulatedSlots      = 26
+	meanRunMilliseconds = 22.0
 )
 
-func newPlay() *play {
-	p := &play{
+func newSimulation() *simulation {
+	p := &simulation{
 		router:    New(Options{Domain: "a", Rand: rand.New(rand.NewPCG(3, 4))}),
 		random:    rand.New(rand.NewPCG(5, 6)),
-		endpoints: map[identifier.Endpoint]*played{},
+		endpoints: map[identifier.Endpoint]*simulatedEndpoint{},
 	}
 	for _, domain := range []identifier.FailureDomain{"a", "b"} {
-		e := Endpoint{ID: identifier.Endpoint("in-" + domain), Service: ice, Domain: domain, Slots: playedSlots, State: Ready}
-		p.endpoints[e.ID] = &played{Endpoint: e}
+		e := Endpoint{ID: identifier.Endpoint("in-" + domain), Service: ice, Domain: domain, Slots: simulatedSlots, State: Ready}
+		p.endpoints[e.ID] = &simulatedEndpoint{Endpoint: e}
 		p.router.Put(e, 0)
 	}
 	return p
 }
 
-func (p *play) start(c *playedCall, now float64) {
-	c.begun, c.ends = now, now+playedRun*p.random.ExpFloat64()
+func (p *simulation) start(c *simulatedCall, now float64) {
+	c.begun, c.ends = now, now+meanRunMilliseconds*p.random.ExpFloat64()
 	c.at.running++
-	heap.Push(&p.under, c)
+	heap.Push(&p.inProgress, c)
 }
 
-func (p *play) arrive(e *played, own bool, now float64) {
-	c := &playedCall{at: e, arrived: now, own: own}
-	if e.running < playedSlots {
+func (p *simulation) arrive(e *simulatedEndpoint, own bool, now float64) {
+	c := &simulatedCall{at: e, arrived: now, own: own}
+	if e.running < simulatedSlots {
 		p.start(c, now)
 		return
 	}
 	e.waiting = append(e.waiting, c)
 }
 
-func (p *play) end(c *playedCall) {
+func (p *simulation) end(c *simulatedCall) {
 	e := c.at
 	e.running--
 	if len(e.waiting) > 0 {
@@ -96,22 +96,22 @@
 		return
 	}
 	p.waits = append(p.waits, c.begun-c.arrived)
-	free := max(0, playedSlots-e.running-len(e.waiting))
+	free := max(0, simulatedSlots-e.running-len(e.waiting))
 	p.router.Done(e.ID, Result{
-		Headroom: uint8(math.MaxUint8 * free / playedSlots),
-		Wait:     clock.Duration(float64(len(e.waiting)) * playedRun / playedSlots),
+		Headroom: uint8(math.MaxUint8 * free / simulatedSlots),
+		Wait:     clock.Duration(float64(len(e.waiting)) * meanRunMilliseconds / simulatedSlots),
 		Latency:  clock.Duration(c.ends - c.arrived),
 	}, clock.Time(c.ends))
 }
 
 // run plays ten seconds in which this node's calls would use a part of the near endpoint, and others' a part of the far one.
-func (p *play) run(near, far float64) {
-	gap := func(use float64) float64 { return p.random.ExpFloat64() * playedRun / (playedSlots * use) }
+func (p *simulation) run(near, far float64) {
+	gap := func(use float64) float64 { return p.random.ExpFloat64() * meanRunMilliseconds / (simulatedSlots * use) }
 	nextOwn, nextOther := gap(near), gap(far)
 	for now := 0.0; now < 10_000; {
 		now = min(nextOwn, nextOther)
-		for len(p.under) > 0 && p.under[0].ends <= now {
-			p.end(heap.Pop(&p.under).(*playedCall))
+		for len(p.inProgress) > 0 && p.inProgress[0].ends <= now {
+			p.end(heap.Pop(&p.inProgress).(*simulatedCall))
 		}
 		if nextOther < nextOwn {
 			p.arrive(p.endpoints["in-b"], false, now)
@@ -124,7 +124,7 @@
 			continue
 		}
 		if e.Crossing != Inside {
-			p.crossed++
+			p.crossDomainCalls++
 		}
 		p.arrive(p.endpoints[e.ID], true, now)
 	}
@@ -133,7 +133,7 @@
 // One node makes nearly all calls to the only endpoint of its failure domain, as a backend server does whose runs need
 // it. While that endpoint has free slots, nothing is gained elsewhere: each call that leaves costs a round trip between
 // domains and their operators the bytes. When it has not, callers would wait in its queue though others have room.
-func TestCallsLeaveABusyDomainOnlyForWhatItCannotTake(t *testing.T) {
+func TestSpilloverIsLimitedToExcessLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far     float64
 		least, most   float64
@@ -147,9 +147,9 @@
 		"the other is the fuller": {near: 0.9, far: 0.99, most: 0.15, longestOfMost: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlay()
+			p := newSimulation()
 			p.run(c.near, c.far)
-			crossed := float64(p.crossed) / float64(len(p.waits))
+			crossed := float64(p.crossDomainCalls) / float64(len(p.waits))
 			long := 0
 			for _, wait := range p.waits {
 				if wait > float64(c.longestOfMost) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,10 +42,10 @@
 		r.service(e.Service).count++
 	}
 	if e.State == Cold && (!ok || m.endpoint.State != Cold) {
-		m.warmUp(now)
+		m.startWarmUp(now)
 	}
 	m.endpoint = e
-	r.place(m)
+	r.regroup(m)
 }
 
 // Remove forgets an endpoint; calls in flight there may still be reported with Done.
@@ -68,8 +68,8 @@
 	return s.count
 }
 
-// Learn takes over how long a run at an endpoint takes on average, as the node beside it says.
-func (r *Router) Learn(id identifier.Endpoint, p RunTimes) {
+// SetRunTimes takes over how long a run at an endpoint takes on average, as the node beside it says.
+func (r *Router) SetRunTimes(id identifier.Endpoint, p RunTimes) {
 	if m, ok := r.members[id]; ok && p != (RunTimes{}) {
 		m.runTimes = p
 	}
@@ -92,12 +92,12 @@
 	if !ok {
 		return Choice{}, false
 	}
-	m, crossing := r.choose(s, request{now: now, exclude: exclude, need: need})
+	m, crossing := r.choose(s, pickRequest{now: now, exclude: exclude, need: need})
 	if m == nil {
 		return Choice{}, false
 	}
 	m.inFlight++
-	r.place(m)
+	r.regroup(m)
 	if m.endpoint.Domain == r.options.Domain {
 		crossing = Inside
 	}
@@ -105,80 +105,80 @@
 }
 
 const (
-	// spillScore is the score from which the own failure domain counts as having no headroom.
-	spillScore = 0.98
-	// farCost is by how much an endpoint elsewhere must be better: without it, half of all calls would cross
+	// spilloverScore is the score from which the own failure domain counts as having no headroom.
+	spilloverScore = 0.98
+	// crossDomainPenalty is by how much an endpoint elsewhere must be better: without it, half of all calls would cross
 	// failure domains whenever every endpoint is full.
-	farCost = 0.3
+	crossDomainPenalty = 0.3
 )
 
-// request is what a pick is for.
-type request struct {
+// pickRequest is what a pick is for.
+type pickRequest struct {
 	now     clock.Time
 	exclude []identifier.Endpoint
 	need    Need
 }
 
-// allows tells whether an endpoint is not excluded and may run the call.
-func (q request) allows(m *member) bool {
+// checkPick tells whether an endpoint is not excluded and may run the call.
+func (q pickRequest) allows(m *member) bool {
 	return !slices.Contains(q.exclude, m.endpoint.ID) && q.need.allows(m.endpoint)
 }
 
 // choose returns an endpoint, and why it would be one elsewhere.
-func (r *Router) choose(s *service, q request) (*member, Crossing) {
+func (r *Router) choose(s *service, q pickRequest) (*member, Crossing) {
 	if m := r.probe(s, q); m != nil {
 		return m, Probing
 	}
 	if len(q.need.Domains) > 0 {
-		if m := r.drawIn(&s.far, q); m != nil {
+		if m := r.bestInNeededDomains(&s.remote, q); m != nil {
 			return m, ForItsCalls
 		}
 	}
-	near := r.draw(&s.near, q)
+	local := r.betterOfTwo(&s.local, q)
 	reason := NearFull
-	if near != nil && near.score(q.now, r.options) < spillScore {
+	if local != nil && local.score(q.now, r.options) < spilloverScore {
 		reason = NearSlow
-		if near.lateness(q.need) == 0 {
-			return near, Inside
+		if local.lateness(q.need) == 0 {
+			return local, Inside
 		}
 	}
-	far := r.draw(&s.far, q)
+	remote := r.betterOfTwo(&s.remote, q)
 	switch {
-	case near == nil && far == nil:
+	case local == nil && remote == nil:
 		return r.lastResort(s, q), NoneSound
-	case near == nil:
-		return far, NoneNear
-	case far == nil:
-		return near, Inside
-	case r.cost(far, q)+farCost < r.cost(near, q):
-		return far, reason
+	case local == nil:
+		return remote, NoneNear
+	case remote == nil:
+		return local, Inside
+	case r.cost(remote, q)+crossDomainPenalty < r.cost(local, q):
+		return remote, reason
 	default:
-		return near, Inside
+		return local, Inside
 	}
 }
 
 // cost is lower for the better choice.
-func (r *Router) cost(m *member, q request) float64 {
-	return m.score(q.now, r.options) + m.lateness(q.need) + m.queueing(q.need.Within, q.now, r.options)
+func (r *Router) cost(m *member, q pickRequest) float64 {
+	return m.score(q.now, r.options) + m.lateness(q.need) + m.queuePenalty(q.need.Within, q.now, r.options)
 }
 
-func (r *Router) lastResort(s *service, q request) *member {
+func (r *Router) lastResort(s *service, q pickRequest) *member {
 	for _, g := range []*group{&s.limited, &s.stopping, &s.ejected, &s.suspect} {
-		if m := r.draw(g, q); m != nil {
+		if m := r.betterOfTwo(g, q); m != nil {
 			return m
 		}
 	}
 	return nil
 }
 
-// draw takes the better of two random members, or any that is allowed.
-func (r *Router) draw(g *group, q request) *member {
+// betterOfTwo takes the better of two random members, or any that is allowed.
+func (r *Router) betterOfTwo(g *group, q pickRequest) *member {
 	n := len(g.members)
 	if n == 0 {
 		return nil
 	}
 	first := r.options.Rand.IntN(n)
-	a := r.allowed(g, first, q)
+	a := r.nextAllowed(g, first, q)
 	if a == nil || n == 1 {
 		return a
 	}
@@ -186,29 +186,29 @@
 	if second >= first {
 		second++
 	}
-	b := r.allowed(g, second, q)
+	b := r.nextAllowed(g, second, q)
 	if r.cost(b, q) < r.cost(a, q) {
 		return b
 	}
 	return a
 }
 
-// drawIn takes an endpoint with room in the domains that the call needs, the best of those; there are rarely more than a few.
-func (r *Router) drawIn(g *group, q request) *member {
+// bestInNeededDomains takes an endpoint with room in the domains that the call needs, the best of those; there are rarely more than a few.
+func (r *Router) bestInNeededDomains(g *group, q pickRequest) *member {
 	var best *member
 	for _, m := range g.members {
 		if !slices.Contains(q.need.Domains, m.endpoint.Domain) || !q.allows(m) {
 			continue
 		}
-		if m.score(q.now, r.options) < spillScore && (best == nil || r.cost(m, q) < r.cost(best, q)) {
+		if m.score(q.now, r.options) < spilloverScore && (best == nil || r.cost(m, q) < r.cost(best, q)) {
 			best = m
 		}
 	}
 	return best
 }
 
-// allowed returns the member at the place, or the next one that may run the call.
-func (r *Router) allowed(g *group, place int, q request) *member {
+// nextAllowed returns the member at the place, or the next one that may run the call.
+func (r *Router) nextAllowed(g *group, place int, q pickRequest) *member {
 	n := len(g.members)
 	for i := range n {
 		m := g.members[(place+i)%n]
@@ -227,17 +227,17 @@
 	}
 	m.inFlight = max(0, m.inFlight-1)
 	if result.Outcome == Succeeded || result.Outcome == Refused {
-		m.headroom, m.wait = result.Headroom, result.Wait
-		m.measured, m.measuredOwn = now, m.inFlight
-		m.known = true
-		m.service.used += newestUse * (m.measuredUse() - m.service.used)
-		m.learnRefusal(result.Outcome == Refused)
+		m.headroom, m.queueWait = result.Headroom, result.Wait
+		m.measuredAt, m.inFlightWhenMeasured = now, m.inFlight
+		m.hasMeasurement = true
+		m.service.meanUtilization += utilizationWeight * (m.measuredUtilization() - m.service.meanUtilization)
+		m.recordRefusal(result.Outcome == Refused)
 	}
 	if result.Outcome == Succeeded {
-		m.learnLatency(result.Latency)
+		m.recordLatency(result.Latency)
 	}
-	r.judge(m, result.Outcome, now)
-	r.place(m)
+	r.recordOutcome(m, result.Outcome, now)
+	r.regroup(m)
 }
 
 func (r *Router) service(name identifier.Service) *service {
@@ -249,36 +249,36 @@
 	return s
 }
 
-// place puts the member into the group that its state and ejection ask for.
-func (r *Router) place(m *member) {
+// index puts the member into the group that its state and ejection ask for.
+func (r *Router) regroup(m *member) {
 	s := r.service(m.endpoint.Service)
-	want := r.groupOf(s, m)
-	if m.group == want {
+	target := r.groupOf(s, m)
+	if m.group == target {
 		return
 	}
 	if m.group != nil {
 		m.group.remove(m)
 	}
-	want.add(m)
+	target.add(m)
 }
 
 func (r *Router) groupOf(s *service, m *member) *group {
 	switch {
 	case m.endpoint.State == Leaving || m.endpoint.State == Evacuated:
 		return &s.leaving
-	case m.full():
+	case m.atConnectionLimit():
 		return &s.full
 	case m.endpoint.State == Suspect:
 		return &s.suspect
-	case m.until != 0:
+	case m.ejectedUntil != 0:
 		return &s.ejected
 	case m.endpoint.State == Limited:
 		return &s.limited
 	case m.endpoint.State == Stopping:
 		return &s.stopping
 	case m.endpoint.Domain == r.options.Domain:
-		return &s.near
+		return &s.local
 	default:
-		return &s.far
+		return &s.remote
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -21,17 +21,17 @@
 	calls map[identifier.Endpoint]int
 }
 
-func (o oracle) free(e Endpoint, exclude []identifier.Endpoint) bool {
+func (o oracle) available(e Endpoint, exclude []identifier.Endpoint) bool {
 	return o.calls[e.ID] < e.ConnectionLimit && !slices.Contains(exclude, e.ID)
 }
 
-// allows checks a pick: a leaving, excluded or full endpoint never; a suspect or stopping one only if there
+// checkPick checks a pick: a leaving, excluded or full endpoint never; a suspect or stopping one only if there
 // is no other.
-func (o oracle) allows(t *rapid.T, picked Endpoint, ok bool, exclude []identifier.Endpoint) {
+func (o oracle) checkPick(t *rapid.T, picked Endpoint, ok bool, exclude []identifier.Endpoint) {
 	sound, suspect := 0, 0
 	for _, e := range o.known {
 		switch {
-		case e.State == Leaving || !o.free(e, exclude):
+		case e.State == Leaving || !o.available(e, exclude):
 		case e.State == Suspect || e.State == Stopping:
 			suspect++
 		default:
@@ -43,7 +43,7 @@
 		return
 	}
 	assert.Equal(t, picked, o.known[picked.ID])
-	assert.Assert(t, picked.State != Leaving && o.free(picked, exclude))
+	assert.Assert(t, picked.State != Leaving && o.available(picked, exclude))
 	assert.Assert(t, picked.State != Suspect && picked.State != Stopping || sound == 0)
 }
 
@@ -74,7 +74,7 @@
 			"pick": func(t *rapid.T) {
 				exclude := rapid.SliceOfN(id, 0, 3).Draw(t, "exclude")
 				e, ok := r.Pick(ice, now, exclude)
-				o.allows(t, e, ok, exclude)
+				o.checkPick(t, e, ok, exclude)
 				if ok {
 					o.calls[e.ID]++
 				}
@@ -112,8 +112,8 @@
 	return r
 }
 
-// spread makes calls of which each ends at once as result says, and counts them by endpoint.
-func spread(r *Router, calls int, every clock.Duration, result func(Endpoint) Result) map[identifier.Endpoint]int {
+// countCalls makes calls of which each ends at once as result says, and counts them by endpoint.
+func countCalls(r *Router, calls int, every clock.Duration, result func(Endpoint) Result) map[identifier.Endpoint]int {
 	counts := map[identifier.Endpoint]int{}
 	for i := range calls {
 		now := clock.Time(i) * clock.Time(every)
@@ -126,7 +126,7 @@
 
 // The own failure domain is the nearest, but when its backend servers are full, calls that stay there wait or
 // are refused although others have room. A user notices refusals on a half-empty fleet.
-func TestSpillsByHeadroom(t *testing.T) {
+func TestSpilloverByHeadroom(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far uint8
 		least     int
@@ -138,7 +138,7 @@
 		"far is fullest": {near: 5, far: 0, least: 0, most: 30},
 	} {
 		t.Run(name, func(t *testing.T) {
-			counts := spread(newRouter(3, 3), 1000, 1, func(e Endpoint) Result {
+			counts := countCalls(newRouter(3, 3), 1000, 1, func(e Endpoint) Result {
 				if e.Domain == "a" {
 					return Result{Headroom: c.near}
 				}
@@ -153,7 +153,7 @@
 // A backend server that fails at once looks idle and draws calls that then fail. If the cause is shared, all of
 // them fail, and taking them out one by one would leave the last one to drown. A user notices errors in the
 // first case, and a service that is gone in the second.
-func TestEjectsWithoutDrowningTheRest(t *testing.T) {
+func TestEjectionLeavesEnoughEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
 		failing map[identifier.Endpoint]bool
 		most    int
@@ -166,7 +166,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(6, 0)
 			failed := 0
-			spread(r, 10_000, 1, func(e Endpoint) Result {
+			countCalls(r, 10_000, 1, func(e Endpoint) Result {
 				assert.Assert(t, len(r.services[ice].ejected.members) <= 2)
 				if c.failing[e.ID] {
 					failed++
@@ -181,7 +181,7 @@
 
 // A backend server that comes back after an ejection, or starts cold, is slow at first. Its full share of calls
 // at once would make them time out, and it would be ejected again; a user notices errors in waves.
-func TestWarmsUp(t *testing.T) {
+func TestColdEndpointWarmsUp(t *testing.T) {
 	r := newRouter(4, 0)
 	cold := Endpoint{ID: "cold", Service: ice, Domain: "a", Slots: 100, State: Cold}
 	r.Put(cold, 0)
@@ -237,7 +237,7 @@
 // The only endpoint of a failure domain is slower than those elsewhere. Where one call in ten or more would be late there
 // though others have room, callers of one domain wait for what everybody else has in time. Where nearly all are in
 // time, and for calls with time to spare, nothing is gained that is worth the bytes between domains.
-func TestHastyCallsLeaveASlowDomain(t *testing.T) {
+func TestCallsDueSoonLeaveSlowDomain(t *testing.T) {
 	const runs = 400
 	for name, c := range map[string]struct {
 		within      clock.Duration
@@ -256,9 +256,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(1, 2)
-			r.Learn("0", c.slow)
-			r.Learn("1", RunTimes{Root: 20, Nested: 20})
-			r.Learn("2", RunTimes{Root: 20, Nested: 20})
+			r.SetRunTimes("0", c.slow)
+			r.SetRunTimes("1", RunTimes{Root: 20, Nested: 20})
+			r.SetRunTimes("2", RunTimes{Root: 20, Nested: 20})
 			far := 0
 			for i := range runs {
 				now := clock.Time(i)
@@ -278,7 +278,7 @@
 
 // Two endpoints are full, and one of them is slow: its queue is long where the other's is empty. Drawn alike, half of the
 // calls wait at the slow one until they are turned away, and whoever needs several of them fails after its work.
-func TestFullEndpointsAreTakenByTheirQueues(t *testing.T) {
+func TestFullEndpointsAreComparedByQueueWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far int
 		slow      identifier.Endpoint
@@ -288,7 +288,7 @@
 		"the far one slow":  {near: 1, far: 1, slow: "1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			counts := spread(newRouter(c.near, c.far), 1000, 1, func(e Endpoint) Result {
+			counts := countCalls(newRouter(c.near, c.far), 1000, 1, func(e Endpoint) Result {
 				if e.ID == c.slow {
 					return Result{Headroom: 0, Wait: 120}
 				}
@@ -301,10 +301,10 @@
 
 // One of two endpoints has become so slow that its runs outlast every caller, and the other is full and turns calls away.
 // What goes to the slow one is lost after its whole time; what the full one turns away is known at once.
-func TestEndpointTooSlowForAnyCallIsLeftAlone(t *testing.T) {
+func TestTooSlowEndpointGetsFewCalls(t *testing.T) {
 	r := newRouter(1, 1)
-	r.Learn("0", RunTimes{Root: 480})
-	r.Learn("1", RunTimes{Root: 50})
+	r.SetRunTimes("0", RunTimes{Root: 480})
+	r.SetRunTimes("1", RunTimes{Root: 50})
 	counts := map[identifier.Endpoint]int{}
 	for i := range 1000 {
 		now := clock.Time(i)
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -2,7 +2,7 @@
 // answers (headroom, latency, failures). What was measured counts before what was announced.
 //
 // Example: an endpoint announced Ready with 100 slots whose answers carry headroom 0 gets calls only when no
-// other has room.
+// otherUsable has room.
 
 package router
 
@@ -51,8 +51,8 @@
 	Root, Nested clock.Duration
 }
 
-// of returns the run time of one kind of call, that of the other kind where there was none.
-func (p RunTimes) of(nested bool) clock.Duration {
+// forKind returns the run time of one kind of call, that of the other kind where there was none.
+func (p RunTimes) forKind(nested bool) clock.Duration {
 	if nested && p.Nested > 0 || p.Root == 0 {
 		return p.Nested
 	}
@@ -72,7 +72,7 @@
 	Allowed map[identifier.FailureDomain]bool
 }
 
-// allows tells whether an endpoint may run the call.
+// checkPick tells whether an endpoint may run the call.
 func (n Need) allows(e Endpoint) bool {
 	return n.Allowed == nil || n.Allowed[e.Domain]
 }
