--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,2 +1,2 @@
-// Package router picks the backend server for a call by failure domain, measured headroom and failures.
+// Package router picks the endpoint for a call by failure domain, measured headroom and failures.
 package router
--- a/internal/router/eject.go
+++ b/internal/router/eject.go
@@ -1,8 +1,8 @@
-// An endpoint that fails fast looks idle and draws ever more calls. Ejecting it helps only as long as the rest
-// can carry the load: when a shared cause makes all fail, ejecting them one by one would drown the last one.
-// So at most a third is ejected, and each comes back by a single probe call.
+// An endpoint that fails fast looks idle and attracts more calls. Outlier ejection helps only as long as the remaining
+// endpoints can carry the load: if a shared cause makes all of them fail, ejecting one after the other would overload
+// the last one. So at most a third is ejected, and each is readmitted by a half-open probe, a single call.
 //
-// Example: 6 endpoints, all failing: 2 are ejected, the other 4 go on getting calls.
+// Example: 6 endpoints, all failing: 2 are ejected, the other 4 continue to get calls.
 
 package router
 
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// usablePerEjected is how many usable endpoints must stay for each ejected one.
+// usablePerEjected is how many usable endpoints must remain for each ejected one.
 const usablePerEjected = 2
 
 func (r *Router) recordOutcome(m *member, o Outcome, now clock.Time) {
@@ -62,7 +62,8 @@
 	return rest == 1 && other.failures == 0 && other.hasMeasurement && other.utilization(now, r.options) < maxPairUtilization
 }
 
-// maxPairUtilization is how much of the only other endpoint may be in use for a failing one to be ejected.
+// maxPairUtilization is the utilization of the only other endpoint below which a failing endpoint of two may be
+// ejected.
 const maxPairUtilization = 0.5
 
 // otherUsable returns the usable endpoint besides m; there must be exactly one.
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// scheduleProbe sets the next probe, later after each ejection, and jittered so that nodes do not probe together.
+// scheduleProbe ejects the endpoint until its next probe. The interval doubles with each ejection and is jittered, so
+// that nodes do not probe at the same time.
 func (r *Router) scheduleProbe(m *member, now clock.Time) {
 	interval := r.options.EjectTime << min(m.ejections, 10)
 	interval = min(interval, r.options.EjectMax)
@@ -86,7 +88,7 @@
 	m.ejectedUntil = now.Add(interval + jitter)
 }
 
-// probe returns an ejected endpoint whose time has come, for a single call.
+// probe returns an ejected endpoint whose probe is due, for a single call.
 func (r *Router) probe(s *service, q pickRequest) *member {
 	n := len(s.ejected.members)
 	if n == 0 {
--- a/internal/router/group.go
+++ b/internal/router/group.go
@@ -1,5 +1,5 @@
-// Picking must cost the same for 5 endpoints as for 500. So the endpoints that may be picked stand in plain
-// slices, of which two are drawn at random; an endpoint that leaves is replaced by the last one.
+// Picking must cost the same for 5 endpoints as for 500. So the endpoints that may be picked are kept in slices, of
+// which two elements are drawn at random; a removed endpoint is replaced by the last one.
 //
 // Example: slice [a b c], remove a: [c b].
 
@@ -28,13 +28,14 @@
 
 // service holds the endpoints of one service.
 type service struct {
-	// local and far are the usable endpoints of the own failure domain and of the others.
+	// local and remote are the usable endpoints in the own failure domain and in the others.
 	local, remote group
-	// ejected endpoints are probed; limited, stopping, ejected and suspect ones, in this order, are the last resort; leaving
-	// and evacuated ones are never picked; full ones wait for one of their calls to end, so that no pick has to search past them.
+	// Ejected endpoints are probed. Limited, stopping, ejected and suspect endpoints, in this order, are the last
+	// resort. Leaving and evacuated endpoints are never picked. Endpoints at their connection limit are kept in full
+	// until one of their calls ends, so that no pick has to search past them.
 	ejected, limited, stopping, suspect, leaving, full group
 	count                                              int
-	// meanUtilization is the mean used part that answers told of, latency the mean over the answered calls.
+	// meanUtilization is the mean utilization that answers reported, latency the mean latency of answered calls.
 	meanUtilization float64
 	latency         float64
 }
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// simulatedEndpoint is an endpoint with slots and a queue, in front of which calls wait.
+// simulatedEndpoint is an endpoint with slots and a queue.
 type simulatedEndpoint struct {
 	Endpoint
 	running int
@@ -40,7 +40,8 @@
 	return last
 }
 
-// simulation is one node's calls to an endpoint in its own failure domain and one elsewhere, which others load as well.
+// simulation has one node's calls to an endpoint in its own failure domain and one elsewhere, which other nodes load as
+// well.
 type simulation struct {
 	router           *Router
 	random           *rand.Rand
@@ -104,7 +105,8 @@
 	}, clock.Time(c.ends))
 }
 
-// run plays ten seconds in which this node's calls would use a part of the near endpoint, and others' a part of the far one.
+// run simulates ten seconds in which this node's calls would use a fraction of the local endpoint, and those of others
+// a fraction of the remote one.
 func (p *simulation) run(near, far float64) {
 	gap := func(use float64) float64 { return p.random.ExpFloat64() * meanRunMilliseconds / (simulatedSlots * use) }
 	nextOwn, nextOther := gap(near), gap(far)
@@ -131,8 +133,8 @@
 }
 
 // One node makes nearly all calls to the only endpoint of its failure domain, as a backend server does whose runs need
-// it. While that endpoint has free slots, nothing is gained elsewhere: each call that leaves costs a round trip between
-// domains and their operators the bytes. When it has not, callers would wait in its queue though others have room.
+// it. While that endpoint has free slots, spillover gains nothing: each call that leaves costs a round trip between
+// domains and its traffic. When the endpoint is full, calls would wait in its queue although others have headroom.
 func TestSpilloverIsLimitedToExcessLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far     float64
@@ -140,11 +142,11 @@
 		longestOfMost clock.Duration
 	}{
 		"half used": {near: 0.5, far: 0.3, most: 0.002, longestOfMost: 5},
-		// At this use one call in eleven would find all slots taken if none left.
-		"well used":               {near: 0.75, far: 0.3, most: 0.09, longestOfMost: 10},
-		"more than it can take":   {near: 1.3, far: 0.3, least: 0.2, most: 0.6, longestOfMost: 60},
-		"as full as the other":    {near: 0.95, far: 0.95, most: 0.25, longestOfMost: 150},
-		"the other is the fuller": {near: 0.9, far: 0.99, most: 0.15, longestOfMost: 100},
+		// At this utilization one call in eleven would find all slots taken if none left.
+		"well used":             {near: 0.75, far: 0.3, most: 0.09, longestOfMost: 10},
+		"more than it can take": {near: 1.3, far: 0.3, least: 0.2, most: 0.6, longestOfMost: 60},
+		"as full as the other":  {near: 0.95, far: 0.95, most: 0.25, longestOfMost: 150},
+		"the other is fuller":   {near: 0.9, far: 0.99, most: 0.15, longestOfMost: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newSimulation()
@@ -156,7 +158,7 @@
 					long++
 				}
 			}
-			told := fmt.Sprintf("%.3f of %d calls went elsewhere, %d waited longer than %d ms", crossed, len(p.waits), long, c.longestOfMost)
+			told := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), long, c.longestOfMost)
 			assert.Assert(t, crossed >= c.least && crossed <= c.most, told)
 			assert.Assert(t, long <= len(p.waits)/20, told)
 			t.Log(told)
--- a/internal/router/member.go
+++ b/internal/router/member.go
@@ -1,5 +1,5 @@
-// An endpoint's own figures lag or lie, so the router scores it by what this node has measured: its calls in
-// flight there and the headroom in its answers, which fades to neutral when it grows old.
+// The figures that an endpoint reports about itself are late or false, so the router scores it by what this node has
+// measured: its calls in flight there, and the headroom in its answers, which loses weight as it ages.
 //
 // Example: headroom 255 and no call in flight scores 0; headroom 0 and 10 of 100 slots in flight scores 1.1.
 
@@ -17,7 +17,7 @@
 	group    *group
 	index    int
 	inFlight int
-	// warmingSince is when the endpoint began to warm up, if it does.
+	// warmingSince is when the endpoint began to warm up, if warming is true.
 	warmingSince clock.Time
 	warming      bool
 
@@ -29,7 +29,7 @@
 	hasMeasurement       bool
 	refusalRate          float64
 	latency              float64
-	// runTimes are as the node beside the endpoint says.
+	// runTimes are reported by the node beside the endpoint.
 	runTimes RunTimes
 
 	failures     int
@@ -38,9 +38,9 @@
 	probing      bool
 }
 
-// score is lower for the better choice: what is in use, as measured and by this node's own calls, and more for an
-// endpoint that is much slower than its service. When all are full, that alone tells a slow VM from the others, and calls
-// would time out there.
+// score is lower for the better choice. It is the measured utilization, plus this node's calls that it does not
+// include, plus penalties for refusals and for an endpoint that is much slower than its service. When all endpoints are
+// full, only the last distinguishes a slow VM, on which calls would time out, from the others.
 func (m *member) score(now clock.Time, o Options) float64 {
 	slots := float64(max(m.endpoint.Slots, 1)) * m.warmth(now, o)
 	own := m.unmeasuredInFlight(now, o) / slots
@@ -48,13 +48,15 @@
 	return own + m.utilization(now, o) + slownessPenalty*slow + refusalPenalty*m.currentRefusalRate(now, o)
 }
 
-// staleness tells how old what was measured is, as a part of the time for which it counts: 0 is fresh, 1 too old to count.
+// staleness returns the age of the last measurement as a fraction of the time for which it is used: 0 is fresh, 1 too
+// old.
 func (m *member) staleness(now clock.Time, validFor clock.Duration) float64 {
 	return min(1, max(0, float64(now.Sub(m.measuredAt))/float64(validFor)))
 }
 
-// unmeasuredInFlight is how many of this node's own calls the measured use does not hold: those that were sent since. Counted with
-// all that are in flight, a node that sends most of an endpoint's calls would take it for full at half of its slots.
+// unmeasuredInFlight returns how many of this node's calls were sent since the last measurement, so that the measured
+// utilization does not include them. If all calls in flight were added, a node that sends most of an endpoint's calls
+// would consider it full at half of its slots.
 func (m *member) unmeasuredInFlight(now clock.Time, o Options) float64 {
 	if !m.hasMeasurement {
 		return float64(m.inFlight)
@@ -64,19 +66,20 @@
 }
 
 const (
-	// tailFactor is how many times its mean a run takes that is slow but ordinary: one in ten is slower.
+	// tailFactor is the ratio of a slow but ordinary run time to the mean: one run in ten is slower.
 	tailFactor = 2
-	// maxLateness is the cost of an endpoint whose mean run takes all the time there is. It is more than a full endpoint
-	// that turns all calls away costs: a call that is turned away there may still be tried elsewhere.
+	// maxLateness is the largest cost for run times that exceed the time in which the answer is due. It is more than
+	// the cost of a full endpoint that refuses all calls, since a refused call may still be tried elsewhere.
 	maxLateness = 3
 )
 
-// defaultWithin is the time in which a call counts as due that says nothing of it: some round trips and a run.
+// defaultWithin is the assumed time in which the answer is due if the call has none: some round trips and a run.
 const defaultWithin = 300 * clock.Millisecond
 
-// queuePenalty is the wait in the endpoint's queue, as a part of the time in which the answer is due. The headroom of a full
-// endpoint says nothing of its queue: of two full ones, one of which is slow, each would get half of the calls, and the
-// slow one turn most of them away while the other has nobody waiting. It fades as the headroom does.
+// queuePenalty is the wait in the endpoint's queue as a fraction of the time in which the answer is due; it loses
+// weight with age as the headroom does. Headroom 0 does not show the length of the queue: of two full endpoints, one of
+// which is slow, each would get half of the calls, and the slow one would refuse most of them while the queue of the
+// other is empty.
 func (m *member) queuePenalty(within clock.Duration, now clock.Time, o Options) float64 {
 	if within <= 0 {
 		within = defaultWithin
@@ -84,8 +87,8 @@
 	return float64(m.queueWait) / float64(within) * (1 - m.staleness(now, o.HeadroomAge))
 }
 
-// lateness is by how much an endpoint's slow runs go beyond the time in which an answer is due. Calls with time to
-// spare stay in their failure domain.
+// lateness is the fraction by which the endpoint's slow runs exceed the time in which an answer is due. Calls with time
+// to spare stay in their failure domain.
 func (m *member) lateness(n Need) float64 {
 	runTime := m.runTimes.forKind(n.Nested)
 	if n.Within <= 0 || runTime <= 0 {
@@ -95,17 +98,20 @@
 }
 
 const (
-	// latencyWeight is the weight of one call in an endpoint's latency, newestMean in its service's.
+	// latencyWeight is the smoothing weight of one call in an endpoint's latency, serviceLatencyWeight in its
+	// service's.
 	latencyWeight        = 1.0 / 16
 	serviceLatencyWeight = 1.0 / 64
-	// utilizationWeight is the weight of one answer in its service's mean used part.
+	// utilizationWeight is the smoothing weight of one answer in its service's mean utilization.
 	utilizationWeight = 1.0 / 32
-	// toleratedSlowness is what chance and queues make of equal endpoints; slowCost weighs what exceeds it.
+	// toleratedSlowness is the ratio of latencies that chance and queues cause between equal endpoints; slownessPenalty
+	// weighs the excess over it.
 	toleratedSlowness = 1.5
 	slownessPenalty   = 0.5
-	// maxSlowness keeps a slow endpoint in use for what it can do.
+	// maxSlowness bounds the ratio, so that a slow endpoint still gets the calls that it can run.
 	maxSlowness = 4
-	// latencyAgeFactor times the age of a headroom is how long a latency counts, so that a recovery is noticed.
+	// latencyAgeFactor times HeadroomAge is how long a latency is used; the limit lets an endpoint's recovery be
+	// noticed.
 	latencyAgeFactor = 5
 )
 
@@ -120,7 +126,7 @@
 	m.service.latency += serviceLatencyWeight * (float64(d) - m.service.latency)
 }
 
-// slowness is the endpoint's latency over the mean of its service, fading to 1 with age.
+// slowness is the endpoint's latency divided by the mean of its service, approaching 1 with age.
 func (m *member) slowness(now clock.Time, o Options) float64 {
 	if m.latency == 0 || m.service.latency == 0 {
 		return 1
@@ -129,13 +135,15 @@
 	return ratio + m.staleness(now, latencyAgeFactor*o.HeadroomAge)*(1-ratio)
 }
 
-// refusalPenalty weighs the part of its calls that an endpoint refuses. Refusals are quick and keep an endpoint looking idle:
-// forKind two equally loaded ones, the stricter would draw the more calls and refuse them, and the other open up wide.
+// refusalPenalty weighs the fraction of its calls that an endpoint refuses. Refusals are quick and make an endpoint
+// look idle: of two equally loaded endpoints, the stricter one would draw more calls and refuse them, and the other
+// would relax its threshold.
 const refusalPenalty = 1
 
+// refusalWeight is the smoothing weight of one answer in the refusal rate.
 const refusalWeight = 1.0 / 16
 
-// recordRefusal follows which part of the calls the endpoint refuses.
+// recordRefusal updates the fraction of its calls that the endpoint refuses.
 func (m *member) recordRefusal(refused bool) {
 	part := 0.0
 	if refused {
@@ -144,14 +152,14 @@
 	m.refusalRate += refusalWeight * (part - m.refusalRate)
 }
 
-// currentRefusalRate is that part, fading with age.
+// currentRefusalRate is the refusal rate, approaching 0 with age.
 func (m *member) currentRefusalRate(now clock.Time, o Options) float64 {
 	return m.refusalRate * (1 - m.staleness(now, o.HeadroomAge))
 }
 
-// meanUtilization is the measured used part of the endpoint's limit, fading to its service's mean with age. An endpoint that has
-// not been measured counts as free: measured by a fixed figure instead, one that joins a service with little to do
-// would never be the better choice, and never get a call.
+// utilization is the measured utilization of the endpoint's limit, approaching the mean of its service with age. An
+// endpoint without a measurement counts as idle: with a fixed figure instead, an endpoint that joins a lightly loaded
+// service would never be the better choice and never get a call.
 func (m *member) utilization(now clock.Time, o Options) float64 {
 	if !m.hasMeasurement {
 		return 0
@@ -166,7 +174,7 @@
 
 const minWarmth = 0.1
 
-// warmth is the part of its slots that a cold or returned endpoint is trusted with.
+// warmth is the fraction of its slots that a cold or readmitted endpoint may use.
 func (m *member) warmth(now clock.Time, o Options) float64 {
 	if !m.warming {
 		return 1
@@ -180,7 +188,7 @@
 	m.warming = true
 }
 
-// atConnectionLimit tells that this node has as many calls there as connections are allowed.
+// atConnectionLimit returns whether this node has as many calls at the endpoint as it may open connections.
 func (m *member) atConnectionLimit() bool {
 	return m.endpoint.ConnectionLimit > 0 && m.inFlight >= m.endpoint.ConnectionLimit
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,9 @@
-// Every node picks for itself, from figures that are always a little old. If all took the best endpoint, all
-// would take the same one, and flood it. So a node draws two at random and takes the better of them, in its
-// own failure domain while that has headroom.
+// Each node picks endpoints by itself, from slightly outdated measurements. If all nodes took the best endpoint, they
+// would all take the same one and overload it. So a node uses the power of two choices: it draws two endpoints at
+// random and takes the better one. It stays in its own failure domain while that has headroom (zone-aware routing with
+// spillover).
 //
-// Example: own domain measured full, the other half used: the call goes to the other.
+// Example: the own failure domain is measured full, the other one half used: the call goes to the other one.
 
 package router
 
@@ -20,7 +21,7 @@
 	services map[identifier.Service]*service
 }
 
-// New returns a router that knows no endpoint.
+// New returns a router without endpoints.
 func New(o Options) *Router {
 	return &Router{
 		options:  o.withDefaults(),
@@ -29,7 +30,7 @@
 	}
 }
 
-// Put takes an announced endpoint over, new or changed.
+// Put adds an announced endpoint or updates it.
 func (r *Router) Put(e Endpoint, now clock.Time) {
 	m, ok := r.members[e.ID]
 	if ok && m.endpoint.Service != e.Service {
@@ -48,7 +49,7 @@
 	r.regroup(m)
 }
 
-// Remove forgets an endpoint; calls in flight there may still be reported with Done.
+// Remove deletes an endpoint; calls in flight there may still be reported with Done.
 func (r *Router) Remove(id identifier.Endpoint) {
 	m, ok := r.members[id]
 	if !ok {
@@ -68,7 +69,7 @@
 	return s.count
 }
 
-// SetRunTimes takes over how long a run at an endpoint takes on average, as the node beside it says.
+// SetRunTimes sets the mean run times at an endpoint as the node beside it reports them.
 func (r *Router) SetRunTimes(id identifier.Endpoint, p RunTimes) {
 	if m, ok := r.members[id]; ok && p != (RunTimes{}) {
 		m.runTimes = p
@@ -81,7 +82,7 @@
 	return choice.Endpoint, ok
 }
 
-// PickWithin is Pick for a call with a need.
+// PickWithin is Pick for a call with requirements.
 func (r *Router) PickWithin(
 	name identifier.Service,
 	now clock.Time,
@@ -107,24 +108,24 @@
 const (
 	// spilloverScore is the score from which the own failure domain counts as having no headroom.
 	spilloverScore = 0.98
-	// crossDomainPenalty is by how much an endpoint elsewhere must be better: without it, half of all calls would cross
-	// failure domains whenever every endpoint is full.
+	// crossDomainPenalty is by how much the cost of an endpoint in another failure domain must be lower: without it,
+	// half of all calls would cross failure domains whenever every endpoint is full.
 	crossDomainPenalty = 0.3
 )
 
-// pickRequest is what a pick is for.
+// pickRequest holds the arguments of a pick.
 type pickRequest struct {
 	now     clock.Time
 	exclude []identifier.Endpoint
 	need    Need
 }
 
-// checkPick tells whether an endpoint is not excluded and may run the call.
+// allows returns whether an endpoint is not excluded and may run the call.
 func (q pickRequest) allows(m *member) bool {
 	return !slices.Contains(q.exclude, m.endpoint.ID) && q.need.allows(m.endpoint)
 }
 
-// choose returns an endpoint, and why it would be one elsewhere.
+// choose returns an endpoint, and the reason for leaving the own failure domain if the endpoint is in another one.
 func (r *Router) choose(s *service, q pickRequest) (*member, Crossing) {
 	if m := r.probe(s, q); m != nil {
 		return m, Probing
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// betterOfTwo takes the better of two random members, or any that is allowed.
+// betterOfTwo returns the better of two random members, or nil if no member may run the call.
 func (r *Router) betterOfTwo(g *group, q pickRequest) *member {
 	n := len(g.members)
 	if n == 0 {
@@ -193,7 +194,8 @@
 	return a
 }
 
-// bestInNeededDomains takes an endpoint with room in the domains that the call needs, the best of those; there are rarely more than a few.
+// bestInNeededDomains returns the best endpoint with headroom in the failure domains that the call's nested calls need;
+// it compares all of them, since there are rarely more than a few.
 func (r *Router) bestInNeededDomains(g *group, q pickRequest) *member {
 	var best *member
 	for _, m := range g.members {
@@ -207,7 +209,7 @@
 	return best
 }
 
-// nextAllowed returns the member at the place, or the next one that may run the call.
+// nextAllowed returns the first member from the given index on, wrapping around, that may run the call.
 func (r *Router) nextAllowed(g *group, place int, q pickRequest) *member {
 	n := len(g.members)
 	for i := range n {
@@ -249,7 +251,7 @@
 	return s
 }
 
-// index puts the member into the group that its state and ejection ask for.
+// regroup moves the member to the group for its state and ejection.
 func (r *Router) regroup(m *member) {
 	s := r.service(m.endpoint.Service)
 	target := r.groupOf(s, m)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -15,7 +15,7 @@
 
 const ice = identifier.Service("ice")
 
-// oracle keeps what was announced and counts calls, in plain maps.
+// oracle keeps the announced endpoints and counts calls, in plain maps.
 type oracle struct {
 	known map[identifier.Endpoint]Endpoint
 	calls map[identifier.Endpoint]int
@@ -25,8 +25,8 @@
 	return o.calls[e.ID] < e.ConnectionLimit && !slices.Contains(exclude, e.ID)
 }
 
-// checkPick checks a pick: a leaving, excluded or full endpoint never; a suspect or stopping one only if there
-// is no other.
+// checkPick checks a pick: a leaving, excluded or full endpoint is never picked; a suspect or stopping one only if
+// there is no other.
 func (o oracle) checkPick(t *rapid.T, picked Endpoint, ok bool, exclude []identifier.Endpoint) {
 	sound, suspect := 0, 0
 	for _, e := range o.known {
@@ -112,7 +112,7 @@
 	return r
 }
 
-// countCalls makes calls of which each ends at once as result says, and counts them by endpoint.
+// countCalls makes calls that each end at once with the given result, and counts them by endpoint.
 func countCalls(r *Router, calls int, every clock.Duration, result func(Endpoint) Result) map[identifier.Endpoint]int {
 	counts := map[identifier.Endpoint]int{}
 	for i := range calls {
@@ -124,18 +124,18 @@
 	return counts
 }
 
-// The own failure domain is the nearest, but when its backend servers are full, calls that stay there wait or
-// are refused although others have room. A user notices refusals on a half-empty fleet.
+// The own failure domain is preferred. But when its backend servers are full, calls that stay there wait or are refused
+// although other domains have headroom: callers see refusals on a half-empty fleet.
 func TestSpilloverByHeadroom(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far uint8
 		least     int
 		most      int
 	}{
-		"near has room":  {near: 60, far: 255, least: 0, most: 0},
-		"near is full":   {near: 0, far: 120, least: 900, most: 1000},
-		"all are full":   {near: 0, far: 0, least: 0, most: 30},
-		"far is fullest": {near: 5, far: 0, least: 0, most: 30},
+		"local has headroom": {near: 60, far: 255, least: 0, most: 0},
+		"local is full":      {near: 0, far: 120, least: 900, most: 1000},
+		"all are full":       {near: 0, far: 0, least: 0, most: 30},
+		"remote is fullest":  {near: 5, far: 0, least: 0, most: 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counts := countCalls(newRouter(3, 3), 1000, 1, func(e Endpoint) Result {
@@ -145,14 +145,14 @@
 				return Result{Headroom: c.far}
 			})
 			far := counts["3"] + counts["4"] + counts["5"]
-			assert.Assert(t, far >= c.least && far <= c.most, "%d of 1000 calls went elsewhere", far)
+			assert.Assert(t, far >= c.least && far <= c.most, "%d of 1000 calls left the own failure domain", far)
 		})
 	}
 }
 
-// A backend server that fails at once looks idle and draws calls that then fail. If the cause is shared, all of
-// them fail, and taking them out one by one would leave the last one to drown. A user notices errors in the
-// first case, and a service that is gone in the second.
+// A backend server that fails at once looks idle and attracts calls that then fail. If the cause is shared, all servers
+// fail, and ejecting one after the other would overload the last one. Callers see errors in the first case, and an
+// outage of the service in the second.
 func TestEjectionLeavesEnoughEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
 		failing map[identifier.Endpoint]bool
@@ -179,8 +179,8 @@
 	}
 }
 
-// A backend server that comes back after an ejection, or starts cold, is slow at first. Its full share of calls
-// at once would make them time out, and it would be ejected again; a user notices errors in waves.
+// A backend server that is readmitted after an ejection, or starts cold, is slow at first. With its full share of calls
+// at once they would time out, and it would be ejected again: callers see errors in waves.
 func TestColdEndpointWarmsUp(t *testing.T) {
 	r := newRouter(4, 0)
 	cold := Endpoint{ID: "cold", Service: ice, Domain: "a", Slots: 100, State: Cold}
@@ -190,12 +190,12 @@
 		e, _ := r.Pick(ice, 0, nil)
 		held[e.ID]++
 	}
-	assert.Assert(t, held["cold"] < 20, "%d of 200 calls are at the cold one", held["cold"])
+	assert.Assert(t, held["cold"] < 20, "%d of 200 calls are at the cold endpoint", held["cold"])
 	for range 200 {
 		e, _ := r.Pick(ice, 10_000, nil)
 		held[e.ID]++
 	}
-	assert.Assert(t, held["cold"] > 50, "%d of 400 calls are at the one that was cold", held["cold"])
+	assert.Assert(t, held["cold"] > 50, "%d of 400 calls are at the endpoint that was cold", held["cold"])
 }
 
 func BenchmarkPick(b *testing.B) {
@@ -212,9 +212,9 @@
 	}
 }
 
-// An endpoint joins a service that has little to do. Were an endpoint without a measurement taken for half used, one
-// that is measured and nearly idle would always be the better choice: the new one would never get a call, and its
-// failure domain's users would wait behind the old one as soon as load rises.
+// An endpoint joins a lightly loaded service. If an endpoint without a measurement counted as half used, one that is
+// measured and nearly idle would always be the better choice. The new endpoint would never get a call, and callers in
+// its failure domain would wait in the queue of the old one as soon as load rises.
 func TestJoiningEndpointGetsCalls(t *testing.T) {
 	r := New(Options{Domain: "west", Rand: rand.New(rand.NewPCG(1, 2))})
 	put := func(id identifier.Endpoint) {
@@ -234,9 +234,9 @@
 	assert.Assert(t, counts["new"] >= 60, "%v", counts)
 }
 
-// The only endpoint of a failure domain is slower than those elsewhere. Where one call in ten or more would be late there
-// though others have room, callers of one domain wait for what everybody else has in time. Where nearly all are in
-// time, and for calls with time to spare, nothing is gained that is worth the bytes between domains.
+// The only endpoint of a failure domain is slower than those elsewhere. If one call in ten or more would be late there
+// although others have headroom, callers in this domain would wait for what others get in time. If nearly all calls are
+// in time, or have time to spare, crossing domains gains nothing that is worth the traffic.
 func TestCallsDueSoonLeaveSlowDomain(t *testing.T) {
 	const runs = 400
 	for name, c := range map[string]struct {
@@ -246,13 +246,13 @@
 		farHeadroom uint8
 		least, most int
 	}{
-		"due soon":                    {within: 150, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 390, most: 400},
-		"mostly in time":              {within: 150, slow: RunTimes{Root: 50}, farHeadroom: 200, least: 0, most: 0},
-		"time to spare":               {within: 1500, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 0, most: 0},
-		"due at no time":              {within: 0, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 0, most: 0},
-		"due soon, no room elsewhere": {within: 150, slow: RunTimes{Root: 100}, farHeadroom: 10, least: 0, most: 40},
-		"only nested calls are slow":  {within: 150, slow: RunTimes{Root: 50, Nested: 170}, farHeadroom: 200, least: 0, most: 0},
-		"a slow nested call":          {within: 150, slow: RunTimes{Root: 50, Nested: 170}, nested: true, farHeadroom: 200, least: 390, most: 400},
+		"due soon":                        {within: 150, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 390, most: 400},
+		"mostly in time":                  {within: 150, slow: RunTimes{Root: 50}, farHeadroom: 200, least: 0, most: 0},
+		"time to spare":                   {within: 1500, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 0, most: 0},
+		"no due time":                     {within: 0, slow: RunTimes{Root: 100}, farHeadroom: 200, least: 0, most: 0},
+		"due soon, no headroom elsewhere": {within: 150, slow: RunTimes{Root: 100}, farHeadroom: 10, least: 0, most: 40},
+		"only nested calls are slow":      {within: 150, slow: RunTimes{Root: 50, Nested: 170}, farHeadroom: 200, least: 0, most: 0},
+		"a slow nested call":              {within: 150, slow: RunTimes{Root: 50, Nested: 170}, nested: true, farHeadroom: 200, least: 390, most: 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(1, 2)
@@ -271,21 +271,22 @@
 				}
 				r.Done(e.ID, Result{Headroom: headroom}, now)
 			}
-			assert.Assert(t, far >= c.least && far <= c.most, "%d of %d calls went elsewhere", far, runs)
+			assert.Assert(t, far >= c.least && far <= c.most, "%d of %d calls left the own failure domain", far, runs)
 		})
 	}
 }
 
-// Two endpoints are full, and one of them is slow: its queue is long where the other's is empty. Drawn alike, half of the
-// calls wait at the slow one until they are turned away, and whoever needs several of them fails after its work.
+// Two endpoints are full, and one of them is slow: its queue is long while the other's is empty. Drawn with equal
+// probability, the slow one gets half of the calls and refuses them after a wait; a request that needs several such
+// calls fails after its work.
 func TestFullEndpointsAreComparedByQueueWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far int
 		slow      identifier.Endpoint
 	}{
-		"in one domain":     {near: 2, slow: "0"},
-		"the near one slow": {near: 1, far: 1, slow: "0"},
-		"the far one slow":  {near: 1, far: 1, slow: "1"},
+		"in one domain":       {near: 2, slow: "0"},
+		"the local one slow":  {near: 1, far: 1, slow: "0"},
+		"the remote one slow": {near: 1, far: 1, slow: "1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counts := countCalls(newRouter(c.near, c.far), 1000, 1, func(e Endpoint) Result {
@@ -299,8 +300,9 @@
 	}
 }
 
-// One of two endpoints has become so slow that its runs outlast every caller, and the other is full and turns calls away.
-// What goes to the slow one is lost after its whole time; what the full one turns away is known at once.
+// One of two endpoints has become so slow that its runs outlast every caller's deadline, and the other is full and
+// refuses calls. A call to the slow one is lost after its whole time; a refusal by the full one is known at once and
+// can be retried.
 func TestTooSlowEndpointGetsFewCalls(t *testing.T) {
 	r := newRouter(1, 1)
 	r.SetRunTimes("0", RunTimes{Root: 480})
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -1,8 +1,8 @@
-// What the router knows of a backend server comes from its announcement (slots, connections, state) and from
-// answers (headroom, latency, failures). What was measured counts before what was announced.
+// The router learns about a backend server from its announcement (slots, connections, state) and from answers
+// (headroom, latency, failures). Measurements take precedence over what was announced.
 //
-// Example: an endpoint announced Ready with 100 slots whose answers carry headroom 0 gets calls only when no
-// otherUsable has room.
+// Example: an endpoint announced Ready with 100 slots whose answers carry headroom 0 gets calls only when no other
+// endpoint has headroom.
 
 package router
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// State is what is announced or suspected of an endpoint.
+// State is the announced or suspected state of an endpoint.
 type State uint8
 
 // The states of an endpoint.
@@ -22,15 +22,16 @@
 	Cold State = iota
 	// Ready takes calls.
 	Ready
-	// Leaving takes no new call.
+	// Leaving takes no new calls.
 	Leaving
-	// Suspect may be dead; it is picked only when there is nothing else.
+	// Suspect may be dead; it is picked only if no endpoint in any other state that takes calls is left.
 	Suspect
-	// Limited is cold and bears only a few calls a second; it is picked when no warm one is left.
+	// Limited is cold and can run only a few calls a second; it is picked if no warm endpoint is left.
 	Limited
-	// Evacuated is in a failure domain that gets nothing.
+	// Evacuated is in a failure domain that gets no calls.
 	Evacuated
-	// Stopping is about to close for a while; it is picked when no sound one is left, and before those in doubt.
+	// Stopping is about to close for a while; it is picked if no healthy endpoint is left, and before ejected and
+	// suspect ones.
 	Stopping
 )
 
@@ -45,13 +46,13 @@
 	State           State
 }
 
-// RunTimes are the mean times of an endpoint's runs; 0 where there was none.
+// RunTimes are the mean run times of calls at an endpoint; 0 if it ran none.
 type RunTimes struct {
-	// Root is that of root requests, Nested that of nested calls.
+	// Root is the mean of root requests, Nested that of nested calls.
 	Root, Nested clock.Duration
 }
 
-// forKind returns the run time of one kind of call, that of the other kind where there was none.
+// forKind returns the run time of one kind of call, or that of the other kind if there was none of this kind.
 func (p RunTimes) forKind(nested bool) clock.Duration {
 	if nested && p.Nested > 0 || p.Root == 0 {
 		return p.Nested
@@ -59,44 +60,46 @@
 	return p.Root
 }
 
-// Need is what a call asks of its endpoint.
+// Need is what a call requires of its endpoint.
 type Need struct {
-	// Within is the time in which the answer is due; 0 is no such time.
+	// Within is the time in which the answer is due; 0 if it has no due time.
 	Within clock.Duration
-	// Nested tells a backend server's call from a root request.
+	// Nested is true for a backend server's call and false for a root request.
 	Nested bool
-	// Domains are the failure domains in which the call's own nested calls find endpoints, where the own domain is none of
-	// them; empty for no preference.
+	// Domains are the failure domains in which the call's own nested calls find endpoints, if the own failure domain is
+	// not one of them; empty for no preference.
 	Domains []identifier.FailureDomain
 	// Allowed are the failure domains whose endpoints may run the call; nil allows all.
 	Allowed map[identifier.FailureDomain]bool
 }
 
-// checkPick tells whether an endpoint may run the call.
+// allows returns whether an endpoint may run the call.
 func (n Need) allows(e Endpoint) bool {
 	return n.Allowed == nil || n.Allowed[e.Domain]
 }
 
-// Crossing is why a call leaves the own failure domain; Inside where it does not.
+// Crossing is the reason why a call leaves the own failure domain; Inside if it does not.
 type Crossing string
 
 // The reasons to leave the own failure domain.
 const (
 	Inside Crossing = ""
-	// NoneNear tells that no usable endpoint is in the own failure domain.
+	// NoneNear means that the own failure domain has no usable endpoint.
 	NoneNear Crossing = "noneNear"
-	// NearFull tells that the endpoints there have no headroom, NearSlow that their slow runs would be late.
+	// NearFull means that the endpoints in the own failure domain have no headroom, NearSlow that their answers would
+	// be late.
 	NearFull Crossing = "nearFull"
 	NearSlow Crossing = "nearSlow"
-	// ForItsCalls tells that the call's own nested calls would have to leave, several for one.
+	// ForItsCalls means that the call's several nested calls would otherwise have to cross failure domains instead of
+	// the call.
 	ForItsCalls Crossing = "forItsCalls"
-	// Probing tells that an ejected endpoint is tried again.
+	// Probing means that the call probes an ejected endpoint.
 	Probing Crossing = "probing"
-	// NoneSound tells that only endpoints in doubt are left.
+	// NoneSound means that only limited, stopping, ejected or suspect endpoints are left.
 	NoneSound Crossing = "noneSound"
 )
 
-// Choice is a picked endpoint, and why it is elsewhere if it is.
+// Choice is a picked endpoint, with the reason if it is in another failure domain.
 type Choice struct {
 	Endpoint
 	Crossing Crossing
@@ -109,11 +112,11 @@
 const (
 	// Succeeded is an answer of the backend server.
 	Succeeded Outcome = iota
-	// Refused is a refusal by the delivery node, which itself is well.
+	// Refused is a refusal by the delivery node, which shows that the node itself works.
 	Refused
 	// Failed is an error, a broken stream or no answer in time.
 	Failed
-	// Cancelled says nothing about the endpoint.
+	// Cancelled carries no information about the endpoint.
 	Cancelled
 )
 
@@ -122,23 +125,23 @@
 	Outcome  Outcome
 	Latency  clock.Duration
 	Headroom uint8
-	// Wait is how long a call would have been queued there when it answered.
+	// Wait is how long a call would have been queued at the endpoint when it answered.
 	Wait clock.Duration
 }
 
-// Options set a router up; zero fields take the defaults.
+// Options configure a router; zero fields take the defaults.
 type Options struct {
 	// Domain is this node's own failure domain.
 	Domain identifier.FailureDomain
-	// Rand is the seeded source of choices; required.
+	// Rand is the seeded random source for choices; required.
 	Rand *rand.Rand
-	// FailuresToEject is how many failures in a row eject an endpoint; default 5.
+	// FailuresToEject is the number of consecutive failures that ejects an endpoint; default 5.
 	FailuresToEject int
-	// EjectTime is the first ejection's length; it doubles up to EjectMax. Defaults 1 s and 30 s.
+	// EjectTime is the duration of the first ejection; it doubles up to EjectMax. Defaults 1 s and 30 s.
 	EjectTime, EjectMax clock.Duration
-	// ColdStart is how long a cold endpoint gets a growing part of the calls; default 10 s.
+	// ColdStart is how long a cold endpoint is ramped up; default 10 s.
 	ColdStart clock.Duration
-	// HeadroomAge is how long a measured headroom counts; default 1 s.
+	// HeadroomAge is how long a measured headroom is used; default 1 s.
 	HeadroomAge clock.Duration
 }
 
