--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -1,19 +1,19 @@
 package apportioner
 
-// A team's rate holds for all nodes together, but each request is judged by one node at once. Every node reports how
-// many requests of each team arrive at it; a node's part of the rate is its part of what arrives. Equal parts would
-// refuse a team that sends most of its requests to one node although it keeps its rate; asking another node about
-// each request would add a round trip to it and fail with that node.
+// A team's rate limit applies to all nodes together, but each request is decided by one node without asking others.
+// Every node reports how many requests of each team arrive at it, and a node's quota share of the rate is its fraction
+// of these arrivals. Equal shares would refuse a team that sends most of its requests to one node although it keeps its
+// rate; asking another node about each request would add a round trip and fail with that node.
 //
-// A node counts its own demand only as far as every other node has heard of it. When a team's demand rises everywhere
-// percentile once, each node would otherwise set its new figure against the others' old ones, and all of them together would
-// let several times the rate through until the next reports. What the others have heard shows in the age of their own
-// reports: who reported a second ago has heard what was reported here before that.
+// For its own share, a node uses the demand that it has reported and that every other node has received. When a team's
+// demand rises everywhere at once, each node would otherwise compare its new demand with the old demand of the others,
+// and all together would admit several times the rate until the next reports. The age of the other nodes' reports shows
+// what they have received: a node that reported a second ago has received what was reported here before that.
 //
-// Nodes that do not report keep the part that they had when they were last heard: they may still be serving where this
-// node can't see it, or wake up and serve by what they knew.
+// Silent nodes, which have stopped reporting, keep the share that they had at their last report: they may be serving on
+// the other side of a partition, or resume after a pause and serve by their old data.
 //
-// Example: 300 requests a second, 60 arrive here and 180 elsewhere: this node may let 75 a second through.
+// Example: 300 requests a second, 60 arrive here and 180 elsewhere: this node may admit 75 a second.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
@@ -21,33 +21,34 @@
 )
 
 const (
-	// demandTimeConstant is the time constant of the measured demand: four reports long. A shift of callers from one node to
-	// otherDemand is followed within some two seconds; with half of it, the parts of a team that sends 2 requests a second
-	// to each node vary by a third.
+	// demandTimeConstant is the time constant of the demand's exponential smoothing: four reports. A shift of callers
+	// between nodes is followed within about two seconds; with half the constant, the shares of a team that sends 2
+	// requests a second to each node vary by a third.
 	demandTimeConstant = 2 * clock.Second
-	// silentRetention is how long a silent node keeps its part. A cut lasts seconds and its far side goes on serving;
-	// giving its part away would exceed the rate, keeping it costs a team at most that part.
+	// silentRetention is how long a silent node keeps its share. A partition lasts seconds and its other side continues
+	// to serve: redistributing the share would exceed the rate, keeping it costs a team at most that share.
 	silentRetention = 30 * clock.Second
-	// silentAfter is the age of a report from which its node is silent: three periods of the reports.
+	// silentAfter is the age of its last report after which a node is silent: three report periods.
 	silentAfter = 1500 * clock.Millisecond
-	// minReportPeriod is the least time between two reports of a calm node (mesher's period less a tenth), onSchedule the
-	// most with its way.
+	// minReportPeriod is the shortest time between two reports of a node in steady state (mesher's period less a
+	// tenth), maxReportPeriod the longest, including the transit.
 	minReportPeriod = 450 * clock.Millisecond
 	maxReportPeriod = 600 * clock.Millisecond
-	// maxReportTransit is how long a report may be on its way to the node that passes it on: one hop between failure domains
-	// and a turn of the processor at both ends.
+	// maxReportTransit is how long a report may take to the node that relays it: one hop between failure domains and
+	// the scheduling delay at both ends.
 	maxReportTransit = 50 * clock.Millisecond
-	// maxReserved keeps a lone node from having nothing left by a sum of figures from different moments.
+	// maxReserved bounds the sum of the shares kept for silent nodes, which were computed at different times: without
+	// it a single remaining node could be left with nothing.
 	maxReserved = 0.98
-	// What a team does not use of its rate is shared out equally, within these parts of it, so that the first requests
-	// percentile a node are not refused and chance is allowed for. A team that uses all of its rate has nothing to share out:
-	// nodes where few of its requests arrive would keep what the others need.
+	// The part of its rate that a team does not use is distributed equally, within these fractions of the rate, so that
+	// the first requests at a node are not refused and random variation is allowed for. A team that uses all of its
+	// rate leaves little to distribute: nodes with few of its requests would keep what the others need.
 	minSharedFraction = 0.05
 	maxSharedFraction = 0.5
-	// initialTokens is what a bucket holds when its node starts. A bucket that began full would grant the burst again
-	// after every restart, to the fleet's sum after a restart of all.
+	// initialTokens is what a bucket holds when its node starts. A bucket that started full would grant the burst again
+	// after every restart, and once for the whole fleet after a restart of all nodes.
 	initialTokens = 1
-	// minCapacity lets a node with a tiny part of a small burst hold one request's worth.
+	// minCapacity lets a node with a very small share of a small burst hold the token for one request.
 	minCapacity = 1
 )
 
@@ -56,14 +57,15 @@
 	tolerance Tolerance
 	self      identifier.Node
 	teams     map[identifier.Team]*bucket
-	// nodes is how many nodes are known, this one included.
+	// nodes is the number of known nodes, including this one.
 	nodes int
 	peers map[identifier.Node]peer
 	start clock.Time
-	// silentDemand is how many of the peers are silent, horizon until when the others have heard this node's reports.
+	// silent is the number of silent peers; all other peers have received the reports that this node made until
+	// deliveredUntil.
 	silent         int
 	deliveredUntil clock.Time
-	// lastReportsAt is when reports last came in, summed when silence was last judged.
+	// lastReportsAt is when reports last arrived, lastRefresh when silence and shares were last computed.
 	lastReportsAt, lastRefresh clock.Time
 }
 
@@ -71,8 +73,8 @@
 	demand map[identifier.Team]float64
 	// reportedAt is when the report was made, by this node's clock.
 	reportedAt clock.Time
-	// shares are the peer's parts, at that time, of the rates of the teams that it has a demand of; idle are those of all
-	// teams for a node without any demand.
+	// shares are the peer's quota shares at that time for the teams that it reported demand for; idleShares are those
+	// of all teams for a node without demand.
 	shares, idleShares map[identifier.Team]float64
 }
 
@@ -86,10 +88,11 @@
 	filledAt    clock.Time
 	demand      float64
 	decayedAt   clock.Time
-	// otherDemand is the demand at all other nodes, silent that part of it which is at silent ones, and reserved the part of
-	// the rate that those keep.
+	// otherDemand is the demand at all other nodes, silentDemand the part of it at silent nodes, and reservedShare the
+	// share of the rate that the silent nodes keep.
 	otherDemand, silentDemand, reservedShare float64
-	// deliveredDemand is the latest of this node's reported demands that all others have heard, reports are the later ones.
+	// deliveredDemand is the latest of this node's reported demands that all others have received; reports holds the
+	// later ones.
 	deliveredDemand float64
 	reports         []ownReport
 }
@@ -100,11 +103,12 @@
 	demand float64
 }
 
-// bucketToleranceFraction is the part of the tolerance by which buckets are larger than the burst. A burst that is cut in 18 holds
-// 3 requests at each node, and chance alone often brings more; the rest is left for reports that are late.
+// bucketToleranceFraction is the fraction of the tolerance by which buckets are larger than the burst. Each bucket of a
+// burst divided by 18 holds 3 requests, and random arrivals often bring more; the rest of the tolerance covers late
+// reports.
 const bucketToleranceFraction = 0.3
 
-// New returns an apportioner that knows no team.
+// New returns an apportioner without teams.
 func New(self identifier.Node, t Tolerance, now clock.Time) *Apportioner {
 	return &Apportioner{
 		tolerance: t,
@@ -116,12 +120,12 @@
 	}
 }
 
-// SetNodes takes over how many nodes there are.
+// SetNodes sets the number of nodes.
 func (a *Apportioner) SetNodes(n int) {
 	a.nodes = max(1, n)
 }
 
-// SetTeam takes over a team's rate and burst; a rate of 0 is unlimited.
+// SetTeam sets a team's rate and burst; a rate of 0 is unlimited.
 func (a *Apportioner) SetTeam(name identifier.Team, rate, burst float64, now clock.Time) {
 	b, ok := a.teams[name]
 	if !ok {
@@ -133,7 +137,7 @@
 	b.tokens = min(b.tokens, a.capacity(b))
 }
 
-// DemandReport is what another node reported.
+// DemandReport is a report of another node.
 type DemandReport struct {
 	Node   identifier.Node
 	Demand map[identifier.Team]float64
@@ -141,7 +145,7 @@
 	MadeAt clock.Time
 }
 
-// AddReports takes over reports of other nodes.
+// AddReports takes reports of other nodes.
 func (a *Apportioner) AddReports(reports []DemandReport, now clock.Time) {
 	for _, r := range reports {
 		if r.Node != a.self {
@@ -150,8 +154,10 @@
 	}
 	a.lastReportsAt = now
 	a.refresh(now)
-	// Only now is known what all of them together ask for. Most nodes have no demand of most teams, and share one table of
-	// parts: with one each, 87 reports with 87 teams took 1.4 ms and 308 kB, two to five times a second at each node.
+	// The shares are computed after all reports have been added, since they depend on the total demand. Most nodes have
+	// no demand of most teams and share one table: 87 reports with 87 teams took 1.4 ms and 308 kB with a table for
+	// each node, 23 us and 8 kB with one for all nodes without demand, and reports arrive two to five times a second at
+	// each node.
 	idleShares := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
 		idleShares[name] = a.shareFor(b, 0)
@@ -174,16 +180,16 @@
 	return shares
 }
 
-// Forget drops a node that has stopped as planned: it lets nothing through any more.
+// Forget removes a node that was stopped as planned: it admits nothing more, so its share need not be kept.
 func (a *Apportioner) Forget(node identifier.Node) {
 	delete(a.peers, node)
 }
 
-// refreshPeriod is how often silence is judged: a fifteenth of the time after which a node counts as silent. Summing up all peers is
-// most of what a tick costs in a large fleet.
+// refreshPeriod is how often silence and shares are computed: a fifteenth of the time after which a node is silent.
+// Summing the demand of all peers is most of the cost of a tick in a large fleet.
 const refreshPeriod = 100 * clock.Millisecond
 
-// Tick judges who is silent, and counts what the others have heard by now.
+// Tick refills the buckets, finds silent nodes, and updates which reports the other nodes have received.
 func (a *Apportioner) Tick(now clock.Time) {
 	for _, b := range a.teams {
 		a.fill(b, now)
@@ -242,8 +248,8 @@
 	}
 }
 
-// reportsDeliveredUntil is until when a peer has heard this node's reports. One that reports on schedule is about to ask again, and
-// has heard the report before the latest.
+// reportsDeliveredUntil returns until when a peer has received this node's reports. A peer that reports on schedule is
+// about to ask again, and has received the report before the latest.
 func (a *Apportioner) reportsDeliveredUntil(p peer, now clock.Time) clock.Time {
 	asked := now
 	if now.Sub(a.lastReportsAt) <= maxReportPeriod {
@@ -255,7 +261,7 @@
 	return p.reportedAt.Add(-maxReportTransit)
 }
 
-// deliverReports counts the reports up to a time as heard by all.
+// deliverReports marks the reports made until the given time as received by all others.
 func (b *bucket) deliverReports(horizon clock.Time) {
 	for len(b.reports) > 0 && b.reports[0].at <= horizon {
 		b.deliveredDemand = b.reports[0].demand
@@ -263,17 +269,17 @@
 	}
 }
 
-// Reach returns the part of the fleet that this node hears of, itself included. Silent nodes count as not heard for
-// as long as they keep their parts; a node that has just started has heard nobody yet.
+// Reach returns the fraction of the fleet whose reports this node receives, itself included. Silent nodes count as
+// missing while they keep their shares; a node that has just started has received no reports yet.
 func (a *Apportioner) Reach(now clock.Time) float64 {
-	heard := float64(1 + len(a.peers) - a.silent)
+	reporting := float64(1 + len(a.peers) - a.silent)
 	if now.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
-		return min(1, heard/float64(a.nodes))
+		return min(1, reporting/float64(a.nodes))
 	}
-	return heard / float64(1+len(a.peers))
+	return reporting / float64(1+len(a.peers))
 }
 
-// Demand returns the requests a second of each team that arrive here, to be reported to the other nodes.
+// Demand returns the requests a second of each team that arrive here, for the report to the other nodes.
 func (a *Apportioner) Demand(now clock.Time) map[identifier.Team]float64 {
 	demand := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
@@ -286,15 +292,15 @@
 	return demand
 }
 
-// Verdict is whether a request is within its team's rate.
+// Verdict is the decision whether a request is within its team's rate.
 type Verdict struct {
 	Allowed bool
-	// Wait is how long it takes until a request is within the rate again.
+	// Wait is the time until a request is within the rate again.
 	Wait clock.Duration
-	// Part is this node's part of the rate at the time of the verdict.
+	// Part is this node's quota share of the rate at the time of the verdict.
 	Part float64
-	// Elsewhere tells that another node may well have a token to spare: the team's demand is about its rate or below,
-	// so that chance has emptied this bucket and not that one.
+	// Elsewhere is true if another node may have a token: the team's demand is about its rate or below, so that this
+	// bucket may be empty by chance and the other one not.
 	Elsewhere bool
 }
 
@@ -320,9 +326,9 @@
 	}
 }
 
-// TakeForPeer takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3 requests
-// a second at each, single buckets refuse a sixth of a team that sends just its rate (in the package's test); one more
-// bucket to ask makes that a twentieth.
+// TakeForPeer takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3
+// requests a second at each, single buckets refuse a sixth of the requests of a team that sends exactly its rate;
+// asking one more bucket reduces that to a twentieth.
 func (a *Apportioner) TakeForPeer(team identifier.Team, now clock.Time) bool {
 	b, ok := a.teams[team]
 	if !ok || b.rate <= 0 {
@@ -336,9 +342,9 @@
 	return true
 }
 
-// withinRateFraction is the part of its rate below which a team is calm: its requests are then within the rate, and where a bucket
-// is empty chance has brought them to one node. A calm team may owe up to one request at each node; of 36 requests a
-// second over 18 nodes with a rate of 52, 3% are refused without that (in the package's test).
+// withinRateFraction is the fraction of its rate below which a team is well within it: an empty bucket then only means
+// that random arrivals were concentrated at one node. Such a team may owe up to one request at each node; without that,
+// 3% of 36 requests a second over 18 nodes with a rate of 52 are refused.
 const withinRateFraction = 0.9
 
 func (a *Apportioner) wellWithinRate(b *bucket, now clock.Time) bool {
@@ -372,10 +378,12 @@
 }
 
 const (
-	// overcommitmentFraction is the part of the tolerated excess by which the parts come to more than the whole where a
-	// team's demand is about its rate. Some buckets are then full while others are empty, and what runs over is lost.
+	// overcommitmentFraction is the fraction of the tolerated excess by which the sum of the shares exceeds the rate of
+	// a team whose demand is about its rate. Some buckets are then full while others are empty, and the tokens that
+	// overflow are lost.
 	overcommitmentFraction = 0.5
-	// saturatingDemandRatio of its rate is the demand from which no bucket is ever full, so that nothing runs over.
+	// saturatingDemandRatio is the ratio of demand to rate above which no bucket is ever full, so that no tokens
+	// overflow.
 	saturatingDemandRatio = 1.4
 )
 
@@ -391,11 +399,11 @@
 	return max(minCapacity, (b.burst+extra)*a.share(b))
 }
 
-// settleTime is how long after its start a node relies on equal parts: until then it can't know what arrives at it.
+// settleTime is how long after its start a node uses equal shares: until then it does not know its own demand.
 const settleTime = 2 * clock.Second
 
-// share is this node's part of a team's rate. Half or more of the other nodes must have reported; with fewer, a node
-// that knows nothing would take its own demand for all there is.
+// share is this node's quota share of a team's rate. At least half of the other nodes must have reported; with fewer, a
+// node without data would take its own demand for the total.
 func (a *Apportioner) share(b *bucket) float64 {
 	equal := 1 / float64(a.nodes)
 	if b.filledAt.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
@@ -404,7 +412,7 @@
 	return a.shareFor(b, b.deliveredDemand)
 }
 
-// shareFor is the part of the rate that goes with a demand at one node. Silent nodes have theirs set aside.
+// shareFor returns the quota share for a demand at one node. The shares of silent nodes are set aside.
 func (a *Apportioner) shareFor(b *bucket, demand float64) float64 {
 	shared := min(maxSharedFraction*b.rate, max(minSharedFraction*b.rate, b.rate-b.deliveredDemand-b.otherDemand))
 	equal := shared / float64(a.nodes)
--- a/internal/apportioner/apportioner_test.go
+++ b/internal/apportioner/apportioner_test.go
@@ -14,20 +14,20 @@
 
 const team = identifier.Team("parish")
 
-// simulation is some nodes that report to each other by way of hubs, as exchanges between real nodes do.
+// fleet is a set of nodes that report to each other through hubs, as real nodes do by exchanges.
 type fleet struct {
 	nodes     []*Apportioner
 	hubs      []hub
 	offsets   []clock.Duration
 	allowedAt []clock.Time
-	// hubOf tells which hub a node exchanges reports with, stands whether it is suspended.
+	// hubOf returns the hub with which a node exchanges reports, isSuspended whether the node is suspended.
 	hubOf       func(node int, now clock.Time) int
 	isSuspended func(node int, now clock.Time) bool
 	// suspendedFor is how long each node has been suspended; its clock is behind by that.
 	suspendedFor []clock.Duration
 }
 
-// hub is the latest report of each node that a node passes on.
+// hub holds the latest report of each node, which the hub's node relays.
 type hub map[int]DemandReport
 
 var tolerance = Tolerance{Window: 5, Part: 0.1, Requests: 20}
@@ -60,7 +60,7 @@
 	return now.Add(-f.suspendedFor[node])
 }
 
-// step lets one millisecond pass; each node exchanges its report once a period, at its own moment.
+// step advances the time by one millisecond; each node exchanges its report once a period, at its own offset.
 func (f *fleet) step(now clock.Time) {
 	for i, a := range f.nodes {
 		if f.isSuspended(i, now) {
@@ -76,7 +76,7 @@
 		h[i] = DemandReport{Node: nodeName(i), Demand: a.Demand(own), MadeAt: now}
 		var reports []DemandReport
 		for j, report := range h {
-			// The newest report of a node counts, whichever way it comes.
+			// The newest report of a node is used, whichever way it arrived.
 			if known, ok := a.peers[nodeName(j)]; !ok || known.reportedAt < report.MadeAt.Add(-f.suspendedFor[i]) {
 				report.MadeAt = report.MadeAt.Add(-f.suspendedFor[i])
 				reports = append(reports, report)
@@ -86,7 +86,7 @@
 	}
 }
 
-// simulate sends per-node rates and returns at which moments requests were let through.
+// simulate sends requests at a rate per node and returns the times at which requests were allowed.
 func (f *fleet) simulate(from, to clock.Time, perSecond func(node int, now clock.Time) float64) []clock.Time {
 	credit := make([]float64, len(f.nodes))
 	for now := from; now < to; now++ {
@@ -115,9 +115,9 @@
 	return most
 }
 
-// A team begins to send seven times its usual everywhere at once. Each node sees its own demand rise at once and the
-// others' only with their next report, so each takes itself for most of what there is. Users of the other teams notice:
-// the greedy team gets several times its rate until the reports are round.
+// A team sends seven times its usual demand everywhere at once. Each node sees its own demand rise immediately and that
+// of the others only with their next reports, so each would take most of the rate for itself. The team would get
+// several times its rate at the cost of other teams until all reports have arrived.
 func TestRateHoldsOnSimultaneousDemandRise(t *testing.T) {
 	const rate, burst, window = 180.0, 180.0, 5 * clock.Second
 	f := newFleet(14, rate, burst)
@@ -133,10 +133,10 @@
 	assert.Assert(t, float64(got) >= allowed*0.9, "%d requests in 5 s, want nearly %.0f", got, allowed)
 }
 
-// Five nodes of eighteen are suspended for three seconds, and one of them is the node that all exchange reports with. When
-// they wake they go on exchanging with each other, while the others have turned to another node and come back to the
-// first only after a second; meanwhile a team sends six times its usual. The woken nodes serve by what they knew, and the
-// otherDemand must have left them their part, or the team gets more than it bought and the others wait behind it.
+// Five nodes of eighteen are suspended for three seconds, one of them the node with which all exchange reports. When
+// they resume, they exchange with each other, while the others have switched to another node and return to the first
+// only after a second; meanwhile a team sends six times its usual demand. The resumed nodes serve by their old data, so
+// the others must have left them their shares, or the team exceeds its rate at the cost of other teams.
 func TestRateHoldsWhenNodesResumeDuringDemandRise(t *testing.T) {
 	const rate, burst, window = 168.0, 168.0, 5 * clock.Second
 	f := newFleet(18, rate, burst)
@@ -161,8 +161,8 @@
 	assert.Assert(t, float64(got) >= allowed*0.85, "%d requests in 5 s, want nearly %.0f", got, allowed)
 }
 
-// A cut parts the fleet in halves while a team's demand rises sixfold. Each half hears nothing more of the other, and
-// would give its own new demand nearly all of the rate.
+// A partition divides the fleet into halves while a team's demand rises sixfold. Each half no longer receives reports
+// of the other, and would give its own new demand nearly all of the rate.
 func TestRateHoldsDuringPartition(t *testing.T) {
 	const rate, burst, window = 168.0, 168.0, 5 * clock.Second
 	f := newFleet(18, rate, burst)
@@ -184,8 +184,8 @@
 	assert.Assert(t, float64(got) <= allowed*1.06+12, "%d requests in 5 s, want at most %.0f", got, allowed)
 }
 
-// Callers come to a few nodes only, as when one failure domain has most of a team's users. With equal parts a team
-// well within its rate would be refused there.
+// Callers use only a few nodes, as when one failure domain has most of a team's users. With equal shares a team well
+// within its rate would be refused there.
 func TestSkewedTeamWithinItsRateIsNotRefused(t *testing.T) {
 	f := newFleet(14, 180, 180)
 	passed := f.simulate(0, 20000, func(node int, _ clock.Time) float64 {
@@ -200,11 +200,11 @@
 			late++
 		}
 	}
-	assert.Assert(t, late >= 110*15*99/100, "%d of %d let through", late, 110*15)
+	assert.Assert(t, late >= 110*15*99/100, "%d of %d allowed", late, 110*15)
 }
 
-// All nodes are killed at once and start again while a team presses. Buckets that began full would grant the whole
-// burst a second time within the same window.
+// All nodes are killed at once and start again while a team exceeds its rate. Buckets that started full would grant the
+// whole burst a second time within the same window.
 func TestFleetRestartGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst = 180.0, 180.0
 	press := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
@@ -223,8 +223,7 @@
 	assert.Assert(t, float64(got) <= (rate*5+burst)*1.06+12, "%d requests in 5 s", got)
 }
 
-// Whatever the demand does, a window never holds more than the rate and burst allow, with the tenth that operators
-// grant for what nodes can't know yet.
+// For any demand, a window never holds more than the rate and burst allow plus the tolerated excess.
 func TestRateHoldsUnderAnyDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, burst, nodes = 120.0, 120.0, 8
@@ -258,8 +257,8 @@
 	assert.Assert(t, a.Take(team, 0).Allowed)
 }
 
-// A team keeps its rate, and at each node only a few of its requests arrive a second, now more and now fewer. Parts
-// that are reckoned too small on the whole refuse some of them though the team is well within what it bought.
+// A team keeps its rate, and each node gets a few of its requests a second, with random variation. If the shares add up
+// to too little, some of them are refused although the team is well within its rate.
 func TestUnevenArrivalsWithinTheRateAreNotRefused(t *testing.T) {
 	f := newFleet(18, 52, 52)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -280,11 +279,11 @@
 			}
 		}
 	}
-	assert.Assert(t, passed >= asked*98/100, "%d of %d let through", passed, asked)
+	assert.Assert(t, passed >= asked*98/100, "%d of %d allowed", passed, asked)
 }
 
-// A team sends just what it bought, evenly to all nodes. Chance fills some buckets while others are empty, so that the
-// team gets less than it paid for; the node that a request goes to next is asked as well.
+// A team sends exactly its rate, evenly to all nodes. By chance some buckets are full while others are empty, so that
+// the team gets less than its rate; so the node to which the request goes next is asked as well.
 func TestTeamAtItsRateGetsNearlyAll(t *testing.T) {
 	tests := map[string]struct {
 		others int
@@ -320,14 +319,14 @@
 				}
 			}
 			part := float64(passed) / float64(asked)
-			t.Logf("%.3f let through", part)
-			assert.Assert(t, part >= test.least, "%.3f let through", part)
+			t.Logf("fraction %.3f allowed", part)
+			assert.Assert(t, part >= test.least, "fraction %.3f allowed", part)
 		})
 	}
 }
 
-// A silent node keeps the part that it had of each team's rate: by its demand where it had any, an idle node's where not. What
-// it is kept must not hang on how the parts are held.
+// A silent node keeps the share that it had of each team's rate: by its demand if it had any, otherwise that of a node
+// without demand. What is kept must not depend on how the shares are stored.
 func TestSilentNodeKeepsItsShares(t *testing.T) {
 	a := New("n0", tolerance, 0)
 	a.SetNodes(3)
@@ -352,8 +351,8 @@
 	assert.Assert(t, a.teams["busy"].reservedShare > a.teams["idle"].reservedShare)
 }
 
-// BenchmarkAddReports takes in what 87 other nodes report, with 87 teams known, as each of 88 nodes does two to five times a second.
-// With a table of parts for each node it took 1,402 us and 308 kB, with one for all idle nodes 23 us and 8 kB.
+// BenchmarkAddReports adds the reports of 87 other nodes with 87 teams, as each of 88 nodes does two to five times a
+// second.
 func BenchmarkAddReports(b *testing.B) {
 	a := New("n0", tolerance, 0)
 	a.SetNodes(88)
@@ -370,7 +369,7 @@
 	}
 }
 
-// BenchmarkTick is what passes every 25 ms at each node.
+// BenchmarkTick measures the tick that each node runs every 25 ms.
 func BenchmarkTick(b *testing.B) {
 	a := New("n0", tolerance, 0)
 	a.SetNodes(88)
--- a/internal/apportioner/tolerance.go
+++ b/internal/apportioner/tolerance.go
@@ -1,11 +1,13 @@
 package apportioner
 
-// Nodes can't know at every moment what the others let through, so operators tolerate some more than a team bought.
+// Nodes do not know at every moment what the other nodes admit, so operators tolerate somewhat more than a team's rate
+// and burst.
 //
-// Example: in 5 s a team with 100 requests a second and a burst of 100 may have 600; a tenth and 20 more are tolerated: 80.
+// Example: in 5 s a team with 100 requests a second and a burst of 100 may have 600; a tenth and 20 more are tolerated:
+// 80.
 
-// Tolerance is by how much operators let a team's requests exceed its rate and burst, for what nodes can't know of
-// each other: in any Window, in seconds, by a part of what is allowed and some requests.
+// Tolerance is the tolerated excess of a team's requests over its rate and burst, because nodes learn of each other's
+// admissions late: in any Window, in seconds, a fraction Part of what is allowed, plus a number of Requests.
 type Tolerance struct {
 	Window   float64
 	Part     float64
--- a/internal/pooler/doc.go
+++ b/internal/pooler/doc.go
@@ -1,2 +1,3 @@
-// Package pooler keeps the rates of teams that send little to each of many nodes, each in one bucket at one node.
+// Package pooler limits the rates of teams that send few requests to each of many nodes, with one token bucket at one
+// node for each team.
 package pooler
--- a/internal/pooler/fallback.go
+++ b/internal/pooler/fallback.go
@@ -1,19 +1,20 @@
 package pooler
 
-// A node that can't reach a team's bucket may let its own part of the rate through: the node with the bucket leaves out the
-// shares of those that it does not hear. It notices a silence late, so the part is given out late as well, but for one
-// request of a team that was within its rate: most losses of a node last a second, and that one request is all that
-// comes of a small team meanwhile. A node that has just started lets not even that one through: when all are killed at
-// once, each would find the others not yet there, and 88 of them come to more than a small team's window.
+// A node that cannot reach a team's bucket may admit its own share of the rate, since the node with the bucket leaves
+// out the shares of the nodes whose reports it does not receive. That node detects the silence late, so the share is
+// granted after a delay, except for one request of a team that was within its rate: most failures of a node last a
+// second, and that one request is all that a small team sends meanwhile. A node that has just started does not admit
+// even that one: after a kill of all nodes, each would find the others missing, and 88 requests exceed a small team's
+// window.
 //
-// Example: 13 requests a second, 88 nodes: one request at once, and one each 7 s from 1.5 s after the loss.
+// Example: 13 requests a second, 88 nodes: one request at once, and one each 7 s from 1.5 s after the failure.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// TakeFallback takes a token from this node's own part of a team's rate.
+// TakeFallback takes a token from this node's own share of a team's rate while the node cannot reach the team's bucket.
 func (p *Pooler) TakeFallback(name identifier.Team, nodes int, now clock.Time) Grant {
 	b, ok := p.teams[name]
 	if !ok || b.rate <= 0 {
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -1,10 +1,11 @@
 package pooler
 
-// One node holds a team's bucket, and all find the same one without a word: the first in an order that depends on the
-// team and the nodes' names only. When nodes disagree for a moment who that is, two buckets are asked; so a bucket that
-// nobody asked of late begins nearly empty.
+// One node holds a team's bucket, and all nodes determine it without communication: the first in an order that depends
+// only on the team and the nodes' names. While nodes disagree about the members, two buckets are asked; so a bucket
+// that has not been asked recently starts nearly empty.
 //
-// Example: Give("parish", 1, now) takes a token here; a node that can't reach this one lets its own part through, Alone.
+// Example: Take("parish", 1, now) takes a token here; a node that cannot reach this one admits its own share by
+// TakeFallback.
 
 import (
 	"github.com/zeebo/xxh3"
@@ -14,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// New returns a pooler that knows no team.
+// New returns a pooler without teams.
 func New(t apportioner.Tolerance, now clock.Time) *Pooler {
 	return &Pooler{
 		tolerance: t,
@@ -24,7 +25,7 @@
 	}
 }
 
-// SetTeam takes over a team's rate and burst.
+// SetTeam sets a team's rate and burst.
 func (p *Pooler) SetTeam(name identifier.Team, rate, burst float64) {
 	b, ok := p.teams[name]
 	if !ok {
@@ -35,13 +36,13 @@
 	b.tokens = min(b.tokens, p.capacity(b))
 }
 
-// Pools tells whether a team's rate is pooled among a number of nodes.
+// Pools returns whether a team's rate is pooled among the given number of nodes.
 func (p *Pooler) Pools(name identifier.Team, nodes int) bool {
 	b, ok := p.teams[name]
 	return ok && b.rate > 0 && nodes > 1 && b.rate <= maxPooledRatePerNode*float64(nodes)
 }
 
-// Weight orders the nodes that may hold a team's bucket; the highest does.
+// Weight orders the nodes that may hold a team's bucket; the node with the highest weight holds it.
 func Weight(team identifier.Team, node identifier.Node) uint64 {
 	var h xxh3.Hasher
 	_, _ = h.WriteString(string(team))
@@ -50,8 +51,8 @@
 	return h.Sum64()
 }
 
-// Take takes a token from the bucket at this node. Reach is the part of the fleet that this node hears: the rest keeps its
-// share of the rate, since it may be serving where this node can't see it.
+// Take takes a token from the bucket at this node. Reach is the fraction of the fleet whose reports this node receives:
+// the rest keeps its share of the rate, since it may be serving on the other side of a partition.
 func (p *Pooler) Take(name identifier.Team, reach float64, now clock.Time) Grant {
 	b, ok := p.teams[name]
 	if !ok || b.rate <= 0 {
@@ -66,14 +67,14 @@
 	return Grant{Wait: clock.Duration((1 - b.tokens) / perMilli)}
 }
 
-// initialTokens is what a bucket holds that was taken over. With as much as operators tolerate in excess, three kills within
-// one window let 127 requests through where 119 are allowed (in conductor's fuzz).
+// initialTokens is what a bucket holds that was taken over. With as much as the tolerated excess, three kills within
+// one window admitted 127 requests where 119 are allowed.
 const initialTokens = 2
 
-// minRate keeps a wait finite, in requests a second.
+// minRate, in requests a second, keeps a wait finite.
 const minRate = 0.1
 
-// ReturnTokens returns tokens that were given and not used.
+// ReturnTokens returns tokens that were granted and not used.
 func (p *Pooler) ReturnTokens(name identifier.Team, tokens int) {
 	if b, ok := p.teams[name]; ok && tokens > 0 {
 		b.tokens = min(p.capacity(b), b.tokens+float64(tokens))
@@ -102,14 +103,14 @@
 	return bucketToleranceFraction * p.tolerance.Excess(b.rate, b.burst)
 }
 
-// MarkEmpty notes the word of a bucket elsewhere that it is empty.
+// MarkEmpty records that a bucket at another node answered that it is empty.
 func (p *Pooler) MarkEmpty(name identifier.Team, wait clock.Duration, now clock.Time) {
 	if b, ok := p.teams[name]; ok {
 		b.emptyUntil = now.Add(min(wait, maxEmptyWait))
 	}
 }
 
-// EmptyFor tells for how long a team's bucket is known to be empty; 0 if it is not.
+// EmptyFor returns for how long a team's bucket is known to be empty; 0 if it is not.
 func (p *Pooler) EmptyFor(name identifier.Team, now clock.Time) clock.Duration {
 	b, ok := p.teams[name]
 	if !ok {
@@ -118,14 +119,14 @@
 	return max(0, b.emptyUntil.Sub(now))
 }
 
-// Unused notes a token that was taken from a bucket elsewhere and not needed.
+// Unused counts a token that was taken from a bucket at another node and not needed.
 func (p *Pooler) Unused(name identifier.Team) {
 	if b, ok := p.teams[name]; ok {
 		b.unused++
 	}
 }
 
-// TakeUnused returns how many tokens are to be given back, and forgets them.
+// TakeUnused returns how many tokens to return, and resets the count.
 func (p *Pooler) TakeUnused(name identifier.Team) int {
 	b, ok := p.teams[name]
 	if !ok {
@@ -136,17 +137,17 @@
 	return unused
 }
 
-// Failed notes that a node gave no answer.
+// Failed records that a node did not answer.
 func (p *Pooler) Failed(node identifier.Node, now clock.Time) {
 	p.failed[node] = now
 }
 
-// Answered notes that a node gave an answer.
+// Answered records that a node answered.
 func (p *Pooler) Answered(node identifier.Node) {
 	delete(p.failed, node)
 }
 
-// Avoids tells whether a node gave no answer a moment ago.
+// Avoids returns whether a node should not be asked because it did not answer a moment ago.
 func (p *Pooler) Avoids(node identifier.Node, now clock.Time) bool {
 	at, ok := p.failed[node]
 	return ok && now.Sub(at) < avoidDuration
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -36,12 +36,12 @@
 		nodes int
 		want  bool
 	}{
-		"small over many":       {13, 88, true},
-		"large over many":       {400, 88, false},
-		"large over few":        {60, 14, false},
-		"small over few":        {20, 14, true},
-		"one node, nobody asks": {2, 1, false},
-		"no limit":              {0, 88, false},
+		"small over many":           {13, 88, true},
+		"large over many":           {400, 88, false},
+		"large over few":            {60, 14, false},
+		"small over few":            {20, 14, true},
+		"one node, no other to ask": {2, 1, false},
+		"no limit":                  {0, 88, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -51,20 +51,21 @@
 	assert.Assert(t, !New(tolerance, -60000).Pools("unknown", 88))
 }
 
-// A bucket that was taken over holds next to nothing, and one that is asked all the time fills up to the burst: a burst
-// granted again after each loss of a node would be paid for by the other teams.
+// A bucket that was taken over holds almost nothing, and one in continuous use fills up to the burst. A burst granted
+// again after each failure of a node would be at the cost of other teams.
 func TestBucketTakenOverIsNearlyEmpty(t *testing.T) {
 	p := newPooler(20, 20)
 	assert.Equal(t, drain(p, 1, 1000), initialTokens)
-	// A second at a time, so that it does not count as taken over again.
+	// One second at a time, so that the bucket does not count as taken over again.
 	for now := clock.Time(2000); now < 6000; now += 1000 {
 		assert.Equal(t, drain(p, 1, now), 20)
 	}
-	// Not asked for longer than it takes to turn to another node: taken over again.
+	// Idle for longer than it takes nodes to turn to another node: taken over again.
 	assert.Equal(t, drain(p, 1, 60000), initialTokens)
 }
 
-// A node that hears only a quarter of the fleet gives out a quarter of the rate: the rest may be serving out of its sight.
+// A node that receives the reports of a quarter of the fleet grants a quarter of the rate: the rest may be serving on
+// the other side of a partition.
 func TestReachBoundsTheRate(t *testing.T) {
 	p := newPooler(20, 20)
 	drain(p, 0.25, 1000)
@@ -83,8 +84,9 @@
 	assert.Assert(t, p.Take(team, 1, 1100).Allowed)
 }
 
-// A node can't reach the bucket. Its first request of a team that kept its rate goes through, the next ones have to wait
-// until the node with the bucket must have noticed; one of a team that was refused a moment ago waits at once.
+// A node cannot reach the bucket. Its first request of a team within its rate is admitted, and the next ones wait until
+// the node with the bucket has detected the silence; a team that was refused a moment ago waits from the first request
+// on.
 func TestFallbackTokens(t *testing.T) {
 	p := newPooler(88, 88)
 	assert.Assert(t, p.TakeFallback(team, 88, 1000).Allowed)
@@ -103,14 +105,14 @@
 	p.MarkEmpty(team, 100, 900)
 	assert.Assert(t, !p.TakeFallback(team, 88, 1000).Allowed)
 
-	// All nodes were killed: none may let a request of its own through for want of the others.
+	// After a kill of all nodes none may admit a request of its own because the others are missing.
 	p = New(tolerance, 0)
 	p.SetTeam(team, 88, 88)
 	assert.Assert(t, !p.TakeFallback(team, 88, 1000).Allowed)
 }
 
-// Nodes are lost and join. Only the teams whose bucket a lost node had get another one, and the buckets are spread over
-// the nodes: with all at one node it would answer thousands of questions a second.
+// Nodes fail and join. Only the teams whose bucket was at a failed node get another one, and the buckets are spread
+// over the nodes: one node with all buckets would have to answer thousands of token requests a second.
 func TestWeightSpreadsBuckets(t *testing.T) {
 	holder := func(team identifier.Team, without identifier.Node) (best identifier.Node) {
 		var weight uint64
@@ -132,7 +134,7 @@
 		}
 	}
 	for node, n := range held {
-		assert.Assert(t, n >= 5 && n <= 45, "%s has %d of 400", node, n)
+		assert.Assert(t, n >= 5 && n <= 45, "%s has %d of 400 buckets", node, n)
 	}
 	assert.Equal(t, len(held), 20)
 }
