--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -1,16 +1,17 @@
 package detector
 
-// A failure domain is cut off without a word: connections into it stay open, what is sent on them gets no answer, and a
-// system's own timers notice after 1.5 s and more. Reports show a silence after 2.5 s. Until then each request that is
-// sent there is lost, and an order may not be sent again. So this node watches its own attempts: while one is under way to a
-// node that has said nothing for a while, the node is probed, by opening a connection to it. An opening costs one round
-// trip and is answered by the other system even where its process is busy, so that a slow node is not taken for a lost one.
+// A failure domain is partitioned off without a signal: connections into it stay open, what is sent on them gets no
+// answer, and the timers of the operating system report a failure after 1.5 s and more. Reports show the silence after
+// 2.5 s. Until then each request sent there is lost, and an order may not be sent again. So this node watches its own
+// attempts: while one is open to a node that has not answered for a while, the node is probed by opening a connection
+// to it. That takes one round trip and is answered by the other operating system even while the node's process is busy,
+// so that a slow node is not mistaken for a lost one.
 //
-// When two nodes of a failure domain can't be reached and no other one there has said anything of late, all of it counts as
-// lost: with 22 nodes, finding out one by one would cost each its own requests.
+// When two nodes of a failure domain are unreachable and no other node there has answered recently, the whole domain
+// counts as lost: with 22 nodes, detecting each one separately would cost each its own requests.
 //
-// Example: Sent("b") at 1000 and no word: Tick at 1300 says that b is to be probed; Probed("b", false) makes it lost; a word
-// of b's, or a probe that reaches it, makes it well again.
+// Example: Sent("b") at 1000 without an answer: Tick at 1300 returns b to be probed; Probed("b", false) marks it as
+// lost; any contact with b, or a probe that reaches it, marks it as reachable again.
 
 import (
 	"maps"
@@ -21,22 +22,23 @@
 )
 
 const (
-	// probeAfterSilence is how long a node with attempts under way may say nothing before it is probed: more than most runs take
-	// (15 to 280 ms), and a fifth of the time in which the system's own timers notice.
+	// probeAfterSilence is how long a node with open attempts may be silent before it is probed: more than most runs
+	// take (15 to 280 ms), and a fifth of the time after which the operating system's timers report a failure.
 	probeAfterSilence = 300 * clock.Millisecond
-	// ProbeTimeout is how long a probe may take: thirty round trips between failure domains, and two tenths of a second in which
-	// a VM's share of its processor may be used up.
+	// ProbeTimeout is how long a probe may take: thirty round trips between failure domains, plus two tenths of a
+	// second in which a VM may have used up its processor share.
 	ProbeTimeout = 250 * clock.Millisecond
-	// minLostProbeInterval is the time until a node that is lost is probed again; it doubles up to mostPause, since some are gone for good.
-	// reachableProbeInterval is that after a probe that reached its node: many slow requests would else cost a probe each 300 ms.
+	// minLostProbeInterval is the time until a lost node is probed again; it doubles up to maxLostProbeInterval, since
+	// some nodes do not return. reachableProbeInterval is the time after a successful probe: without it many slow
+	// requests would cost a probe each 300 ms.
 	minLostProbeInterval   = 500 * clock.Millisecond
 	maxLostProbeInterval   = 2 * clock.Second
 	reachableProbeInterval = 1500 * clock.Millisecond
-	// minLostForDomain is how many nodes of a failure domain must be lost for all of it to count so.
+	// minLostForDomain is how many nodes of a failure domain must be lost for the whole domain to count as lost.
 	minLostForDomain = 2
 )
 
-// Detector watches the other nodes for one node; it is not safe for concurrent use.
+// Detector watches the reachability of the other nodes for one node; it is not safe for concurrent use.
 type Detector struct {
 	nodes   map[identifier.Node]*nodeState
 	domains map[identifier.FailureDomain]*domainState
@@ -44,12 +46,12 @@
 
 type nodeState struct {
 	domain identifier.FailureDomain
-	// openAttempts counts the attempts under way, since is from when the node has said nothing to them.
+	// openAttempts counts the open attempts; silentSince is from when the node has not answered them.
 	openAttempts int
 	silentSince  clock.Time
-	// suspected tells that the node gave no answer where it should have.
+	// suspected is true if the node failed to answer where it should have.
 	suspected bool
-	// nextProbe is when the node may be probed again, pause how long that was set for after the last probe in vain.
+	// nextProbe is when the node may be probed again, lostInterval the interval set by the last failed probe.
 	nextProbe    clock.Time
 	lostInterval clock.Duration
 	probing      bool
@@ -62,12 +64,12 @@
 	lost        bool
 }
 
-// New returns a detector that watches nobody.
+// New returns a detector without nodes.
 func New() *Detector {
 	return &Detector{nodes: map[identifier.Node]*nodeState{}, domains: map[identifier.FailureDomain]*domainState{}}
 }
 
-// SetDomain takes over in which failure domain a node is.
+// SetDomain adds a node or changes its failure domain.
 func (d *Detector) SetDomain(node identifier.Node, in identifier.FailureDomain) {
 	w, ok := d.nodes[node]
 	if !ok {
@@ -80,12 +82,12 @@
 	}
 }
 
-// Forget drops a node.
+// Forget removes a node.
 func (d *Detector) Forget(node identifier.Node) {
 	delete(d.nodes, node)
 }
 
-// Sent notes an attempt at a node.
+// Sent records the start of an attempt at a node.
 func (d *Detector) Sent(node identifier.Node, now clock.Time) {
 	w, ok := d.nodes[node]
 	if !ok {
@@ -97,7 +99,7 @@
 	w.openAttempts++
 }
 
-// Ended notes the end of an attempt; word tells that the node gave an answer of any kind.
+// Ended records the end of an attempt; answered is true if the node gave an answer of any kind.
 func (d *Detector) Ended(node identifier.Node, answered bool, now clock.Time) {
 	w, ok := d.nodes[node]
 	if !ok {
@@ -109,7 +111,7 @@
 	}
 }
 
-// RecordContact notes that a node has said something.
+// RecordContact records that something was received from a node, which is therefore reachable.
 func (d *Detector) RecordContact(node identifier.Node, now clock.Time) {
 	w, ok := d.nodes[node]
 	if !ok {
@@ -120,7 +122,7 @@
 	in.lastContact, in.contacted, in.lost = now, true, false
 }
 
-// Suspect notes that a node gave no answer where it should have: it is probed at once.
+// Suspect records that a node failed to answer where it should have; the next Tick returns it for a probe.
 func (d *Detector) Suspect(node identifier.Node, now clock.Time) {
 	if w, ok := d.nodes[node]; ok && !w.lost {
 		w.suspected = true
@@ -128,13 +130,13 @@
 	}
 }
 
-// Lost tells whether a node can't be reached.
+// Lost returns whether a node counts as unreachable.
 func (d *Detector) Lost(node identifier.Node) bool {
 	w, ok := d.nodes[node]
 	return ok && (w.lost || d.domains[w.domain].lost)
 }
 
-// Tick returns the nodes that are to be probed now.
+// Tick returns the nodes to probe now.
 func (d *Detector) Tick(now clock.Time) []identifier.Node {
 	var due []identifier.Node
 	for node, w := range d.nodes {
@@ -149,7 +151,7 @@
 	return due
 }
 
-// Probed takes over how a probe ended, and returns the nodes that count as lost from now on.
+// Probed records the result of a probe, and returns the nodes that count as lost from now on.
 func (d *Detector) Probed(node identifier.Node, reached bool, now clock.Time) []identifier.Node {
 	w, ok := d.nodes[node]
 	if !ok {
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -28,14 +28,14 @@
 	assert.Equal(t, len(d.Tick(5400)), 0)
 	assert.DeepEqual(t, d.Probed("e1", false, 5550), []identifier.Node{"e1"})
 	assert.Assert(t, d.Lost("e1") && !d.Lost("e2"))
-	// It is probed again, and is well when a probe reaches it.
+	// It is probed again, and is reachable once a probe succeeds.
 	assert.DeepEqual(t, d.Tick(6050), []identifier.Node{"e1"})
 	assert.Equal(t, len(d.Probed("e1", true, 6060)), 0)
 	assert.Assert(t, !d.Lost("e1"))
 }
 
-// An endpoint is slow, and all requests there take a second. Its node can be reached and must not be given up; nor may each
-// slow request cost a probe.
+// An endpoint is slow, and all requests there take a second. Its node is reachable and must not be marked as lost; nor
+// may each slow request cost a probe.
 func TestSlowNodeIsNotLost(t *testing.T) {
 	d := newTestDetector()
 	probes := 0
@@ -51,11 +51,11 @@
 			d.Ended("e1", true, now)
 		}
 	}
-	assert.Assert(t, probes >= 3 && probes <= 7, "%d", probes)
+	assert.Assert(t, probes >= 3 && probes <= 7, "%d probes", probes)
 }
 
-// A failure domain is cut off. After two of its nodes nobody should have to find out about the third with requests of its
-// own: they would be lost.
+// A failure domain is partitioned off. After two of its nodes are lost, the third must be marked as lost without
+// requests of its own: they would be lost as well.
 func TestFailureDomainIsLostAfterTwoNodes(t *testing.T) {
 	d := newTestDetector()
 	d.RecordContact("e3", 4800)
@@ -67,12 +67,12 @@
 	assert.DeepEqual(t, d.Probed("e1", false, 5560), []identifier.Node{"e1"})
 	assert.DeepEqual(t, d.Probed("e2", false, 5560), []identifier.Node{"e2", "e3"})
 	assert.Assert(t, d.Lost("e3") && !d.Lost("w1"))
-	// The cut is over: one word ends it for all that were only taken for lost.
+	// The partition ends: one contact clears all nodes that were lost only because of their domain.
 	d.RecordContact("e2", 9000)
 	assert.Assert(t, !d.Lost("e3") && !d.Lost("e2") && d.Lost("e1"))
 }
 
-// Two nodes of a failure domain lose power and the third goes on answering.
+// Two nodes of a failure domain lose power and the third continues to answer.
 func TestFailureDomainThatAnswersIsNotLost(t *testing.T) {
 	d := newTestDetector()
 	d.Sent("e1", 5000)
@@ -84,7 +84,7 @@
 	assert.Assert(t, !d.Lost("e3"))
 }
 
-// An attempt that breaks is reason enough to look at once.
+// A broken attempt is reason enough for an immediate probe.
 func TestSuspectedNodeIsProbedImmediately(t *testing.T) {
 	d := newTestDetector()
 	d.Sent("e1", 5000)
@@ -96,8 +96,8 @@
 	assert.Assert(t, !d.Lost("e1"))
 }
 
-// After a doubt that a probe has settled, nothing more is owed: with 88 nodes that had once failed each other, a probe of each
-// chainPair every second and a half would go on for good.
+// A successful probe clears a suspicion. Otherwise, among 88 nodes that had once failed each other, each pair would be
+// probed every second and a half from then on.
 func TestClearedSuspicionCausesNoMoreProbes(t *testing.T) {
 	d := newTestDetector()
 	d.Suspect("e1", 5000)
--- a/internal/detector/doc.go
+++ b/internal/detector/doc.go
@@ -1,2 +1,2 @@
-// Package detector finds out within a second which nodes can't be reached, by the attempts that get no word back.
+// Package detector finds unreachable nodes within a second by the attempts that get no answer.
 package detector
--- a/internal/retrier/attempt.go
+++ b/internal/retrier/attempt.go
@@ -1,20 +1,20 @@
-// Whether an attempt may be repeated depends on what may already have happened. A second booking is worse
-// than a failed one, and a retry into an overloaded service keeps the overload alive.
+// Whether an attempt may be repeated depends on whether it may already have run. A second booking is worse than a
+// failed one, and retries to an overloaded service prolong the overload.
 //
 // Example: a GET whose connection broke after sending may be repeated; a booking in the same state may not.
 
 package retrier
 
-// Phase is how far an attempt got.
+// Phase is how far an attempt progressed.
 type Phase uint8
 
 // The phases of an attempt.
 const (
-	// NotSent says that no byte of the call left the node.
+	// NotSent means that no byte of the call left the node.
 	NotSent Phase = iota
-	// Sent says that the call may have run.
+	// Sent means that the call may have run.
 	Sent
-	// Answered says that an answer came.
+	// Answered means that an answer arrived.
 	Answered
 )
 
@@ -25,31 +25,32 @@
 const (
 	// Broken is a connection or stream that failed.
 	Broken Reason = iota
-	// EndpointFull is a refusal by one endpoint whose service has others.
+	// EndpointFull is a refusal by one endpoint of a service that has others.
 	EndpointFull
-	// ServiceOverloaded is a refusal by threshold, which every endpoint of the service would repeat.
+	// ServiceOverloaded is a refusal by the service's threshold; every other endpoint of the service would refuse the
+	// call as well.
 	ServiceOverloaded
-	// EndpointLeaving is a refusal by an endpoint that takes nothing new.
+	// EndpointLeaving is a refusal by an endpoint that takes no new calls.
 	EndpointLeaving
-	// ServerError is an error that the backend server answered with.
+	// ServerError is an error answer of the backend server.
 	ServerError
-	// DeadlineExceeded is a call that ran out of time.
+	// DeadlineExceeded means that the deadline of the call passed.
 	DeadlineExceeded
-	// DeeperFailure is a failure of a hop further down, which retried or gave up already.
+	// DeeperFailure is a failure at a hop further down the chain, which has already retried or given up.
 	DeeperFailure
 )
 
-// Attempt is what is known of a failed attempt at the hop that made it.
+// Attempt is what the calling hop knows of a failed attempt.
 type Attempt struct {
 	Phase Phase
-	// Idempotent tells that the call may safely run twice.
+	// Idempotent is true if the call may safely run twice.
 	Idempotent bool
-	// NotRun tells that the answer was a refusal which vouches that nothing ran.
+	// NotRun is true if the answer was a refusal that guarantees that nothing ran.
 	NotRun bool
 	Reason Reason
 }
 
-// MayRetry tells whether the attempt may be repeated at all; Damper and Budget must agree as well.
+// MayRetry returns whether the attempt may be repeated at all; Damper and Budget must allow it as well.
 func MayRetry(a Attempt) bool {
 	switch a.Reason {
 	case ServiceOverloaded, DeadlineExceeded, DeeperFailure:
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -1,7 +1,6 @@
-// Three retries at each of four hops turn one slow call into 256. So the right to retry is a number that is
-// granted once, at the entry, and moves with the call: what a node passes on it no longer has, and what an
-// answer does not bring back is gone. No counter is shared, and a lost answer loses retries instead of
-// doubling them.
+// Three retries at each of four hops turn one slow call into 256. So the retry budget is granted once, where the
+// request enters, and is handed over with each call: a node no longer has what it passes on, and what an answer does
+// not return is lost. No counter is shared, and a lost answer loses retries instead of duplicating them.
 //
 // Example: granted 3; a nested call takes 2, its node spends 1 and returns 1; the parent has 2 left.
 
@@ -9,12 +8,12 @@
 
 import "math"
 
-// Budget is what one node holds of a root request's retry allowance, for one call.
+// Budget is the part of a root request's retry allowance that one node holds for one call.
 type Budget struct {
 	left uint8
 }
 
-// NewBudget returns the budget of a call that came with the given allowance.
+// NewBudget returns the budget of a call that carried the given allowance.
 func NewBudget(allowance uint8) Budget {
 	return Budget{left: allowance}
 }
@@ -31,7 +30,8 @@
 	return taken
 }
 
-// Portion removes and returns a fair part for one nested call while others may still come or run beside it.
+// Portion takes and returns half of the budget, rounded up, for one nested call while others may follow or run in
+// parallel.
 func (b *Budget) Portion() uint8 {
 	return b.Take(b.left - b.left/2)
 }
@@ -42,7 +42,7 @@
 	b.left = uint8(min(int(b.left)+int(back), math.MaxUint8))
 }
 
-// Spend uses one retry, if there is one.
+// Spend uses one retry and returns whether there was one.
 func (b *Budget) Spend() bool {
 	if b.left == 0 {
 		return false
--- a/internal/retrier/damper.go
+++ b/internal/retrier/damper.go
@@ -1,8 +1,8 @@
-// An allowance bounds the worst case of one request, but if every request uses it, an overloaded service
-// still gets a multiple of its load. So retries to a service are a small part of the first attempts to it,
-// and a hint that comes back with answers turns them off everywhere at once.
+// An allowance bounds the retries of one request, but if every request uses it, an overloaded service still gets a
+// multiple of its load. So retries to a service are limited to a small fraction of its first attempts, and a hint in
+// its answers stops them at all nodes.
 //
-// Example: after 100 first attempts, 10 retries are allowed; with a hint of overload, none.
+// Example: with the defaults, 100 first attempts earn 8 retries; with a hint of overload, none is allowed.
 
 package retrier
 
@@ -15,9 +15,9 @@
 type DamperOptions struct {
 	// PerMille is how many retries are allowed for 1000 first attempts; default 80.
 	PerMille int
-	// Burst is how many retries may be saved up; default 10.
+	// Burst is how many retries may accumulate; default 10.
 	Burst int
-	// HintAge is how long a hint counts; default 1 s.
+	// HintAge is how long a hint is used; default 1 s.
 	HintAge clock.Duration
 }
 
@@ -31,7 +31,7 @@
 	hintScale       float64 = 255
 )
 
-// Damper holds retries to each service down; it is not safe for concurrent use.
+// Damper limits the ratio of retries to first attempts for each service; it is not safe for concurrent use.
 type Damper struct {
 	options  DamperOptions
 	services map[identifier.Service]*serviceCredit
@@ -45,7 +45,7 @@
 	hintedAt clock.Time
 }
 
-// NewDamper returns a damper that knows no service yet.
+// NewDamper returns a damper without services.
 func NewDamper(o DamperOptions) *Damper {
 	if o.PerMille <= 0 {
 		o.PerMille = defaultPerMille
@@ -65,14 +65,14 @@
 	s.credit = min(s.credit+d.options.PerMille, d.options.Burst*creditPerRetry)
 }
 
-// SetHint takes the hint over that an answer of the service carried (see Meter).
+// SetHint stores the hint that an answer of the service carried (see Meter).
 func (d *Damper) SetHint(service identifier.Service, hint uint8, now clock.Time) {
 	s := d.service(service, now)
 	s.hint = hint
 	s.hintedAt = now
 }
 
-// Allow tells whether one retry may go to the service, and counts it.
+// Allow returns whether one retry may be sent to the service, and takes its credit if so.
 func (d *Damper) Allow(service identifier.Service, now clock.Time) bool {
 	s := d.service(service, now)
 	d.refill(s, now)
@@ -86,7 +86,7 @@
 	return true
 }
 
-// refill earns one retry a second, so that a service with little traffic keeps its retries.
+// refill adds one retry a second while there is less than one, so that a service with few calls keeps its retries.
 func (d *Damper) refill(s *serviceCredit, now clock.Time) {
 	for now.Sub(s.refilled) >= refillPeriod && s.credit < creditPerRetry {
 		s.refilled = s.refilled.Add(refillPeriod)
--- a/internal/retrier/doc.go
+++ b/internal/retrier/doc.go
@@ -1,2 +1,2 @@
-// Package retrier bounds the retries of a whole call chain and turns them off in overload.
+// Package retrier bounds the retries of a whole call chain and stops them in overload.
 package retrier
--- a/internal/retrier/meter.go
+++ b/internal/retrier/meter.go
@@ -1,6 +1,5 @@
-// Only the node in front of a backend server sees the retries of the whole fleet. It measures their part of
-// its calls and tells it back with every answer, so that nodes which retry little learn of those that retry
-// much.
+// Only the node in front of a backend server sees the retries of the whole fleet. It measures their fraction of its
+// calls and reports it in every answer, so that nodes that retry rarely also learn of the retries of others.
 //
 // Example: 20 retries among 100 calls give a hint of about 51 of 255.
 
@@ -12,10 +11,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// meterHalfLife is the time in which what was counted loses half of its weight.
+// meterHalfLife is the time in which the counts lose half of their weight.
 const meterHalfLife = clock.Second
 
-// Meter measures the part of retries among the calls that reach one service at one node.
+// Meter measures the fraction of retries among the calls that reach one service at one node.
 type Meter struct {
 	calls, retries float64
 	decayedAt      clock.Time
@@ -30,13 +29,13 @@
 	}
 }
 
-// Hint returns the part of retries as answers carry it; overloaded answers the highest hint.
+// Hint returns the fraction of retries as answers carry it, or the highest hint if the service is overloaded.
 func (m *Meter) Hint(overloaded bool, now clock.Time) uint8 {
 	if overloaded {
 		return math.MaxUint8
 	}
 	m.decay(now)
-	// One retry among few calls says nothing about overload.
+	// One retry among few calls is no sign of overload, so at least minMeteredCalls calls are assumed.
 	return uint8(hintScale * m.retries / max(m.calls, minMeteredCalls))
 }
 
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -10,7 +10,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// callTree is a call to a service with the calls that it makes, each after or beside the others.
+// callTree is a call to a service with the nested calls that it makes, in sequence or in parallel.
 type callTree struct {
 	service  int
 	parallel bool
@@ -45,7 +45,7 @@
 	retries  int
 }
 
-// call is one hop: it attempts, and repeats what failed next to it as long as the budget lasts.
+// call is one hop: it makes attempts and repeats its own failed ones while the budget lasts.
 func (f *simulation) call(n *callTree, b *Budget, portion uint8) bool {
 	carried := b.Take(portion)
 	for {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Retries at each hop multiply: a slow service at depth four gets 256 attempts for one request, and stays slow
-// after the cause has gone. A user notices an outage that outlasts its trigger.
+// Retries at each hop multiply: a slow service at depth four gets 256 attempts for one request, and stays slow after
+// the cause has gone. The outage outlasts its trigger.
 func TestAttemptsAreBoundedInAnyTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, 3)
@@ -114,24 +114,24 @@
 	})
 }
 
-// A booking that may have run must not run again, and what a deeper hop gave up is not tried again here. A user
-// notices a second booking, or a load that grows with the depth of the chain.
+// A booking that may have run must not run again, and a hop must not repeat what a deeper hop gave up. Otherwise a
+// booking is made twice, or the load grows with the depth of the chain.
 func TestMayRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		attempt Attempt
 		want    bool
 	}{
-		"not sent":                   {Attempt{Phase: NotSent, Reason: Broken}, true},
-		"sent, not idempotent":       {Attempt{Phase: Sent, Reason: Broken}, false},
-		"sent, idempotent":           {Attempt{Phase: Sent, Idempotent: true, Reason: Broken}, true},
-		"refused by one endpoint":    {Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}, true},
-		"refused by a leaving one":   {Attempt{Phase: Answered, NotRun: true, Reason: EndpointLeaving}, true},
-		"refused by the service":     {Attempt{Phase: Answered, NotRun: true, Idempotent: true, Reason: ServiceOverloaded}, false},
-		"error, not idempotent":      {Attempt{Phase: Answered, Reason: ServerError}, false},
-		"error, idempotent":          {Attempt{Phase: Answered, Idempotent: true, Reason: ServerError}, true},
-		"claims not run, but sent":   {Attempt{Phase: Sent, NotRun: true, Reason: Broken}, false},
-		"failed at a deeper hop":     {Attempt{Phase: Answered, Idempotent: true, NotRun: true, Reason: DeeperFailure}, false},
-		"out of time before sending": {Attempt{Phase: NotSent, Idempotent: true, Reason: DeadlineExceeded}, false},
+		"not sent":                         {Attempt{Phase: NotSent, Reason: Broken}, true},
+		"sent, not idempotent":             {Attempt{Phase: Sent, Reason: Broken}, false},
+		"sent, idempotent":                 {Attempt{Phase: Sent, Idempotent: true, Reason: Broken}, true},
+		"refused by one endpoint":          {Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}, true},
+		"refused by a leaving endpoint":    {Attempt{Phase: Answered, NotRun: true, Reason: EndpointLeaving}, true},
+		"refused by the service":           {Attempt{Phase: Answered, NotRun: true, Idempotent: true, Reason: ServiceOverloaded}, false},
+		"error, not idempotent":            {Attempt{Phase: Answered, Reason: ServerError}, false},
+		"error, idempotent":                {Attempt{Phase: Answered, Idempotent: true, Reason: ServerError}, true},
+		"claims not run, but sent":         {Attempt{Phase: Sent, NotRun: true, Reason: Broken}, false},
+		"failed at a deeper hop":           {Attempt{Phase: Answered, Idempotent: true, NotRun: true, Reason: DeeperFailure}, false},
+		"deadline exceeded before sending": {Attempt{Phase: NotSent, Idempotent: true, Reason: DeadlineExceeded}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, MayRetry(c.attempt), c.want)
@@ -139,8 +139,8 @@
 	}
 }
 
-// When every call fails, every call asks for a retry, and the service gets twice its load just then. A user
-// notices that a short fault becomes a long one.
+// When every call fails, every call asks for a retry, and the service gets twice its load: a short fault becomes a long
+// one.
 func TestDamperLimitsRetryRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDamper(DamperOptions{})
@@ -161,8 +161,8 @@
 	})
 }
 
-// Each node alone sees few retries of many callers. Only the overloaded service sees them all, and if it could
-// not say so, each node would go on with its tenth.
+// Each node sees few retries of many callers. Only the overloaded service sees all of them; without its hint each node
+// would continue to send its tenth.
 func TestHintBlocksRetriesUntilItExpires(t *testing.T) {
 	d := NewDamper(DamperOptions{})
 	m := &Meter{}
@@ -173,11 +173,11 @@
 	assert.Assert(t, d.Allow("ice", 0))
 	d.SetHint("ice", m.Hint(false, 0), 0)
 	assert.Assert(t, !d.Allow("ice", 999))
-	assert.Assert(t, d.Allow("ice", 1000), "the hint has aged")
+	assert.Assert(t, d.Allow("ice", 1000), "the hint has expired")
 	d.SetHint("ice", m.Hint(true, 1000), 1000)
 	assert.Assert(t, !d.Allow("ice", 1500))
 	d.SetHint("ice", m.Hint(false, 10_000), 1600)
-	assert.Assert(t, d.Allow("ice", 1600), "the retries are over")
+	assert.Assert(t, d.Allow("ice", 1600), "the hint is below the blocking value")
 }
 
 func BenchmarkRetryDecision(b *testing.B) {
