--- a/internal/prober/doc.go
+++ b/internal/prober/doc.go
@@ -1,2 +1,2 @@
-// Package prober measures what the path through the nodes adds to a call.
+// Package prober measures the latency that the path through the nodes adds to a call.
 package prober
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,5 +1,6 @@
-// What users notice of this product on an ordinary day is the time that it adds. It is measured against the same backend
-// servers called directly, in the same run and at the same rate, since no absolute time is stable on a shared machine.
+// On an ordinary day the effect of this product that users notice is its added latency. It is measured against direct
+// calls to the same backend servers, in the same run and at the same rate, since no absolute time is stable on a shared
+// machine.
 //
 // Example: at depth 1 a call goes entry node -> delivery node -> backend server, and directly caller -> backend server;
 // the difference is what two nodes add.
@@ -30,40 +31,40 @@
 	slots    = 400
 	warmUp   = 2 * time.Second
 	deadline = 10 * time.Second
-	// kneeCallers are more than it takes to use all that the machine has.
+	// kneeCallers is more callers than it takes to use the whole machine.
 	kneeCallers  = 64
 	kneeDuration = 3 * time.Second
-	// kneeLoadFraction is the part of the highest throughput at which latency "at the knee" is taken.
+	// kneeLoadFraction is the fraction of the highest throughput at which latency "at the knee" is measured.
 	kneeLoadFraction = 0.5
 )
 
-// Options say what to measure.
+// Options configure a measurement.
 type Options struct {
 	// Depths are the lengths of the call chains.
 	Depths []int
-	// Rate is in calls entered a second.
+	// Rate is the number of calls a second that enter.
 	Rate float64
-	// Time is how long each load lasts.
+	// Time is the duration of each load.
 	Time time.Duration
 	Seed uint64
 	// Knee also measures at half of the highest throughput of the path through the nodes.
 	Knee bool
 }
 
-// Line is the outcome of one load over both ways.
+// Line is the result of one load on both paths.
 type Line struct {
 	Depth  int
 	Load   string
 	Rate   float64
 	Calls  int
 	Failed int
-	// The times of the direct way and of the way through the nodes, in milliseconds.
+	// The latencies of the direct path and of the path through the nodes, in milliseconds.
 	DirectP50, DirectP99 float64
 	NodesP50, NodesP99   float64
-	// AddedP50 and AddedP99 are the differences for the whole chain, PerHop those of a single call of it.
+	// AddedP50 and AddedP99 are the differences for the whole chain, PerHop those for a single call of it.
 	AddedP50, AddedP99   float64
 	PerHopP50, PerHopP99 float64
-	// Highest is the throughput with as many callers as the machine bears, through the nodes.
+	// Highest is the throughput through the nodes with as many callers as the machine bears.
 	Highest float64
 }
 
@@ -106,8 +107,8 @@
 
 func serviceName(i int) string { return fmt.Sprintf("link%d", i) }
 
-// newChainPair launches the chain; the entry is the last member, whose own service is not part of the chain, so that each
-// call passes two nodes.
+// newChainPair launches the chain. The entry is the last member, whose own service is not part of the chain, so that
+// each call passes two nodes.
 func newChainPair(ctx context.Context, depth int, seed uint64) (*chainPair, error) {
 	p := &chainPair{depth: depth, seed: seed, client: newClient()}
 	f, err := launcher.Start(ctx, launcher.Options{Plan: buildPlan(depth), Seed: seed})
@@ -150,7 +151,7 @@
 	return pl
 }
 
-// listenDirect makes the same chain without nodes, from its end to its start.
+// listenDirect starts the same chain without nodes, from its last service to its first.
 func (p *chainPair) listenDirect() error {
 	var next *responder.Server
 	for i := p.depth - 1; i >= 0; i-- {
@@ -264,7 +265,7 @@
 	return float64(o.times.ValueAtQuantile(quantile)) / microsecondsPerMs
 }
 
-// load sends calls at random moments, without waiting for answers.
+// load sends calls at random times without waiting for answers.
 func (p *chainPair) load(ctx context.Context, rate float64, d time.Duration, call func(context.Context) bool) *latencies {
 	out := newLatencies()
 	random := rand.New(rand.NewPCG(p.seed, 7))
@@ -287,7 +288,7 @@
 	return out
 }
 
-// maxThroughput is the throughput through the nodes with callers that wait for their answers.
+// maxThroughput returns the throughput through the nodes with callers that each wait for their answers.
 func (p *chainPair) maxThroughput(ctx context.Context) float64 {
 	var done atomic.Int64
 	var stop atomic.Bool
--- a/internal/registrar/doc.go
+++ b/internal/registrar/doc.go
@@ -1,2 +1,3 @@
-// Package registrar keeps what the local endpoint says of itself, and ignores what is late, forged or out of date.
+// Package registrar keeps the announced state of the local endpoint and ignores late, foreign or outdated
+// announcements.
 package registrar
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,10 +1,10 @@
 package registrar
 
-// Heartbeats arrive late, twice and out of order; an endpoint may start again under the id that it had, and a late
-// heartbeat of a process that has ended may name the address of its successor. Taken at face value each of these
-// would send requests to an endpoint that is leaving or gone, and callers would see them fail.
+// Heartbeats arrive late, twice and out of order. An endpoint may restart with the same id, and a late heartbeat of an
+// ended process may carry the address of its successor. Accepted without checks, each of these would direct requests to
+// an endpoint that is leaving or gone, and callers would see them fail.
 //
-// Example: sequence 9 says leaving, then a delayed sequence 8 says ready: the endpoint stays leaving.
+// Example: sequence 9 announces leaving, then a delayed sequence 8 announces ready: the endpoint stays leaving.
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Announcement is what an endpoint says of itself.
+// Announcement is what an endpoint announces about itself.
 type Announcement struct {
 	Endpoint identifier.Endpoint
 	Service  identifier.Service
@@ -21,75 +21,75 @@
 	Slots    int64
 	// Started is when the endpoint started, in Unix milliseconds; 0 is unknown.
 	Started int64
-	// Sequence grows with each announcement of one start.
+	// Sequence increases with each announcement after one start.
 	Sequence int64
 	Leaving  bool
-	// ColdLeft is how much longer the endpoint is slow after its start.
+	// ColdLeft is how much longer the endpoint is cold.
 	ColdLeft clock.Duration
 }
 
-// Local is the endpoint beside this node as it is known now.
+// Local is the current state of the endpoint beside this node.
 type Local struct {
 	Announcement
-	// Known is false before the first announcement and after the endpoint has gone.
+	// Known is false before the first announcement and after the endpoint was removed.
 	Known bool
-	// Assumed tells that the endpoint is known only by what this node had recorded before it was started anew.
+	// Assumed is true if the endpoint is known only from what this node had recorded before it was restarted.
 	Assumed bool
 }
 
-// Usable tells whether the endpoint may get requests.
+// Usable returns whether the endpoint may get requests.
 func (l Local) Usable() bool {
 	return l.Known && !l.Leaving
 }
 
-// ForeignError is an announcement that does not speak of the endpoint beside this node.
+// ForeignError is returned for an announcement that is not about the endpoint beside this node.
 type ForeignError struct {
 	Field string
 	Value string
 	Want  string
 }
 
-// Error names the field that does not fit.
+// Error names the field that differs.
 func (e ForeignError) Error() string {
 	return fmt.Sprintf("announcement of another endpoint: %s is %q, want %q", e.Field, e.Value, e.Want)
 }
 
-// Options name the endpoint beside this node.
+// Options identify the endpoint beside this node.
 type Options struct {
 	Service identifier.Service
 	Address string
 }
 
-// Registrar follows the local endpoint; it is not safe for concurrent use.
+// Registrar tracks the local endpoint; it is not safe for concurrent use.
 type Registrar struct {
 	options Options
 	local   Local
 	removed map[identifier.Endpoint]tombstone
 }
 
-// tombstone says up to which start an endpoint is known to have gone.
+// tombstone records the last start of an endpoint that was removed.
 type tombstone struct {
 	started int64
-	// startUnknown is set when the endpoint went before this node had heard of it.
+	// startUnknown is true if the endpoint was removed before this node knew its start.
 	startUnknown bool
 	removedAt    clock.Time
 }
 
-// unknownStartRetention is how long an endpoint that went unheard of is not believed: heartbeats are delayed by seconds,
-// and the default period between them is 1.5 s.
+// unknownStartRetention is how long announcements of an endpoint that was removed with an unknown start are ignored:
+// heartbeats are delayed by seconds, and their default period is 1.5 s.
 const unknownStartRetention = 15 * clock.Second
 
-// New returns a registrar that has heard of no endpoint.
+// New returns a registrar without an endpoint.
 func New(o Options) *Registrar {
 	return &Registrar{options: o, removed: map[identifier.Endpoint]tombstone{}}
 }
 
-// Local returns the endpoint as it is known now.
+// Local returns the current state of the endpoint.
 func (r *Registrar) Local() Local {
 	return r.local
 }
 
-// Announce takes an announcement; it tells whether that changed what is known.
+// Announce takes an announcement and returns whether it changed the known state.
 func (r *Registrar) Announce(a Announcement, now clock.Time) (bool, error) {
 	if a.Service != r.options.Service {
 		return false, ForeignError{Field: "service", Value: string(a.Service), Want: string(r.options.Service)}
@@ -109,9 +109,9 @@
 		before.Slots != a.Slots || before.Started != a.Started, nil
 }
 
-// Assume takes the endpoint that was there when this node was last up for one that still is, unless something was heard
-// since; it tells whether that changed what is known. An endpoint names itself in each request, so one that has taken its
-// place turns away what was meant for it.
+// Assume restores the endpoint that this node had recorded before its restart, unless an announcement or a removal
+// arrived since, and returns whether that changed the known state. Requests name the endpoint that they are for, so an
+// endpoint that has taken its place refuses them.
 func (r *Registrar) Assume(id identifier.Endpoint, slots int64) bool {
 	if r.local.Endpoint != "" || len(r.removed) > 0 || id == "" || slots <= 0 {
 		return false
@@ -133,7 +133,7 @@
 		return false
 	}
 	if t.startUnknown && a.Started > t.started {
-		// The first start heard of after the removal is taken for the one that was removed.
+		// The first start announced after the removal is assumed to be the removed one.
 		if t.started == 0 {
 			t.started = a.Started
 			r.removed[a.Endpoint] = t
@@ -158,7 +158,7 @@
 	return a.Sequence <= l.Sequence
 }
 
-// Remove takes an endpoint's word that it is gone; it tells whether that changed what is known.
+// Remove takes an endpoint's notice that it is gone, and returns whether that changed the known state.
 func (r *Registrar) Remove(id identifier.Endpoint, now clock.Time) bool {
 	if r.local.Endpoint != id {
 		if _, ok := r.removed[id]; !ok {
@@ -166,15 +166,16 @@
 		}
 		return false
 	}
-	// An assumed endpoint's start is not known; taken for 0, a late heartbeat would bring it back.
+	// The start of an assumed endpoint is unknown; recorded as 0, it would let a late heartbeat bring the endpoint
+	// back.
 	r.removed[id] = tombstone{started: r.local.Started, startUnknown: r.local.Assumed, removedAt: now}
 	changed := r.local.Known
 	r.local.Known = false
 	return changed
 }
 
-// Suspend takes the endpoint for gone until it announces itself again, because it took no connection; it tells whether
-// that changed what is known.
+// Suspend marks the endpoint as gone until its next announcement, because it accepted no connection, and returns
+// whether that changed the known state.
 func (r *Registrar) Suspend(id identifier.Endpoint) bool {
 	if r.local.Endpoint != id || !r.local.Known {
 		return false
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -27,8 +27,8 @@
 
 func announceStep(a Announcement) step { return step{announce: &a} }
 
-// Heartbeats come late, twice, out of order and from processes that have ended. Taken at face value they would bring
-// an endpoint back that is leaving or gone, and callers' requests to it would fail.
+// Heartbeats arrive late, twice, out of order and from ended processes. Accepted without checks, they would bring an
+// endpoint back that is leaving or gone, and callers' requests to it would fail.
 func TestAnnouncements(t *testing.T) {
 	tests := map[string]struct {
 		steps    []step
@@ -48,12 +48,12 @@
 			steps:    []step{announceStep(heartbeat("a", 100, 5)), {remove: "a"}, announceStep(heartbeat("a", 100, 6))},
 			endpoint: "a",
 		},
-		"started again under the same id": {
+		"restarted with the same id": {
 			steps:    []step{announceStep(heartbeat("a", 100, 5)), {remove: "a"}, announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
 		},
-		"started again without removal": {
+		"restarted without removal": {
 			steps:    []step{announceStep(heartbeat("a", 100, 50)), announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
@@ -68,15 +68,15 @@
 			usable:   true,
 			endpoint: "b",
 		},
-		"heartbeat of one that went unheard of": {
+		"heartbeat after removal with unknown start": {
 			steps: []step{{remove: "a"}, announceStep(heartbeat("a", 100, 7))},
 		},
-		"start after one that went unheard of": {
+		"restart after removal with unknown start": {
 			steps:    []step{{remove: "a"}, announceStep(heartbeat("a", 100, 7)), announceStep(heartbeat("a", 900, 1))},
 			usable:   true,
 			endpoint: "a",
 		},
-		"heartbeat long after one that went unheard of": {
+		"heartbeat long after removal with unknown start": {
 			steps:    []step{{remove: "a"}, {announce: pointerTo(heartbeat("a", 100, 7)), at: clock.Time(unknownStartRetention)}},
 			usable:   true,
 			endpoint: "a",
@@ -101,8 +101,8 @@
 
 func pointerTo(a Announcement) *Announcement { return &a }
 
-// Another writer's heartbeat names a service or an address that is not this VM's. Believed, it would send requests to
-// whatever listens there.
+// A heartbeat of another sender names a service or an address that is not this VM's. Accepted, it would direct requests
+// to whatever listens there.
 func TestForeignAnnouncementIsRefused(t *testing.T) {
 	r := New(Options{Service: "clock", Address: "10.0.0.1:80"})
 	other := heartbeat("a", 1, 1)
@@ -131,8 +131,8 @@
 	assert.Assert(t, r.Local().Usable())
 }
 
-// A node is started anew beside an endpoint that runs on. It relies on what it had recorded until the endpoint says
-// something: that confirms it without a change, and whatever the endpoint says goes before the record.
+// A node restarts beside an endpoint that continues to run. It relies on its record until the endpoint's next
+// announcement, which either confirms the record without a change or replaces it.
 func TestAssumed(t *testing.T) {
 	start := func() *Registrar {
 		r := New(Options{Service: "clock", Address: "10.0.0.1:80"})
@@ -150,14 +150,14 @@
 	assert.NilError(t, err)
 	assert.Assert(t, changed && !r.Local().Usable())
 
-	// It leaves without a notice, and a heartbeat of before comes late.
+	// The endpoint is removed without a leaving announcement, and an earlier heartbeat arrives late.
 	r = start()
 	assert.Assert(t, r.Remove("a", 0))
 	_, err = r.Announce(heartbeat("a", 100, 7), 500)
 	assert.NilError(t, err)
 	assert.Assert(t, !r.Local().Usable())
 
-	// What was heard goes before the record.
+	// A removal received earlier takes precedence over the record.
 	r = New(Options{Service: "clock", Address: "10.0.0.1:80"})
 	r.Remove("a", 0)
 	assert.Assert(t, !r.Assume("a", 25))
