--- a/internal/pooler/types.go
+++ b/internal/pooler/types.go
@@ -28,8 +28,8 @@
 	// maxEmptyWait bounds how long a node refuses requests after an answer that the bucket is empty, without asking
 	// again: the time for four tokens of the smallest known team, 13 requests a second.
 	maxEmptyWait = 300 * clock.Millisecond
-	// avoidDuration is how long a node that did not answer is not asked: half of the time after which it counts as
-	// silent.
+	// avoidDuration is how long a node that did not answer is not asked: half of the time after which its silence is
+	// detected.
 	avoidDuration = clock.Second
 	// fallbackDelay is how long a node that cannot reach the bucket waits before it admits its own share. Until then
 	// the node with the bucket may not have detected the silence, and grants that share itself (see apportioner).
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -64,7 +64,7 @@
 	// AddedP50 and AddedP99 are the differences for the whole chain, PerHop those for a single call of it.
 	AddedP50, AddedP99   float64
 	PerHopP50, PerHopP99 float64
-	// Highest is the throughput through the nodes with as many callers as the machine bears.
+	// Highest is the throughput through the nodes with as many callers as the machine can serve.
 	Highest float64
 }
 
--- a/internal/retrier/damper.go
+++ b/internal/retrier/damper.go
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// DamperOptions set a damper up; zero fields take the defaults.
+// DamperOptions configure a damper; zero fields take the defaults.
 type DamperOptions struct {
 	// PerMille is how many retries are allowed for 1000 first attempts; default 80.
 	PerMille int
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -152,16 +152,16 @@
 			p := newSimulation()
 			p.run(c.near, c.far)
 			crossed := float64(p.crossDomainCalls) / float64(len(p.waits))
-			long := 0
+			waitedLonger := 0
 			for _, wait := range p.waits {
 				if wait > float64(c.longestOfMost) {
-					long++
+					waitedLonger++
 				}
 			}
-			told := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), long, c.longestOfMost)
-			assert.Assert(t, crossed >= c.least && crossed <= c.most, told)
-			assert.Assert(t, long <= len(p.waits)/20, told)
-			t.Log(told)
+			summary := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), waitedLonger, c.longestOfMost)
+			assert.Assert(t, crossed >= c.least && crossed <= c.most, summary)
+			assert.Assert(t, waitedLonger <= len(p.waits)/20, summary)
+			t.Log(summary)
 		})
 	}
 }
