--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -318,9 +318,9 @@
 		b.tokens--
 		return Verdict{Allowed: true, Part: share}
 	}
-	perMilli := max(b.rate*share, 0.1) / float64(clock.Second)
+	perMillisecond := max(b.rate*share, 0.1) / float64(clock.Second)
 	return Verdict{
-		Wait:      clock.Duration((1 - b.tokens) / perMilli),
+		Wait:      clock.Duration((1 - b.tokens) / perMillisecond),
 		Part:      share,
 		Elsewhere: b.deliveredDemand+b.otherDemand <= saturatingDemandRatio*b.rate,
 	}
--- a/internal/pooler/fallback.go
+++ b/internal/pooler/fallback.go
@@ -29,16 +29,16 @@
 		}
 	}
 	a.failed = now
-	perMilli := b.rate / float64(max(1, nodes)) / float64(clock.Second)
+	perMillisecond := b.rate / float64(max(1, nodes)) / float64(clock.Second)
 	if span := now.Sub(a.filled); span > 0 {
 		a.filled = now
 		maximum := max(1, b.burst/float64(max(1, nodes)))
-		a.tokens = min(maximum, a.tokens+perMilli*float64(span))
+		a.tokens = min(maximum, a.tokens+perMillisecond*float64(span))
 	}
 	if a.tokens >= 1 {
 		a.tokens--
 		return Grant{Allowed: true}
 	}
-	wait := clock.Duration((1 - a.tokens) / perMilli)
+	wait := clock.Duration((1 - a.tokens) / perMillisecond)
 	return Grant{Wait: max(0, a.filled.Sub(now)) + wait}
 }
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -63,8 +63,8 @@
 		b.tokens--
 		return Grant{Allowed: true}
 	}
-	perMilli := max(b.rate*reach, minRate) / float64(clock.Second)
-	return Grant{Wait: clock.Duration((1 - b.tokens) / perMilli)}
+	perMillisecond := max(b.rate*reach, minRate) / float64(clock.Second)
+	return Grant{Wait: clock.Duration((1 - b.tokens) / perMillisecond)}
 }
 
 // initialTokens is what a bucket holds that was taken over. With as much as the tolerated excess, three kills within
