--- a/internal/limiter/law_test.go
+++ b/internal/limiter/law_test.go
@@ -89,7 +89,7 @@
 // A backend server announces more slots than its VM can use, or the service that it depends on slows down. Both raise
 // latency; only the first calls for a lower limit. If the first case is missed, calls time out; if the second is
 // mistaken for the first, a healthy service refuses calls.
-func TestKneeLawIgnoresSlowDependency(t *testing.T) {
+func TestLimitFollowsTheKneeOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		law         Law
 		serve       latencyModel
