--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -1,19 +1,19 @@
 package apportioner
 
-// A team's rate holds for all nodes together, but each request is judged by one node at once. Every node reports how
-// many requests of each team arrive at it; a node's part of the rate is its part of what arrives. Equal parts would
-// refuse a team that sends most of its requests to one node although it keeps its rate; asking another node about
-// each request would add a round trip to it and fail with that node.
+// A team's rate limit applies to all nodes together, but each request is decided by one node without asking others.
+// Every node reports how many requests of each team arrive at it, and a node's quota share of the rate is its fraction
+// of these arrivals. Equal shares would refuse a team that sends most of its requests to one node although it keeps its
+// rate; asking another node about each request would add a round trip and fail with that node.
 //
-// A node counts its own demand only as far as every other node has heard of it. When a team's demand rises everywhere
-// at once, each node would otherwise set its new figure against the others' old ones, and all of them together would
-// let several times the rate through until the next reports. What the others have heard shows in the age of their own
-// reports: who reported a second ago has heard what was reported here before that.
+// For its own share, a node uses the demand that it has reported and that every other node has received. When a team's
+// demand rises everywhere at once, each node would otherwise compare its new demand with the old demand of the others,
+// and all together would admit several times the rate until the next reports. The age of the other nodes' reports shows
+// what they have received: a node that reported a second ago has received what was reported here before that.
 //
-// Nodes that do not report keep the part that they had when they were last heard: they may still be serving where this
-// node can't see it, or wake up and serve by what they knew.
+// Silent nodes, which have stopped reporting, keep the share that they had at their last report: they may be serving on
+// the other side of a partition, or resume after a pause and serve by their old data.
 //
-// Example: 300 requests a second, 60 arrive here and 180 elsewhere: this node may let 75 a second through.
+// Example: 300 requests a second, 60 arrive here and 180 elsewhere: this node may admit 75 a second.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
@@ -21,34 +21,35 @@
 )
 
 const (
-	// demandMemory is the time constant of the measured demand: four reports long. A shift of callers from one node to
-	// others is followed within some two seconds; with half of it, the parts of a team that sends 2 requests a second
-	// to each node vary by a third.
-	demandMemory = 2 * clock.Second
-	// silentMemory is how long a silent node keeps its part. A cut lasts seconds and its far side goes on serving;
-	// giving its part away would exceed the rate, keeping it costs a team at most that part.
-	silentMemory = 30 * clock.Second
-	// silentAfter is the age of a report from which its node is silent: three periods of the reports.
+	// demandTimeConstant is the time constant of the demand's exponential smoothing: four reports. A shift of callers
+	// between nodes is followed within about two seconds; with half the constant, the shares of a team that sends 2
+	// requests a second to each node vary by a third.
+	demandTimeConstant = 2 * clock.Second
+	// silentRetention is how long a silent node keeps its share. A partition lasts seconds and its other side continues
+	// to serve: redistributing the share would exceed the rate, keeping it costs a team at most that share.
+	silentRetention = 30 * clock.Second
+	// silentAfter is the age of its last report after which a node is silent: three report periods.
 	silentAfter = 1500 * clock.Millisecond
-	// reportPeriod is the least time between two reports of a calm node (mesher's period less a tenth), onSchedule the
-	// most with its way.
-	reportPeriod = 450 * clock.Millisecond
-	onSchedule   = 600 * clock.Millisecond
-	// roundTrip is how long a report may be on its way to the node that passes it on: one hop between failure domains
-	// and a turn of the processor at both ends.
-	roundTrip = 50 * clock.Millisecond
-	// mostReserved keeps a lone node from having nothing left by a sum of figures from different moments.
-	mostReserved = 0.98
-	// What a team does not use of its rate is shared out equally, within these parts of it, so that the first requests
-	// at a node are not refused and chance is allowed for. A team that uses all of its rate has nothing to share out:
-	// nodes where few of its requests arrive would keep what the others need.
-	leastShared = 0.05
-	mostShared  = 0.5
-	// startTokens is what a bucket holds when its node starts. A bucket that began full would grant the burst again
-	// after every restart, to the fleet's sum after a restart of all.
-	startTokens = 1
-	// leastCapacity lets a node with a tiny part of a small burst hold one request's worth.
-	leastCapacity = 1
+	// minReportPeriod is the shortest time between two reports of a node in steady state (mesher's period less a
+	// tenth), maxReportPeriod the longest, including the transit.
+	minReportPeriod = 450 * clock.Millisecond
+	maxReportPeriod = 600 * clock.Millisecond
+	// maxReportTransit is how long a report may take to the node that relays it: one hop between failure domains and
+	// the scheduling delay at both ends.
+	maxReportTransit = 50 * clock.Millisecond
+	// maxReserved bounds the sum of the shares kept for silent nodes, which were computed at different times: without
+	// it a single remaining node could be left with nothing.
+	maxReserved = 0.98
+	// The part of its rate that a team does not use is distributed equally, within these fractions of the rate, so that
+	// the first requests at a node are not refused and random variation is allowed for. A team that uses all of its
+	// rate leaves little to distribute: nodes with few of its requests would keep what the others need.
+	minSharedFraction = 0.05
+	maxSharedFraction = 0.5
+	// initialTokens is what a bucket holds when its node starts. A bucket that started full would grant the burst again
+	// after every restart, and once for the whole fleet after a restart of all nodes.
+	initialTokens = 1
+	// minCapacity lets a node with a very small share of a small burst hold the token for one request.
+	minCapacity = 1
 )
 
 // Apportioner decides which requests of a team are within its rate; it is not safe for concurrent use.
@@ -56,42 +57,44 @@
 	tolerance Tolerance
 	self      identifier.Node
 	teams     map[identifier.Team]*bucket
-	// nodes is how many nodes are known, this one included.
+	// nodes is the number of known nodes, including this one.
 	nodes int
 	peers map[identifier.Node]peer
 	start clock.Time
-	// silent is how many of the peers are silent, horizon until when the others have heard this node's reports.
-	silent  int
-	horizon clock.Time
-	// heard is when reports last came in, summed when silence was last judged.
-	heard, summed clock.Time
+	// silent is the number of silent peers; all other peers have received the reports that this node made until
+	// deliveredUntil.
+	silent         int
+	deliveredUntil clock.Time
+	// lastReportsAt is when reports last arrived, lastRefresh when silence and shares were last computed.
+	lastReportsAt, lastRefresh clock.Time
 }
 
 type peer struct {
 	demand map[identifier.Team]float64
-	// made is when the report was made, by this node's clock.
-	made clock.Time
-	// parts are the peer's parts, at that time, of the rates of the teams that it has a demand of; idle are those of all
-	// teams for a node without any demand.
-	parts, idle map[identifier.Team]float64
+	// reportedAt is when the report was made, by this node's clock.
+	reportedAt clock.Time
+	// shares are the peer's quota shares at that time for the teams that it reported demand for; idleShares are those
+	// of all teams for a node without demand.
+	shares, idleShares map[identifier.Team]float64
 }
 
 func (p peer) isSilent(now clock.Time) bool {
-	return now.Sub(p.made) > silentAfter
+	return now.Sub(p.reportedAt) > silentAfter
 }
 
 type bucket struct {
 	rate, burst float64
 	tokens      float64
-	filled      clock.Time
+	filledAt    clock.Time
 	demand      float64
-	measured    clock.Time
-	// others is the demand at all other nodes, silent that part of it which is at silent ones, and reserved the part of
-	// the rate that those keep.
-	others, silent, reserved float64
-	// told is the latest of this node's reported demands that all others have heard, reports are the later ones.
-	told    float64
-	reports []ownReport
+	decayedAt   clock.Time
+	// otherDemand is the demand at all other nodes, silentDemand the part of it at silent nodes, and reservedShare the
+	// share of the rate that the silent nodes keep.
+	otherDemand, silentDemand, reservedShare float64
+	// deliveredDemand is the latest of this node's reported demands that all others have received; reports holds the
+	// later ones.
+	deliveredDemand float64
+	reports         []ownReport
 }
 
 // ownReport is a demand that this node reported.
@@ -100,11 +103,12 @@
 	demand float64
 }
 
-// usedTolerance is the part of the tolerance by which buckets are larger than the burst. A burst that is cut in 18 holds
-// 3 requests at each node, and chance alone often brings more; the rest is left for reports that are late.
-const usedTolerance = 0.3
+// bucketToleranceFraction is the fraction of the tolerance by which buckets are larger than the burst. Each bucket of a
+// burst divided by 18 holds 3 requests, and random arrivals often bring more; the rest of the tolerance covers late
+// reports.
+const bucketToleranceFraction = 0.3
 
-// New returns an apportioner that knows no team.
+// New returns an apportioner without teams.
 func New(self identifier.Node, t Tolerance, now clock.Time) *Apportioner {
 	return &Apportioner{
 		tolerance: t,
@@ -116,16 +120,16 @@
 	}
 }
 
-// SetNodes takes over how many nodes there are.
+// SetNodes sets the number of nodes.
 func (a *Apportioner) SetNodes(n int) {
 	a.nodes = max(1, n)
 }
 
-// SetTeam takes over a team's rate and burst; a rate of 0 is unlimited.
+// SetTeam sets a team's rate and burst; a rate of 0 is unlimited.
 func (a *Apportioner) SetTeam(name identifier.Team, rate, burst float64, now clock.Time) {
 	b, ok := a.teams[name]
 	if !ok {
-		a.teams[name] = &bucket{rate: rate, burst: burst, tokens: startTokens, filled: now, measured: now}
+		a.teams[name] = &bucket{rate: rate, burst: burst, tokens: initialTokens, filledAt: now, decayedAt: now}
 		return
 	}
 	a.fill(b, now)
@@ -133,151 +137,153 @@
 	b.tokens = min(b.tokens, a.capacity(b))
 }
 
-// Heard is what another node reported.
-type Heard struct {
+// DemandReport is a report of another node.
+type DemandReport struct {
 	Node   identifier.Node
 	Demand map[identifier.Team]float64
-	// Made is when the report was made, by this node's clock.
-	Made clock.Time
+	// MadeAt is when the report was made, by this node's clock.
+	MadeAt clock.Time
 }
 
-// Hear takes over reports of other nodes.
-func (a *Apportioner) Hear(reports []Heard, now clock.Time) {
+// AddReports takes reports of other nodes.
+func (a *Apportioner) AddReports(reports []DemandReport, now clock.Time) {
 	for _, r := range reports {
 		if r.Node != a.self {
-			a.peers[r.Node] = peer{demand: r.Demand, made: r.Made}
+			a.peers[r.Node] = peer{demand: r.Demand, reportedAt: r.MadeAt}
 		}
 	}
-	a.heard = now
-	a.sum(now)
-	// Only now is known what all of them together ask for. Most nodes have no demand of most teams, and share one table of
-	// parts: with one each, 87 reports with 87 teams took 1.4 ms and 308 kB, two to five times a second at each node.
-	idle := make(map[identifier.Team]float64, len(a.teams))
+	a.lastReportsAt = now
+	a.refresh(now)
+	// The shares are computed after all reports have been added, since they depend on the total demand. Most nodes have
+	// no demand of most teams and share one table: 87 reports with 87 teams took 1.4 ms and 308 kB with a table for
+	// each node, 23 us and 8 kB with one for all nodes without demand, and reports arrive two to five times a second at
+	// each node.
+	idleShares := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
-		idle[name] = a.partOf(b, 0)
+		idleShares[name] = a.shareFor(b, 0)
 	}
 	for _, r := range reports {
 		if p, ok := a.peers[r.Node]; ok {
-			p.parts, p.idle = a.partsOf(p.demand), idle
+			p.shares, p.idleShares = a.sharesFor(p.demand), idleShares
 			a.peers[r.Node] = p
 		}
 	}
 }
 
-func (a *Apportioner) partsOf(demand map[identifier.Team]float64) map[identifier.Team]float64 {
-	parts := make(map[identifier.Team]float64, len(demand))
+func (a *Apportioner) sharesFor(demand map[identifier.Team]float64) map[identifier.Team]float64 {
+	shares := make(map[identifier.Team]float64, len(demand))
 	for name, d := range demand {
 		if b, ok := a.teams[name]; ok {
-			parts[name] = a.partOf(b, d)
+			shares[name] = a.shareFor(b, d)
 		}
 	}
-	return parts
+	return shares
 }
 
-// Forget drops a node that has stopped as planned: it lets nothing through any more.
+// Forget removes a node that was stopped as planned: it admits nothing more, so its share need not be kept.
 func (a *Apportioner) Forget(node identifier.Node) {
 	delete(a.peers, node)
 }
 
-// sumPeriod is how often silence is judged: a fifteenth of the time after which a node counts as silent. Summing up all peers is
-// most of what a tick costs in a large fleet.
-const sumPeriod = 100 * clock.Millisecond
+// refreshPeriod is how often silence and shares are computed: a fifteenth of the time after which a node is silent.
+// Summing the demand of all peers is most of the cost of a tick in a large fleet.
+const refreshPeriod = 100 * clock.Millisecond
 
-// Tick judges who is silent, and counts what the others have heard by now.
+// Tick refills the buckets, finds silent nodes, and updates which reports the other nodes have received.
 func (a *Apportioner) Tick(now clock.Time) {
 	for _, b := range a.teams {
 		a.fill(b, now)
 	}
-	if now.Sub(a.summed) >= sumPeriod {
-		a.sum(now)
+	if now.Sub(a.lastRefresh) >= refreshPeriod {
+		a.refresh(now)
 	}
 }
 
-func (a *Apportioner) sum(now clock.Time) {
-	a.summed = now
-	a.silent, a.horizon = 0, now
+func (a *Apportioner) refresh(now clock.Time) {
+	a.lastRefresh = now
+	a.silent, a.deliveredUntil = 0, now
 	for _, b := range a.teams {
-		b.others, b.silent, b.reserved = 0, 0, 0
+		b.otherDemand, b.silentDemand, b.reservedShare = 0, 0, 0
 	}
 	for node, p := range a.peers {
-		if now.Sub(p.made) > silentMemory {
+		if now.Sub(p.reportedAt) > silentRetention {
 			delete(a.peers, node)
 			continue
 		}
-		a.add(p, now)
+		a.addPeer(p, now)
 	}
 	for _, b := range a.teams {
-		b.reserved = min(b.reserved, mostReserved)
-		b.hearUntil(a.horizon)
+		b.reservedShare = min(b.reservedShare, maxReserved)
+		b.deliverReports(a.deliveredUntil)
 	}
 }
 
-func (a *Apportioner) add(p peer, now clock.Time) {
+func (a *Apportioner) addPeer(p peer, now clock.Time) {
 	silent := p.isSilent(now)
 	if silent {
 		a.silent++
 	} else {
-		a.horizon = min(a.horizon, a.heardUntil(p, now))
+		a.deliveredUntil = min(a.deliveredUntil, a.reportsDeliveredUntil(p, now))
 	}
 	for name, demand := range p.demand {
 		b, ok := a.teams[name]
 		if !ok {
 			continue
 		}
-		b.others += demand
+		b.otherDemand += demand
 		if silent {
-			b.silent += demand
+			b.silentDemand += demand
 		}
 	}
 	if !silent {
 		return
 	}
-	for name, part := range p.idle {
-		if own, ok := p.parts[name]; ok {
-			part = own
+	for name, share := range p.idleShares {
+		if own, ok := p.shares[name]; ok {
+			share = own
 		}
 		if b, ok := a.teams[name]; ok {
-			b.reserved += part
+			b.reservedShare += share
 		}
 	}
 }
 
-// heardUntil is until when a peer has heard this node's reports. One that reports on schedule is about to ask again, and
-// has heard the report before the latest.
-func (a *Apportioner) heardUntil(p peer, now clock.Time) clock.Time {
+// reportsDeliveredUntil returns until when a peer has received this node's reports. A peer that reports on schedule is
+// about to ask again, and has received the report before the latest.
+func (a *Apportioner) reportsDeliveredUntil(p peer, now clock.Time) clock.Time {
 	asked := now
-	if now.Sub(a.heard) <= onSchedule {
-		asked = a.heard
+	if now.Sub(a.lastReportsAt) <= maxReportPeriod {
+		asked = a.lastReportsAt
 	}
-	if asked.Sub(p.made) <= onSchedule {
-		return asked.Add(-reportPeriod)
+	if asked.Sub(p.reportedAt) <= maxReportPeriod {
+		return asked.Add(-minReportPeriod)
 	}
-	return p.made.Add(-roundTrip)
+	return p.reportedAt.Add(-maxReportTransit)
 }
 
-// hearUntil counts the reports up to a time as heard by all.
-func (b *bucket) hearUntil(horizon clock.Time) {
+// deliverReports marks the reports made until the given time as received by all others.
+func (b *bucket) deliverReports(horizon clock.Time) {
 	for len(b.reports) > 0 && b.reports[0].at <= horizon {
-		b.told = b.reports[0].demand
+		b.deliveredDemand = b.reports[0].demand
 		b.reports = b.reports[1:]
 	}
 }
 
-// Reach returns the part of the fleet that this node hears of, itself included. Silent nodes count as not heard for
-// as long as they keep their parts; a node that has just started has heard nobody yet.
+// Reach returns the fraction of the fleet whose reports this node receives, itself included. Silent nodes count as
+// missing while they keep their shares; a node that has just started has received no reports yet.
 func (a *Apportioner) Reach(now clock.Time) float64 {
-	heard := float64(1 + len(a.peers) - a.silent)
+	reporting := float64(1 + len(a.peers) - a.silent)
 	if now.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
-		return min(1, heard/float64(a.nodes))
+		return min(1, reporting/float64(a.nodes))
 	}
-	return heard / float64(1+len(a.peers))
+	return reporting / float64(1+len(a.peers))
 }
 
-// Demand returns the requests a second of each team that arrive here, to be reported to the other nodes.
+// Demand returns the requests a second of each team that arrive here, for the report to the other nodes.
 func (a *Apportioner) Demand(now clock.Time) map[identifier.Team]float64 {
 	demand := make(map[identifier.Team]float64, len(a.teams))
 	for name, b := range a.teams {
-		b.decay(now)
+		b.decayDemand(now)
 		b.reports = append(b.reports, ownReport{at: now, demand: b.demand})
 		if b.demand > 0.01 {
 			demand[name] = b.demand
@@ -286,15 +292,15 @@
 	return demand
 }
 
-// Verdict is whether a request is within its team's rate.
+// Verdict is the decision whether a request is within its team's rate.
 type Verdict struct {
 	Allowed bool
-	// Wait is how long it takes until a request is within the rate again.
+	// Wait is the time until a request is within the rate again.
 	Wait clock.Duration
-	// Part is this node's part of the rate at the time of the verdict.
+	// Part is this node's quota share of the rate at the time of the verdict.
 	Part float64
-	// Elsewhere tells that another node may well have a token to spare: the team's demand is about its rate or below,
-	// so that chance has emptied this bucket and not that one.
+	// Elsewhere is true if another node may have a token: the team's demand is about its rate or below, so that this
+	// bucket may be empty by chance and the other one not.
 	Elsewhere bool
 }
 
@@ -304,26 +310,26 @@
 	if !ok || b.rate <= 0 {
 		return Verdict{Allowed: true, Part: 1}
 	}
-	b.decay(now)
-	b.demand += float64(clock.Second) / float64(demandMemory)
+	b.decayDemand(now)
+	b.demand += float64(clock.Second) / float64(demandTimeConstant)
 	a.fill(b, now)
-	part := a.part(b)
-	if b.tokens >= 1 || b.tokens >= 0 && a.calm(b, now) {
+	share := a.share(b)
+	if b.tokens >= 1 || b.tokens >= 0 && a.wellWithinRate(b, now) {
 		b.tokens--
-		return Verdict{Allowed: true, Part: part}
+		return Verdict{Allowed: true, Part: share}
 	}
-	perMilli := max(b.rate*part, 0.1) / float64(clock.Second)
+	perMillisecond := max(b.rate*share, 0.1) / float64(clock.Second)
 	return Verdict{
-		Wait:      clock.Duration((1 - b.tokens) / perMilli),
-		Part:      part,
-		Elsewhere: b.told+b.others <= pressingPart*b.rate,
+		Wait:      clock.Duration((1 - b.tokens) / perMillisecond),
+		Part:      share,
+		Elsewhere: b.deliveredDemand+b.otherDemand <= saturatingDemandRatio*b.rate,
 	}
 }
 
-// Spare takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3 requests
-// a second at each, single buckets refuse a sixth of a team that sends just its rate (in the package's test); one more
-// bucket to ask makes that a twentieth.
-func (a *Apportioner) Spare(team identifier.Team, now clock.Time) bool {
+// TakeForPeer takes a token for a request that arrived at another node, whose bucket was empty. With 18 nodes and 3
+// requests a second at each, single buckets refuse a sixth of the requests of a team that sends exactly its rate;
+// asking one more bucket reduces that to a twentieth.
+func (a *Apportioner) TakeForPeer(team identifier.Team, now clock.Time) bool {
 	b, ok := a.teams[team]
 	if !ok || b.rate <= 0 {
 		return ok
@@ -336,13 +342,13 @@
 	return true
 }
 
-// calmPart is the part of its rate below which a team is calm: its requests are then within the rate, and where a bucket
-// is empty chance has brought them to one node. A calm team may owe up to one request at each node; of 36 requests a
-// second over 18 nodes with a rate of 52, 3% are refused without that (in the package's test).
-const calmPart = 0.9
+// withinRateFraction is the fraction of its rate below which a team is well within it: an empty bucket then only means
+// that random arrivals were concentrated at one node. Such a team may owe up to one request at each node; without that,
+// 3% of 36 requests a second over 18 nodes with a rate of 52 are refused.
+const withinRateFraction = 0.9
 
-func (a *Apportioner) calm(b *bucket, now clock.Time) bool {
-	return now.Sub(a.start) >= settleTime && 2*len(a.peers) >= a.nodes-1 && b.told+b.others < calmPart*b.rate
+func (a *Apportioner) wellWithinRate(b *bucket, now clock.Time) bool {
+	return now.Sub(a.start) >= settleTime && 2*len(a.peers) >= a.nodes-1 && b.deliveredDemand+b.otherDemand < withinRateFraction*b.rate
 }
 
 // Return gives back the token of a request that did not run.
@@ -352,62 +358,64 @@
 	}
 }
 
-func (b *bucket) decay(now clock.Time) {
-	age := float64(now.Sub(b.measured)) / float64(demandMemory)
+func (b *bucket) decayDemand(now clock.Time) {
+	age := float64(now.Sub(b.decayedAt)) / float64(demandTimeConstant)
 	if age <= 0 {
 		return
 	}
 	b.demand /= 1 + age
-	b.measured = now
+	b.decayedAt = now
 }
 
 func (a *Apportioner) fill(b *bucket, now clock.Time) {
-	span := now.Sub(b.filled)
+	span := now.Sub(b.filledAt)
 	if span <= 0 {
 		return
 	}
-	b.filled = now
-	perSecond := b.rate * a.part(b) * a.overcommitment(b)
+	b.filledAt = now
+	perSecond := b.rate * a.share(b) * a.overcommitment(b)
 	b.tokens = min(a.capacity(b), b.tokens+perSecond*float64(span)/float64(clock.Second))
 }
 
 const (
-	// usedOvercommitment is the part of the tolerated excess by which the parts come to more than the whole where a
-	// team's demand is about its rate. Some buckets are then full while others are empty, and what runs over is lost.
-	usedOvercommitment = 0.5
-	// pressingPart of its rate is the demand from which no bucket is ever full, so that nothing runs over.
-	pressingPart = 1.4
+	// overcommitmentFraction is the fraction of the tolerated excess by which the sum of the shares exceeds the rate of
+	// a team whose demand is about its rate. Some buckets are then full while others are empty, and the tokens that
+	// overflow are lost.
+	overcommitmentFraction = 0.5
+	// saturatingDemandRatio is the ratio of demand to rate above which no bucket is ever full, so that no tokens
+	// overflow.
+	saturatingDemandRatio = 1.4
 )
 
 func (a *Apportioner) overcommitment(b *bucket) float64 {
-	if b.told+b.others > pressingPart*b.rate {
+	if b.deliveredDemand+b.otherDemand > saturatingDemandRatio*b.rate {
 		return 1
 	}
-	return 1 + usedOvercommitment*a.tolerance.Part
+	return 1 + overcommitmentFraction*a.tolerance.Part
 }
 
 func (a *Apportioner) capacity(b *bucket) float64 {
-	extra := usedTolerance * a.tolerance.Excess(b.rate, b.burst)
-	return max(leastCapacity, (b.burst+extra)*a.part(b))
+	extra := bucketToleranceFraction * a.tolerance.Excess(b.rate, b.burst)
+	return max(minCapacity, (b.burst+extra)*a.share(b))
 }
 
-// settleTime is how long after its start a node relies on equal parts: until then it can't know what arrives at it.
+// settleTime is how long after its start a node uses equal shares: until then it does not know its own demand.
 const settleTime = 2 * clock.Second
 
-// part is this node's part of a team's rate. Half or more of the other nodes must have reported; with fewer, a node
-// that knows nothing would take its own demand for all there is.
-func (a *Apportioner) part(b *bucket) float64 {
+// share is this node's quota share of a team's rate. At least half of the other nodes must have reported; with fewer, a
+// node without data would take its own demand for the total.
+func (a *Apportioner) share(b *bucket) float64 {
 	equal := 1 / float64(a.nodes)
-	if b.filled.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
+	if b.filledAt.Sub(a.start) < settleTime || 2*len(a.peers) < a.nodes-1 {
 		return equal
 	}
-	return a.partOf(b, b.told)
+	return a.shareFor(b, b.deliveredDemand)
 }
 
-// partOf is the part of the rate that goes with a demand at one node. Silent nodes have theirs set aside.
-func (a *Apportioner) partOf(b *bucket, demand float64) float64 {
-	shared := min(mostShared*b.rate, max(leastShared*b.rate, b.rate-b.told-b.others))
+// shareFor returns the quota share for a demand at one node. The shares of silent nodes are set aside.
+func (a *Apportioner) shareFor(b *bucket, demand float64) float64 {
+	shared := min(maxSharedFraction*b.rate, max(minSharedFraction*b.rate, b.rate-b.deliveredDemand-b.otherDemand))
 	equal := shared / float64(a.nodes)
-	whole := b.told + b.others - b.silent + equal*float64(max(1, a.nodes-a.silent))
-	return (1 - b.reserved) * (demand + equal) / whole
+	whole := b.deliveredDemand + b.otherDemand - b.silentDemand + equal*float64(max(1, a.nodes-a.silent))
+	return (1 - b.reservedShare) * (demand + equal) / whole
 }
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -56,7 +56,7 @@
 	}
 	c.members[m.Node] = m
 	if m.Node != c.self.Node {
-		c.detector.Know(m.Node, m.Domain)
+		c.detector.SetDomain(m.Node, m.Domain)
 	}
 	if !ok {
 		c.table.MembersChanged()
@@ -141,7 +141,7 @@
 
 func (c *Conductor) peerFailed(e PeerFailed, now clock.Time) {
 	c.exchangeFailed = true
-	c.detector.Doubt(e.Node, now)
+	c.detector.Suspect(e.Node, now)
 	if !e.Sought {
 		c.table.Failed(e.Node, now)
 	}
@@ -150,12 +150,12 @@
 func (c *Conductor) peerAnswered(e PeerAnswered, now clock.Time) {
 	c.table.Answered(e.Node)
 	c.lastExchangeAt, c.exchangeFailed = now, false
-	c.detector.Word(e.Node, now)
+	c.detector.RecordContact(e.Node, now)
 	c.takeReports(c.table.Hear(e.Node, e.Answer), c.members[e.Node], now)
 }
 
 func (c *Conductor) takeReports(reports []exchanger.Report, from exchanger.Member, now clock.Time) {
-	demands := make([]apportioner.Heard, 0, len(reports))
+	demands := make([]apportioner.DemandReport, 0, len(reports))
 	for _, r := range reports {
 		if r.Member.Node == c.self.Node {
 			c.supersedeRecord(r.Member, now)
@@ -166,10 +166,10 @@
 		}
 		c.learnMember(MemberLearned{Member: r.Member}, now)
 		c.learnOtherCold(r, now)
-		c.router.Learn(r.Member.Endpoint, runTimesOf(r))
-		demands = append(demands, apportioner.Heard{Node: r.Member.Node, Demand: r.Demand, Made: now.Add(-r.Age)})
+		c.router.SetRunTimes(r.Member.Endpoint, runTimesOf(r))
+		demands = append(demands, apportioner.DemandReport{Node: r.Member.Node, Demand: r.Demand, MadeAt: now.Add(-r.Age)})
 	}
-	c.apportioner.Hear(demands, now)
+	c.apportioner.AddReports(demands, now)
 }
 
 // silenceCheckPeriod is how often members are checked for missing reports, a tenth of suspectAfter.
@@ -217,7 +217,7 @@
 		NestedTime: c.runTimes.nested.time(),
 		ColdLeft:   c.coldLeft(c.self.Node, now),
 	}
-	c.router.Learn(c.self.Endpoint, runTimesOf(r))
+	c.router.SetRunTimes(c.self.Endpoint, runTimesOf(r))
 	c.table.Put(r, c.self, now)
 	return r
 }
@@ -225,7 +225,7 @@
 // Answer processes another node's question and returns the reports that it has not received yet.
 func (c *Conductor) Answer(q exchanger.Question, now clock.Time) exchanger.Answer {
 	asking := q.Report.Member
-	c.detector.Word(asking.Node, now)
+	c.detector.RecordContact(asking.Node, now)
 	c.takeReports([]exchanger.Report{q.Report}, asking, now)
 	c.takeReports(q.Passed, asking, now)
 	return c.table.Answer(asking.Node, q.Heard, now)
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -24,7 +24,7 @@
 	responded := o == Answered || o == Moved || o == Full || o == Declined || o == Over
 	c.detector.Ended(r.attemptNode, responded, now)
 	if o == Unreached || o == Broken {
-		c.detector.Doubt(r.attemptNode, now)
+		c.detector.Suspect(r.attemptNode, now)
 	}
 	r.attemptNode = ""
 }
--- a/internal/limiter/cold.go
+++ b/internal/limiter/cold.go
@@ -1,8 +1,8 @@
 package limiter
 
-// A cold backend server bears a few calls a second and crashes at many more, however few run at once. So while it is cold,
-// calls are dispatched by a token bucket, and few wait for a token: the others are turned away while they can still be run
-// elsewhere.
+// A cold backend server can run a few calls a second and crashes at many more, even if few run at once. So while it is
+// cold, calls are dispatched by a token bucket and few are queued for a token; the others are shed while they can still
+// be run at another endpoint.
 //
 // Example: 13 calls a second and a burst of 4: the first 4 calls run at once, then one each 77 ms.
 
@@ -12,44 +12,45 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// ColdLimit is the rate that a cold backend server bears.
+// ColdLimit is the rate of calls that a cold backend server can run.
 type ColdLimit struct {
 	// PerSecond is in calls a second, Burst in calls.
 	PerSecond, Burst float64
 }
 
-// coldWait is for how much of the rate calls may wait: a nested call rarely waits longer than this.
-const coldWait = 200 * clock.Millisecond
+// coldQueueWait bounds the queue to the calls that get tokens within it: a nested call rarely waits longer.
+const coldQueueWait = 200 * clock.Millisecond
 
-// cold is the state of a limiter whose backend server is cold.
+// cold is the state of the token bucket for a cold backend server.
 type cold struct {
-	limit    ColdLimit
-	until    clock.Time
-	tokens   float64
-	refilled clock.Time
+	limit      ColdLimit
+	until      clock.Time
+	tokens     float64
+	lastRefill clock.Time
 }
 
 func (c *cold) refill(now clock.Time) {
-	seconds := float64(now.Sub(c.refilled)) / float64(clock.Second)
-	c.refilled = now
+	seconds := float64(now.Sub(c.lastRefill)) / float64(clock.Second)
+	c.lastRefill = now
 	c.tokens = min(c.limit.Burst, c.tokens+seconds*c.limit.PerSecond)
 }
 
-func (c *cold) queue() int {
-	return max(1, int(c.limit.PerSecond*float64(coldWait)/float64(clock.Second)))
+func (c *cold) queueBound() int {
+	return max(1, int(c.limit.PerSecond*float64(coldQueueWait)/float64(clock.Second)))
 }
 
-// SetCold holds calls to a rate until a moment; one that is not later than now ends that.
+// SetCold limits calls to a rate until the given time; a time that is not later than now ends the limit.
 func (l *Limiter) SetCold(limit ColdLimit, until, now clock.Time) {
 	if !l.isCold(now) {
-		l.cold.refilled, l.cold.tokens = now, l.coldTokens(limit, now)
+		l.cold.lastRefill, l.cold.tokens = now, l.initialColdTokens(limit, now)
 	}
 	l.cold.limit, l.cold.until = limit, until
 }
 
-// coldTokens is what is left of a burst after the calls that were dispatched within the last second.
-func (l *Limiter) coldTokens(limit ColdLimit, now clock.Time) float64 {
-	if l.dispatched && now.Sub(l.lastDispatch) < clock.Second {
+// initialColdTokens returns the burst, or none if calls were dispatched within the last second: they count towards the
+// burst.
+func (l *Limiter) initialColdTokens(limit ColdLimit, now clock.Time) float64 {
+	if l.everDispatched && now.Sub(l.lastDispatch) < clock.Second {
 		return 0
 	}
 	return limit.Burst
@@ -59,8 +60,8 @@
 	return now < l.cold.until
 }
 
-// mayStart tells whether a cold backend server bears another call now.
-func (l *Limiter) mayStart(now clock.Time) bool {
+// hasColdToken returns whether a call may be dispatched as far as the cold limit is concerned.
+func (l *Limiter) hasColdToken(now clock.Time) bool {
 	if !l.isCold(now) {
 		return true
 	}
@@ -68,18 +69,18 @@
 	return l.cold.tokens >= 1
 }
 
-// start counts a dispatched call.
-func (l *Limiter) start(now clock.Time) {
-	l.lastDispatch, l.dispatched = now, true
+// countDispatch records a dispatch and takes its token while the backend server is cold.
+func (l *Limiter) countDispatch(now clock.Time) {
+	l.lastDispatch, l.everDispatched = now, true
 	if l.isCold(now) {
 		l.cold.tokens--
 	}
 }
 
-// longestQueue is how many calls may wait.
-func (l *Limiter) longestQueue(now clock.Time) int {
+// maxQueued returns how many calls may be queued.
+func (l *Limiter) maxQueued(now clock.Time) int {
 	if l.isCold(now) {
-		return min(l.options.Queue, l.cold.queue())
+		return min(l.options.Queue, l.cold.queueBound())
 	}
 	return l.options.Queue
 }
@@ -91,9 +92,9 @@
 	return uint8(math.MaxUint8 * min(1, l.cold.tokens/max(1, l.cold.limit.Burst)))
 }
 
-func (l *Limiter) coldDelay() clock.Duration {
+func (l *Limiter) coldQueueDelay() clock.Duration {
 	if l.cold.limit.PerSecond <= 0 {
-		return coldWait
+		return coldQueueWait
 	}
 	seconds := float64(l.queue.len()) / l.cold.limit.PerSecond
 	return clock.Duration(math.Ceil(seconds * float64(clock.Second)))
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,8 +1,8 @@
-// One limiter stands in front of one backend server. It runs calls up to a limit within the announced slots,
-// queues by rank with deadlines, and gives up work that cannot end in time before it costs anything.
+// A limiter controls the calls to one backend server. It runs calls up to a concurrency limit within the announced
+// slots, queues the others by rank with deadlines, and expires calls that cannot end in time before they use a slot.
 //
-// Example: 2 slots, calls ranked 10, 20, 30, 5 offered in this order: 10 and 20 run, 30 and 5 wait, and the
-// first slot that comes free goes to 5.
+// Example: 2 slots, calls ranked 10, 20, 30, 5 offered in this order: 10 and 20 run, 30 and 5 wait, and the first slot
+// that becomes free goes to 5.
 
 package limiter
 
@@ -13,31 +13,31 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Limiter decides on the calls of one backend server; it is not safe for concurrent use.
+// Limiter decides on the calls to one backend server; it is not safe for concurrent use.
 type Limiter struct {
-	options  Options
-	slots    int
-	started  clock.Time
-	draining bool
-	entries  []entry
-	free     []int32
-	index    map[CallID]int32
-	queue    queue
-	inFlight int
-	limit    int
-	service  estimate
-	// slack is the time that offered calls have left.
+	options     Options
+	slots       int
+	started     clock.Time
+	draining    bool
+	entries     []entry
+	free        []int32
+	index       map[CallID]int32
+	queue       queue
+	inFlight    int
+	limit       int
+	serviceTime estimate
+	// slack estimates the time that offered calls have left until their deadlines.
 	slack estimate
 	law   law
-	// lastUrgent is when an urgent call last came.
+	// lastUrgent is when the last urgent call was offered.
 	lastUrgent clock.Time
-	// waiting tells that calls are queued, waitingSince since when without a gap.
+	// waiting is true while calls are queued, and waitingSince is when the queue was last empty.
 	waiting      bool
 	waitingSince clock.Time
 	cold         cold
-	// lastDispatch is when a call was last dispatched, if one was.
-	lastDispatch clock.Time
-	dispatched   bool
+	// lastDispatch is when the last call was dispatched; everDispatched is false before the first one.
+	lastDispatch   clock.Time
+	everDispatched bool
 }
 
 // New returns a limiter whose cold start begins now.
@@ -50,19 +50,19 @@
 		index:      make(map[CallID]int32, o.Slots+o.Queue),
 		queue:      queue{order: o.Order},
 		law:        newLaw(o.Law, float64(o.Slots)),
-		lastUrgent: now.Add(-urgentMemory),
+		lastUrgent: now.Add(-urgentWindow),
 	}
 	l.grow(o.Slots + o.Queue + 1)
-	l.adjust(now)
+	l.updateLimit(now)
 	return l
 }
 
-// Offer takes a call in; the verdicts are for it and for any queued call that it displaced or that expired.
+// Offer takes a call; the verdicts are for it and for queued calls that it displaced or that expired.
 func (l *Limiter) Offer(c Call, now clock.Time, out []Verdict) []Verdict {
 	if l.draining {
 		return append(out, Verdict{c.ID, Shed})
 	}
-	if l.doomed(c, now) {
+	if l.missesDeadline(c, now) {
 		return append(out, Verdict{c.ID, Expire})
 	}
 	if c.Rank.Priority() == identifier.Urgent {
@@ -70,22 +70,22 @@
 	}
 	l.slack.add(float64(c.Deadline.Sub(now)))
 	out = l.Tick(now, out)
-	number := l.take(c)
-	if l.mayRun(c.Rank, now) && l.mayStart(now) && l.queue.len() == 0 {
+	number := l.allocate(c)
+	if l.withinLimit(c.Rank, now) && l.hasColdToken(now) && l.queue.len() == 0 {
 		return l.dispatch(number, now, out)
 	}
 	l.queue.push(number, c)
 	queued := len(out)
 	out = append(out, Verdict{c.ID, Queue})
 	out = l.dispatchAll(now, out)
-	if l.queue.len() > l.longestQueue(now) {
+	if l.queue.len() > l.maxQueued(now) {
 		out = l.shedWorst(out)
 	}
-	return l.settle(c.ID, queued, out)
+	return l.dropQueueVerdict(c.ID, queued, out)
 }
 
-// settle drops the Queue verdict at the given place when a final one for the same call follows it.
-func (l *Limiter) settle(id CallID, queued int, out []Verdict) []Verdict {
+// dropQueueVerdict removes the Queue verdict at the given index if a final verdict for the same call follows it.
+func (l *Limiter) dropQueueVerdict(id CallID, queued int, out []Verdict) []Verdict {
 	for _, v := range out[queued+1:] {
 		if v.ID == id {
 			return append(out[:queued], out[queued+1:]...)
@@ -100,13 +100,13 @@
 	if !ok || !l.entries[number].running {
 		return out
 	}
-	l.measure(now.Sub(l.entries[number].dispatched), o, now)
+	l.measure(now.Sub(l.entries[number].dispatchedAt), o, now)
 	l.inFlight--
 	l.release(number)
 	return l.Tick(now, out)
 }
 
-// Cancel sheds a queued call; a dispatched one keeps its slot until Done.
+// Cancel sheds a queued call; a dispatched call keeps its slot until Done.
 func (l *Limiter) Cancel(id CallID, now clock.Time, out []Verdict) []Verdict {
 	number, ok := l.index[id]
 	if !ok || l.entries[number].running {
@@ -117,7 +117,7 @@
 	return l.Tick(now, out)
 }
 
-// Tick drops what has expired, follows the ramp of a cold start, and dispatches what may run.
+// Tick expires queued calls, advances the ramp of a cold start, and dispatches calls within the limit.
 func (l *Limiter) Tick(now clock.Time, out []Verdict) []Verdict {
 	if l.draining {
 		for l.queue.len() > 0 {
@@ -125,53 +125,53 @@
 		}
 		return out
 	}
-	l.adjust(now)
+	l.updateLimit(now)
 	out = l.expire(now, out)
 	return l.dispatchAll(now, out)
 }
 
-// SetSlots takes a new number of slots over; running calls beyond it finish. Call Tick next.
+// SetSlots sets the number of slots; running calls in excess of it finish. Call Tick next.
 func (l *Limiter) SetSlots(slots int, now clock.Time) {
 	l.slots = max(slots, 1)
 	l.law.setSlots(float64(l.slots))
 	l.grow(l.slots + l.options.Queue + 1)
-	l.adjust(now)
+	l.updateLimit(now)
 }
 
-// overload is the announced load above which a backend server says that it is overloaded. A healthy one that is simply
-// full announces 1; were that a suspicion, each trial would take a quarter of its slots just when all are needed.
-const overload = 1.1
+// overloadThreshold is the reported load above which a backend server is suspected to be overloaded. A healthy server
+// that is full reports 1; if that raised a suspicion, each trial would take a quarter of its slots when all are needed.
+const overloadThreshold = 1.1
 
-// Announced takes the backend server's load figure (1 is full) as a hint. All that it can do is to have the
-// limit tried out sooner; a figure that lies changes no verdict by itself.
-func (l *Limiter) Announced(load float64, now clock.Time) {
+// ReportLoad takes the load that the backend server reports (1 is full) as a hint. A high load only starts the next
+// trial of a lower limit sooner, so a false figure changes no verdict by itself.
+func (l *Limiter) ReportLoad(load float64, now clock.Time) {
 	_ = now
-	if load > overload {
-		l.law.suspect()
+	if load > overloadThreshold {
+		l.law.requestTrial()
 	}
 }
 
-// Drain ends dispatching for good; the next Tick sheds what is queued.
+// Drain stops dispatching permanently; the next Tick sheds the queued calls.
 func (l *Limiter) Drain() {
 	l.draining = true
 }
 
-// InFlight returns how many calls the backend server runs.
+// InFlight returns how many calls the backend server is running.
 func (l *Limiter) InFlight() int {
 	return l.inFlight
 }
 
-// Queued returns how many calls wait.
+// Queued returns how many calls are queued.
 func (l *Limiter) Queued() int {
 	return l.queue.len()
 }
 
-// Limit returns how many calls may run at once now.
+// Limit returns the concurrency limit now.
 func (l *Limiter) Limit() int {
 	return l.limit
 }
 
-// Headroom returns the free part of the limit as answers carry it: 0 is none, 255 all.
+// Headroom returns the free fraction of the limit as answers carry it: 0 is none, 255 all.
 func (l *Limiter) Headroom(now clock.Time) uint8 {
 	if l.isCold(now) && !l.draining {
 		return l.coldHeadroom()
@@ -183,25 +183,25 @@
 	return uint8(math.MaxUint8 * free / l.limit)
 }
 
-// QueueDelay returns how long a call would wait behind all that is queued, by the measured service time.
+// QueueDelay returns how long a call would wait behind all queued calls, by the measured service time.
 func (l *Limiter) QueueDelay(now clock.Time) clock.Duration {
 	if l.isCold(now) {
-		return l.coldDelay()
+		return l.coldQueueDelay()
 	}
-	wait := float64(l.queue.len()) * l.service.mean / float64(l.limit)
+	wait := float64(l.queue.len()) * l.serviceTime.mean / float64(l.limit)
 	return clock.Duration(math.Ceil(wait))
 }
 
 const (
-	// chanceCalls times the square root of the limit is how many calls wait now and then at full but not
-	// excessive load.
-	chanceCalls = 4
-	// slackPart of the time that calls have left may at most go by in the queue.
-	slackPart = 1.0 / 2
+	// burstQueueFactor times the square root of the limit is the number of calls that random arrivals queue from time
+	// to time at full but not excessive load.
+	burstQueueFactor = 4
+	// maxSlackFraction is the largest fraction of the calls' remaining time that the expected delay may use.
+	maxSlackFraction = 1.0 / 2
 )
 
-// ExpectedDelay returns the queueing delay that chance alone causes, which is no sign of overload.
+// ExpectedDelay returns the queueing delay that random arrivals cause without overload.
 func (l *Limiter) ExpectedDelay() clock.Duration {
-	chance := chanceCalls * l.service.mean / math.Sqrt(float64(l.limit))
-	return clock.Duration(min(chance, slackPart*l.slack.mean))
+	chance := burstQueueFactor * l.serviceTime.mean / math.Sqrt(float64(l.limit))
+	return clock.Duration(min(chance, maxSlackFraction*l.slack.mean))
 }
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -1,8 +1,8 @@
-// Queued calls run most important first and are shed least important first, and both orders must agree at
-// every hop, or one hop works on a request that the next one refuses. The keys of the heaps say so in one
-// place.
+// Queued calls are dispatched most important first and shed least important first. All hops must use the same two
+// orders, or one hop works on a request that the next one refuses. So the keys of both orders are defined in this file
+// only.
 //
-// Example: rank 5 offered before rank 3: next() is rank 3, worst() is rank 5, whatever the order of arrival.
+// Example: with RankOldest, rank 5 is queued before rank 3: rank 3 is dispatched first and rank 5 is shed first.
 
 package limiter
 
@@ -14,54 +14,54 @@
 const (
 	sequenceBits = 48
 	sequenceMask = 1<<sequenceBits - 1
-	// dueSequenceBits leave 44 bits for the due time in milliseconds.
+	// dueSequenceBits leaves 44 bits for the due time in milliseconds.
 	dueSequenceBits = 20
 )
 
 type entry struct {
-	call       Call
-	dispatched clock.Time
-	running    bool
+	call         Call
+	dispatchedAt clock.Time
+	running      bool
 }
 
 // queue holds the entries of queued calls in four orders; numbers index into the limiter's entries.
 type queue struct {
-	order    Order
-	sequence uint64
-	best     heap[uint64]
-	worst    heap[uint64]
-	soonest  heap[clock.Time]
-	ranked   heap[uint64]
-	urgent   int
+	order      Order
+	sequence   uint64
+	byDispatch heap[uint64]
+	byShed     heap[uint64]
+	byExpiry   heap[clock.Time]
+	byRank     heap[uint64]
+	urgent     int
 }
 
 func (q *queue) grow(n int) {
-	q.best.grow(n)
-	q.worst.grow(n)
-	q.soonest.grow(n)
-	q.ranked.grow(n)
+	q.byDispatch.grow(n)
+	q.byShed.grow(n)
+	q.byExpiry.grow(n)
+	q.byRank.grow(n)
 }
 
 func (q *queue) len() int {
-	return q.best.len()
+	return q.byDispatch.len()
 }
 
 func (q *queue) push(number int32, c Call) {
 	q.sequence++
-	q.best.push(number, q.dispatchKey(c))
-	q.worst.push(number, q.shedKey(c.Rank))
-	q.soonest.push(number, c.waitsUntil())
-	q.ranked.push(number, uint64(c.Rank)<<sequenceBits|sequenceMask&^q.sequence)
+	q.byDispatch.push(number, q.dispatchKey(c))
+	q.byShed.push(number, q.shedKey(c.Rank))
+	q.byExpiry.push(number, c.queueExpiry())
+	q.byRank.push(number, uint64(c.Rank)<<sequenceBits|sequenceMask&^q.sequence)
 	if c.Rank.Priority() == identifier.Urgent {
 		q.urgent++
 	}
 }
 
 func (q *queue) remove(number int32, c Call) {
-	q.best.remove(number)
-	q.worst.remove(number)
-	q.soonest.remove(number)
-	q.ranked.remove(number)
+	q.byDispatch.remove(number)
+	q.byShed.remove(number)
+	q.byExpiry.remove(number)
+	q.byRank.remove(number)
 	if c.Rank.Priority() == identifier.Urgent {
 		q.urgent--
 	}
@@ -84,7 +84,8 @@
 	}
 }
 
-// shedKey is smallest for the highest rank; among equals the one that would run last goes first.
+// shedKey is smallest for the highest rank, which is the least important; among equal ranks the call that would be
+// dispatched last is shed first.
 func (q *queue) shedKey(r identifier.Rank) uint64 {
 	worst := uint64(identifier.MaxRank-r) << sequenceBits
 	if q.order == RankNewest || q.order == ClassNewest {
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,5 +1,6 @@
-// What users notice of this product on an ordinary day is the time that it adds. It is measured against the same backend
-// servers called directly, in the same run and at the same rate, since no absolute time is stable on a shared machine.
+// On an ordinary day the effect of this product that users notice is its added latency. It is measured against direct
+// calls to the same backend servers, in the same run and at the same rate, since no absolute time is stable on a shared
+// machine.
 //
 // Example: at depth 1 a call goes entry node -> delivery node -> backend server, and directly caller -> backend server;
 // the difference is what two nodes add.
@@ -30,40 +31,40 @@
 	slots    = 400
 	warmUp   = 2 * time.Second
 	deadline = 10 * time.Second
-	// kneeCallers are more than it takes to use all that the machine has.
-	kneeCallers = 64
-	kneeTime    = 3 * time.Second
-	// kneePart is the part of the highest throughput at which latency "at the knee" is taken.
-	kneePart = 0.5
+	// kneeCallers is more callers than it takes to use the whole machine.
+	kneeCallers  = 64
+	kneeDuration = 3 * time.Second
+	// kneeLoadFraction is the fraction of the highest throughput at which latency "at the knee" is measured.
+	kneeLoadFraction = 0.5
 )
 
-// Options say what to measure.
+// Options configure a measurement.
 type Options struct {
 	// Depths are the lengths of the call chains.
 	Depths []int
-	// Rate is in calls entered a second.
+	// Rate is the number of calls a second that enter.
 	Rate float64
-	// Time is how long each load lasts.
+	// Time is the duration of each load.
 	Time time.Duration
 	Seed uint64
 	// Knee also measures at half of the highest throughput of the path through the nodes.
 	Knee bool
 }
 
-// Line is the outcome of one load over both ways.
+// Line is the result of one load on both paths.
 type Line struct {
 	Depth  int
 	Load   string
 	Rate   float64
 	Calls  int
 	Failed int
-	// The times of the direct way and of the way through the nodes, in milliseconds.
+	// The latencies of the direct path and of the path through the nodes, in milliseconds.
 	DirectP50, DirectP99 float64
 	NodesP50, NodesP99   float64
-	// AddedP50 and AddedP99 are the differences for the whole chain, PerHop those of a single call of it.
+	// AddedP50 and AddedP99 are the differences for the whole chain, PerHop those for a single call of it.
 	AddedP50, AddedP99   float64
 	PerHopP50, PerHopP99 float64
-	// Highest is the throughput with as many callers as the machine bears, through the nodes.
+	// Highest is the throughput through the nodes with as many callers as the machine can serve.
 	Highest float64
 }
 
@@ -78,25 +79,25 @@
 }
 
 func runDepth(ctx context.Context, o Options, depth int, report func(Line) error) error {
-	p, err := newPair(ctx, depth, o.Seed)
+	p, err := newChainPair(ctx, depth, o.Seed)
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	if err := p.warm(ctx); err != nil {
+	if err := p.warmUpPaths(ctx); err != nil {
 		return err
 	}
-	if err := report(p.line(ctx, o, "steady", o.Rate)); err != nil || !o.Knee {
+	if err := report(p.measure(ctx, o, "steady", o.Rate)); err != nil || !o.Knee {
 		return err
 	}
-	highest := p.highest(ctx)
-	line := p.line(ctx, o, "knee", highest*kneePart)
-	line.Highest = highest
+	maxThroughput := p.maxThroughput(ctx)
+	line := p.measure(ctx, o, "knee", maxThroughput*kneeLoadFraction)
+	line.Highest = maxThroughput
 	return report(line)
 }
 
-// pair is one chain of services, reachable directly and through nodes.
-type pair struct {
+// chainPair is one chain of services, reachable directly and through nodes.
+type chainPair struct {
 	depth  int
 	seed   uint64
 	fleet  *launcher.Fleet
@@ -106,11 +107,11 @@
 
 func serviceName(i int) string { return fmt.Sprintf("link%d", i) }
 
-// newPair launches the chain; the entry is the last member, whose own service is not part of the chain, so that each
-// call passes two nodes.
-func newPair(ctx context.Context, depth int, seed uint64) (*pair, error) {
-	p := &pair{depth: depth, seed: seed, client: newClient()}
-	f, err := launcher.Start(ctx, launcher.Options{Plan: plan(depth), Seed: seed})
+// newChainPair launches the chain. The entry is the last member, whose own service is not part of the chain, so that
+// each call passes two nodes.
+func newChainPair(ctx context.Context, depth int, seed uint64) (*chainPair, error) {
+	p := &chainPair{depth: depth, seed: seed, client: newClient()}
+	f, err := launcher.Start(ctx, launcher.Options{Plan: buildPlan(depth), Seed: seed})
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +127,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: slots}, Timeout: deadline}
 }
 
-func plan(depth int) launcher.Plan {
+func buildPlan(depth int) launcher.Plan {
 	pl := launcher.Plan{Deployment: "prober", Domains: []string{"alfa"}}
 	preset := definer.Preset{
 		Name:    "prober",
@@ -150,8 +151,8 @@
 	return pl
 }
 
-// listenDirect makes the same chain without nodes, from its end to its start.
-func (p *pair) listenDirect() error {
+// listenDirect starts the same chain without nodes, from its last service to its first.
+func (p *chainPair) listenDirect() error {
 	var next *responder.Server
 	for i := p.depth - 1; i >= 0; i-- {
 		target := next
@@ -172,7 +173,7 @@
 	return nil
 }
 
-func (p *pair) close() {
+func (p *chainPair) close() {
 	for _, s := range p.direct {
 		s.Crash()
 	}
@@ -180,7 +181,7 @@
 	p.client.CloseIdleConnections()
 }
 
-func (p *pair) get(ctx context.Context, target, key string) (string, int) {
+func (p *chainPair) get(ctx context.Context, target, key string) (string, int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, http.NoBody)
 	if err != nil {
 		return "", 0
@@ -200,40 +201,40 @@
 	return string(text), resp.StatusCode
 }
 
-func (p *pair) callDirect(ctx context.Context) bool {
+func (p *chainPair) callDirect(ctx context.Context) bool {
 	_, status := p.get(ctx, "http://"+p.direct[len(p.direct)-1].Address()+"/", "")
 	return status == http.StatusOK
 }
 
-func (p *pair) callNodes(ctx context.Context) bool {
+func (p *chainPair) callThroughNodes(ctx context.Context) bool {
 	entry := p.fleet.Members[len(p.fleet.Members)-1]
 	_, status := p.get(ctx, entry.CallerURL()+"/"+serviceName(0)+"/", p.fleet.Keys[team])
 	return status == http.StatusOK
 }
 
-// warm opens the connections and fills the team's bucket.
-func (p *pair) warm(ctx context.Context) error {
+// warmUpPaths opens the connections and fills the team's bucket.
+func (p *chainPair) warmUpPaths(ctx context.Context) error {
 	end := time.Now().Add(warmUp)
 	for time.Now().Before(end) {
-		p.callNodes(ctx)
+		p.callThroughNodes(ctx)
 		p.callDirect(ctx)
 	}
 	return ctx.Err()
 }
 
-func (p *pair) line(ctx context.Context, o Options, load string, rate float64) Line {
+func (p *chainPair) measure(ctx context.Context, o Options, load string, rate float64) Line {
 	direct := p.load(ctx, rate, o.Time, p.callDirect)
-	nodes := p.load(ctx, rate, o.Time, p.callNodes)
+	nodes := p.load(ctx, rate, o.Time, p.callThroughNodes)
 	l := Line{
 		Depth:     p.depth,
 		Load:      load,
 		Rate:      rate,
 		Calls:     int(nodes.times.TotalCount()),
 		Failed:    int(nodes.failed.Load() + direct.failed.Load()),
-		DirectP50: direct.at(50),
-		DirectP99: direct.at(99),
-		NodesP50:  nodes.at(50),
-		NodesP99:  nodes.at(99),
+		DirectP50: direct.percentile(50),
+		DirectP99: direct.percentile(99),
+		NodesP50:  nodes.percentile(50),
+		NodesP99:  nodes.percentile(99),
 	}
 	l.AddedP50 = l.NodesP50 - l.DirectP50
 	l.AddedP99 = l.NodesP99 - l.DirectP99
@@ -242,31 +243,31 @@
 	return l
 }
 
-type outcome struct {
+type latencies struct {
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
 	failed atomic.Int64
 }
 
-func newOutcome() *outcome {
-	return &outcome{times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func newLatencies() *latencies {
+	return &latencies{times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-func (o *outcome) add(d time.Duration) {
+func (o *latencies) add(d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	// Values beyond the histogram's range are longer than any call may take.
 	_ = o.times.RecordValue(max(1, d.Microseconds()))
 }
 
-func (o *outcome) at(quantile float64) float64 {
+func (o *latencies) percentile(quantile float64) float64 {
 	const microsecondsPerMs = 1000
 	return float64(o.times.ValueAtQuantile(quantile)) / microsecondsPerMs
 }
 
-// load sends calls at random moments, without waiting for answers.
-func (p *pair) load(ctx context.Context, rate float64, d time.Duration, call func(context.Context) bool) *outcome {
-	out := newOutcome()
+// load sends calls at random times without waiting for answers.
+func (p *chainPair) load(ctx context.Context, rate float64, d time.Duration, call func(context.Context) bool) *latencies {
+	out := newLatencies()
 	random := rand.New(rand.NewPCG(p.seed, 7))
 	var group sync.WaitGroup
 	next := time.Now()
@@ -287,25 +288,25 @@
 	return out
 }
 
-// highest is the throughput through the nodes with callers that wait for their answers.
-func (p *pair) highest(ctx context.Context) float64 {
+// maxThroughput returns the throughput through the nodes with callers that each wait for their answers.
+func (p *chainPair) maxThroughput(ctx context.Context) float64 {
 	var done atomic.Int64
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for range kneeCallers {
 		group.Go(func() {
 			for !stop.Load() && ctx.Err() == nil {
-				if p.callNodes(ctx) {
+				if p.callThroughNodes(ctx) {
 					done.Add(1)
 				}
 			}
 		})
 	}
-	time.Sleep(kneeTime / 3)
+	time.Sleep(kneeDuration / 3)
 	before := done.Load()
-	time.Sleep(kneeTime)
+	time.Sleep(kneeDuration)
 	after := done.Load()
 	stop.Store(true)
 	group.Wait()
-	return float64(after-before) / kneeTime.Seconds()
+	return float64(after-before) / kneeDuration.Seconds()
 }
--- a/internal/reducer/backends.go
+++ b/internal/reducer/backends.go
@@ -98,7 +98,7 @@
 		return
 	}
 	b.lastHeartbeat = s.now
-	b.limiter.Announced(float64(e.Load)/fullLoad, s.now)
+	b.limiter.ReportLoad(float64(e.Load)/fullLoad, s.now)
 }
 
 func (s *State) backendLeaving(e *BackendLeaving) {
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -10,15 +10,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// tree is a call to a service with the calls that it makes, each after or beside the others.
-type tree struct {
+// callTree is a call to a service with the nested calls that it makes, in sequence or in parallel.
+type callTree struct {
 	service  int
 	parallel bool
-	nested   []*tree
+	nested   []*callTree
 }
 
-func drawTree(t *rapid.T, depth int) *tree {
-	n := &tree{
+func drawTree(t *rapid.T, depth int) *callTree {
+	n := &callTree{
 		service:  rapid.IntRange(0, 4).Draw(t, "service"),
 		parallel: rapid.Bool().Draw(t, "parallel"),
 	}
@@ -30,23 +30,23 @@
 	return n
 }
 
-func (n *tree) count(into map[int]int) {
+func (n *callTree) count(into map[int]int) {
 	into[n.service]++
 	for _, child := range n.nested {
 		child.count(into)
 	}
 }
 
-// fleet runs trees in which any attempt may be refused, lost before or after it ran, or answered with an error.
-type fleet struct {
+// simulation runs trees in which any attempt may be refused, lost before or after it ran, or answered with an error.
+type simulation struct {
 	random   *rand.Rand
 	faults   float64
 	attempts map[int]int
 	retries  int
 }
 
-// call is one hop: it attempts, and repeats what failed next to it as long as the budget lasts.
-func (f *fleet) call(n *tree, b *Budget, portion uint8) bool {
+// call is one hop: it makes attempts and repeats its own failed ones while the budget lasts.
+func (f *simulation) call(n *callTree, b *Budget, portion uint8) bool {
 	carried := b.Take(portion)
 	for {
 		ok, unused, facts := f.attempt(n, carried)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (f *fleet) attempt(n *tree, carried uint8) (ok bool, unused uint8, facts Attempt) {
+func (f *simulation) attempt(n *callTree, carried uint8) (ok bool, unused uint8, facts Attempt) {
 	f.attempts[n.service]++
 	if f.random.Float64() < f.faults/2 {
 		return false, carried, Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}
@@ -91,13 +91,13 @@
 	}
 }
 
-// Retries at each hop multiply: a slow service at depth four gets 256 attempts for one request, and stays slow
-// after the cause has gone. A user notices an outage that outlasts its trigger.
+// Retries at each hop multiply: a slow service at depth four gets 256 attempts for one request, and stays slow after
+// the cause has gone. The outage outlasts its trigger.
 func TestAttemptsAreBoundedInAnyTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, 3)
 		allowance := uint8(rapid.IntRange(0, 9).Draw(t, "allowance"))
-		f := &fleet{
+		f := &simulation{
 			random:   rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 			faults:   rapid.Float64Range(0, 1).Draw(t, "faults"),
 			attempts: map[int]int{},
@@ -114,24 +114,24 @@
 	})
 }
 
-// A booking that may have run must not run again, and what a deeper hop gave up is not tried again here. A user
-// notices a second booking, or a load that grows with the depth of the chain.
+// A booking that may have run must not run again, and a hop must not repeat what a deeper hop gave up. Otherwise a
+// booking is made twice, or the load grows with the depth of the chain.
 func TestMayRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		attempt Attempt
 		want    bool
 	}{
-		"not sent":                   {Attempt{Phase: NotSent, Reason: Broken}, true},
-		"sent, not idempotent":       {Attempt{Phase: Sent, Reason: Broken}, false},
-		"sent, idempotent":           {Attempt{Phase: Sent, Idempotent: true, Reason: Broken}, true},
-		"refused by one endpoint":    {Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}, true},
-		"refused by a leaving one":   {Attempt{Phase: Answered, NotRun: true, Reason: EndpointLeaving}, true},
-		"refused by the service":     {Attempt{Phase: Answered, NotRun: true, Idempotent: true, Reason: ServiceOverloaded}, false},
-		"error, not idempotent":      {Attempt{Phase: Answered, Reason: ServerError}, false},
-		"error, idempotent":          {Attempt{Phase: Answered, Idempotent: true, Reason: ServerError}, true},
-		"claims not run, but sent":   {Attempt{Phase: Sent, NotRun: true, Reason: Broken}, false},
-		"failed at a deeper hop":     {Attempt{Phase: Answered, Idempotent: true, NotRun: true, Reason: DeeperFailure}, false},
-		"out of time before sending": {Attempt{Phase: NotSent, Idempotent: true, Reason: DeadlineExceeded}, false},
+		"not sent":                         {Attempt{Phase: NotSent, Reason: Broken}, true},
+		"sent, not idempotent":             {Attempt{Phase: Sent, Reason: Broken}, false},
+		"sent, idempotent":                 {Attempt{Phase: Sent, Idempotent: true, Reason: Broken}, true},
+		"refused by one endpoint":          {Attempt{Phase: Answered, NotRun: true, Reason: EndpointFull}, true},
+		"refused by a leaving endpoint":    {Attempt{Phase: Answered, NotRun: true, Reason: EndpointLeaving}, true},
+		"refused by the service":           {Attempt{Phase: Answered, NotRun: true, Idempotent: true, Reason: ServiceOverloaded}, false},
+		"error, not idempotent":            {Attempt{Phase: Answered, Reason: ServerError}, false},
+		"error, idempotent":                {Attempt{Phase: Answered, Idempotent: true, Reason: ServerError}, true},
+		"claims not run, but sent":         {Attempt{Phase: Sent, NotRun: true, Reason: Broken}, false},
+		"failed at a deeper hop":           {Attempt{Phase: Answered, Idempotent: true, NotRun: true, Reason: DeeperFailure}, false},
+		"deadline exceeded before sending": {Attempt{Phase: NotSent, Idempotent: true, Reason: DeadlineExceeded}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, MayRetry(c.attempt), c.want)
@@ -139,16 +139,16 @@
 	}
 }
 
-// When every call fails, every call asks for a retry, and the service gets twice its load just then. A user
-// notices that a short fault becomes a long one.
-func TestDamperHoldsRetriesUnderATenth(t *testing.T) {
+// When every call fails, every call asks for a retry, and the service gets twice its load: a short fault becomes a long
+// one.
+func TestDamperLimitsRetryRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDamper(DamperOptions{})
 		now, first, retries, quiet := clock.Time(0), 0, 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "calls") {
 			gap := rapid.SampledFrom([]clock.Duration{0, 0, 0, 1, 2, 700}).Draw(t, "gap")
 			now = now.Add(gap)
-			d.First("ice", now)
+			d.CountFirst("ice", now)
 			first++
 			for range 20 {
 				if d.Allow("ice", now) {
@@ -161,23 +161,23 @@
 	})
 }
 
-// Each node alone sees few retries of many callers. Only the overloaded service sees them all, and if it could
-// not say so, each node would go on with its tenth.
-func TestHintTurnsRetriesOffAndAges(t *testing.T) {
+// Each node sees few retries of many callers. Only the overloaded service sees all of them; without its hint each node
+// would continue to send its tenth.
+func TestHintBlocksRetriesUntilItExpires(t *testing.T) {
 	d := NewDamper(DamperOptions{})
 	m := &Meter{}
 	for i := range 100 {
-		d.First("ice", 0)
+		d.CountFirst("ice", 0)
 		m.Note(i%4 == 0, 0)
 	}
 	assert.Assert(t, d.Allow("ice", 0))
-	d.Learn("ice", m.Hint(false, 0), 0)
+	d.SetHint("ice", m.Hint(false, 0), 0)
 	assert.Assert(t, !d.Allow("ice", 999))
-	assert.Assert(t, d.Allow("ice", 1000), "the hint has aged")
-	d.Learn("ice", m.Hint(true, 1000), 1000)
+	assert.Assert(t, d.Allow("ice", 1000), "the hint has expired")
+	d.SetHint("ice", m.Hint(true, 1000), 1000)
 	assert.Assert(t, !d.Allow("ice", 1500))
-	d.Learn("ice", m.Hint(false, 10_000), 1600)
-	assert.Assert(t, d.Allow("ice", 1600), "the retries are over")
+	d.SetHint("ice", m.Hint(false, 10_000), 1600)
+	assert.Assert(t, d.Allow("ice", 1600), "the hint is below the blocking value")
 }
 
 func BenchmarkRetryDecision(b *testing.B) {
@@ -185,7 +185,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := clock.Time(i)
-		d.First("ice", now)
+		d.CountFirst("ice", now)
 		budget := NewBudget(3)
 		if MayRetry(Attempt{Phase: NotSent, Reason: Broken}) && d.Allow("ice", now) {
 			budget.Spend()
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// byClass are demands of classes of which each is worth half of the one before.
-func byClass(loads map[int]float64) []Demand {
+// demandsByClass returns one demand for each class, each worth half of the class before it.
+func demandsByClass(loads map[int]float64) []Demand {
 	demands := make([]Demand, Classes)
 	for c := range demands {
 		demands[c] = Demand{Load: loads[c], Worth: math.Exp2(-float64(c))}
@@ -21,20 +21,20 @@
 }
 
 func TestShed(t *testing.T) {
-	mix := byClass(map[int]float64{0: 60, 1: 30, 2: 10})
+	mix := demandsByClass(map[int]float64{0: 60, 1: 30, 2: 10})
 	tests := map[string]struct {
 		class  int
 		excess float64
 		want   float64
 	}{
-		"nothing too much":           {2, 0, 0},
-		"half of the least":          {2, 0.05, 0.5},
-		"the next is spared":         {1, 0.05, 0},
-		"all of the least":           {2, 0.25, 1},
-		"half of the next":           {1, 0.25, 0.5},
-		"the most important last":    {0, 0.4, 0},
-		"and then in part":           {0, 0.7, 0.5},
-		"all of everything but most": {0, 0.95, 55.0 / 60},
+		"no excess":                            {2, 0, 0},
+		"half of the least important":          {2, 0.05, 0.5},
+		"the next class is not refused":        {1, 0.05, 0},
+		"all of the least important":           {2, 0.25, 1},
+		"half of the next class":               {1, 0.25, 0.5},
+		"the most important is refused last":   {0, 0.4, 0},
+		"the most important in part":           {0, 0.7, 0.5},
+		"all but a part of the most important": {0, 0.95, 55.0 / 60},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,14 +43,14 @@
 		})
 	}
 	assert.DeepEqual(t, Shed(nil, 0.5), []float64{})
-	// A class that nobody sends is refused nothing.
+	// A class without load is not refused.
 	assert.Equal(t, Shed([]Demand{{Load: 0, Worth: 1}, {Load: 5, Worth: 2}}, 0.9)[0], 0.0)
-	// Demands of equal worth lose equal parts.
+	// Demands of equal worth are refused in equal parts.
 	assert.DeepEqual(t, Shed([]Demand{{Load: 30, Worth: 1}, {Load: 10, Worth: 1}, {Load: 40, Worth: 2}}, 0.25), []float64{0.5, 0.5, 0})
 }
 
-// Whatever the mix, exactly the excess is refused, and nothing while something that is worth less is let through.
-func TestShedTakesTheExcessInOrder(t *testing.T) {
+// For any demands, exactly the excess is refused, and no demand is refused while one of lower worth is admitted.
+func TestShedRefusesExcessInWorthOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demands []Demand
 		total := 0.0
@@ -59,32 +59,33 @@
 			demands = append(demands, d)
 			total += d.Load
 		}
-		excess := rapid.Float64Range(0, Most).Draw(t, "excess")
+		excess := rapid.Float64Range(0, MaxExcess).Draw(t, "excess")
 		refused := Shed(demands, excess)
 		sum := 0.0
 		for i, d := range demands {
 			sum += refused[i] * d.Load
 			for j, other := range demands {
 				if refused[i] > 0 && other.Worth < d.Worth && other.Load > 0 && refused[j] < 1-1e-9 {
-					t.Fatalf("worth %v loses %v though worth %v loses only %v", d.Worth, refused[i], other.Worth, refused[j])
+					t.Fatalf("worth %v has a refused fraction of %v though worth %v has only %v", d.Worth, refused[i], other.Worth, refused[j])
 				}
 			}
 		}
 		if math.Abs(sum-excess*total) > 1e-6*max(1, total) {
-			t.Fatalf("refused %v of %v, want %v", sum, total, excess*total)
+			t.Fatalf("refused a load of %v of %v, want %v", sum, total, excess*total)
 		}
 	})
 }
 
-// outcome is what became of the demand on a played service, as parts of what could have been served.
+// outcome is the result of a simulation: calls served and expired as fractions of what the service could have served,
+// and the last excess.
 type outcome struct {
 	served, expired, excess float64
 }
 
-// play puts a demand on an endpoint that runs 1000 calls a second and turns away what waits for 200 ms; the excess has
-// its effect after a lag.
-func play(demand func(now clock.Time) float64, lag, from, until clock.Time) outcome {
-	const capacity, patience = 1000.0, 0.2
+// simulate puts a demand on an endpoint that runs 1000 calls a second and expires calls that wait longer than 200 ms;
+// the excess takes effect after a lag.
+func simulate(demand func(now clock.Time) float64, lag, from, until clock.Time) outcome {
+	const capacity, queueTimeoutSeconds = 1000.0, 0.2
 	t := New(0)
 	var history []float64
 	var o outcome
@@ -98,7 +99,7 @@
 		queue += in
 		run := min(queue, capacity/1000)
 		queue -= run
-		expired := max(0, queue-capacity*patience)
+		expired := max(0, queue-capacity*queueTimeoutSeconds)
 		queue -= expired
 		for arriving += in; arriving >= 1; arriving-- {
 			t.Arrived()
@@ -119,7 +120,7 @@
 	return outcome{served: o.served / possible, expired: o.expired / possible, excess: t.Excess()}
 }
 
-func surge(height float64) func(clock.Time) float64 {
+func surgeDemand(height float64) func(clock.Time) float64 {
 	return func(now clock.Time) float64 {
 		if now < 2000 || now > 14000 {
 			return 700
@@ -128,19 +129,19 @@
 	}
 }
 
-// The demand on a service rises beyond what it can take. Without refusals at the root its queue grows until every request
-// in it is too late; with refusals that overshoot, the service stands idle while callers are refused.
-func TestSurgesAreServedAsFarAsTheyFit(t *testing.T) {
+// The demand on a service exceeds its capacity. Without refusals at the root its queue grows until every request in it
+// times out; with refusals that overshoot, the service idles while callers are refused.
+func TestSurgeGoodput(t *testing.T) {
 	tests := map[string]func(clock.Time) float64{
-		"1.3 times": surge(1300),
-		"1.5 times": surge(1500),
-		"2.5 times": surge(2500),
+		"1.3 times": surgeDemand(1300),
+		"1.5 times": surgeDemand(1500),
+		"2.5 times": surgeDemand(2500),
 		"waves":     func(now clock.Time) float64 { return 1200 * (1 + 0.25*math.Sin(float64(now)*2*math.Pi/5000)) },
 	}
 	for name, demand := range tests {
 		for _, lag := range []clock.Time{300, 600} {
 			t.Run(fmt.Sprintf("%s after %d ms", name, lag), func(t *testing.T) {
-				o := play(demand, lag, 0, 20000)
+				o := simulate(demand, lag, 0, 20000)
 				assert.Assert(t, o.served >= 0.94, "%+v", o)
 				assert.Assert(t, o.expired <= 0.08, "%+v", o)
 				t.Logf("%+v", o)
@@ -149,15 +150,15 @@
 	}
 }
 
-// The surge ends; refusing on would waste a service that has room again.
-func TestExcessGoesWhenTheDemandGoes(t *testing.T) {
-	o := play(surge(1800), 450, 14000, 17000)
+// The surge ends. Further refusals would waste a service that has free capacity again.
+func TestExcessEndsWithSurge(t *testing.T) {
+	o := simulate(surgeDemand(1800), 450, 14000, 17000)
 	assert.Equal(t, o.excess, 0.0)
 	assert.Assert(t, o.served >= 0.9, "%+v", o)
 }
 
-// The endpoint was slow and is well again. What it could do then must not bind it for ever.
-func TestRecoveredEndpointIsUsed(t *testing.T) {
+// A slow endpoint recovers. The capacity measured while it was slow must not limit it from then on.
+func TestCapacityEstimateRecovers(t *testing.T) {
 	th := New(0)
 	now := clock.Time(0)
 	second := func(arriving, run, waiting int) {
@@ -182,10 +183,10 @@
 	assert.Assert(t, th.Excess() < 0.1, "%v", th.Excess())
 }
 
-// An endpoint was full once and has had next to nothing to do for a long time; then a surge comes. What it was taken to be able to do in the
-// meantime must not hide the surge.
-func TestSurgeAfterALongCalmIsSeenAtOnce(t *testing.T) {
-	o := play(func(now clock.Time) float64 {
+// An endpoint that was full once is nearly idle for a long time before a surge comes. The capacity estimate that grew
+// in the meantime must not hide the surge.
+func TestSurgeAfterIdlePeriodIsDetected(t *testing.T) {
+	o := simulate(func(now clock.Time) float64 {
 		if now > 3000 && now < 30000 {
 			return 50
 		}
@@ -196,15 +197,15 @@
 	assert.Assert(t, o.expired <= 0.3, "%+v", o)
 }
 
-func TestCalmEndpointHasNoExcess(t *testing.T) {
-	o := play(func(clock.Time) float64 { return 900 }, 450, 0, 10000)
+func TestNoExcessBelowCapacity(t *testing.T) {
+	o := simulate(func(clock.Time) float64 { return 900 }, 450, 0, 10000)
 	assert.Equal(t, o.excess, 0.0)
 	assert.Assert(t, o.served > 0.999)
 }
 
-// pair plays two endpoints of one service; the first runs little, and the load goes to both alike. What the entries refuse is
-// the mean of both. It returns the part of the demand that is refused in the end.
-func pair(demand, slow, fast float64) float64 {
+// simulatePair simulates two endpoints of one service that get equal load; the first has the capacity slow, the second
+// fast. The refused fraction is the mean excess of both. It returns the refused fraction at the end.
+func simulatePair(demand, slow, fast float64) float64 {
 	endpoints := []*Throttler{New(0), New(0)}
 	capacities := []float64{slow, fast}
 	queues, arriving, running := make([]float64, 2), make([]float64, 2), make([]float64, 2)
@@ -235,18 +236,18 @@
 	return refused
 }
 
-// One of two endpoints has become slow. It takes the refusals of the whole service for its own, and what it says of its
-// excess would grow to all of its load: callers are refused though the other endpoint has room.
-func TestSlowEndpointDoesNotTakeTheServiceDown(t *testing.T) {
+// One of two endpoints has become slow. If it took the refused fraction of the whole service for its own, its excess
+// would grow to all of its load, and callers would be refused although the other endpoint has free capacity.
+func TestSlowEndpointDoesNotInflateServiceExcess(t *testing.T) {
 	tests := map[string]struct{ demand, slow, fast, least, most float64 }{
-		"both too slow":      {demand: 2000, slow: 200, fast: 500, least: 0.45, most: 0.7},
-		"the fast one fits":  {demand: 1200, slow: 200, fast: 700, least: 0.25, most: 0.4},
-		"both fit":           {demand: 1000, slow: 600, fast: 900, least: 0, most: 0},
-		"one hardly answers": {demand: 1600, slow: 20, fast: 800, least: 0.4, most: 0.55},
+		"both overloaded":       {demand: 2000, slow: 200, fast: 500, least: 0.45, most: 0.7},
+		"fast one has capacity": {demand: 1200, slow: 200, fast: 700, least: 0.25, most: 0.4},
+		"both have capacity":    {demand: 1000, slow: 600, fast: 900, least: 0, most: 0},
+		"one nearly stopped":    {demand: 1600, slow: 20, fast: 800, least: 0.4, most: 0.55},
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := pair(c.demand, c.slow, c.fast)
+			got := simulatePair(c.demand, c.slow, c.fast)
 			t.Logf("%.2f refused", got)
 			assert.Assert(t, got >= c.least && got <= c.most, "%.2f refused", got)
 		})
