--- a/internal/conductor/cold_test.go
+++ b/internal/conductor/cold_test.go
@@ -35,7 +35,7 @@
 // ownRecord is the node's record from before its start.
 func ownRecord() exchanger.Member {
 	return exchanger.Member{
-		Node: "self", Deliver: "d", Peer: "p", Service: "desk", Endpoint: "i-1", Slots: 45, State: exchanger.Ready, Sequence: 7,
+		Node: "self", DeliveryAddress: "d", PeerAddress: "p", Service: "desk", Endpoint: "i-1", Slots: 45, State: exchanger.Ready, Sequence: 7,
 	}
 }
 
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -219,7 +219,7 @@
 	case Ticked:
 		c.tick(now)
 	case Woken:
-		c.table.Elapse(e.After)
+		c.table.AddElapsed(e.After)
 	case BoundsChanged:
 		c.options.Bounds = e.Bounds
 	case StopAsked:
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -114,7 +114,7 @@
 
 func (w *fleetWorld) member(i int) exchanger.Member {
 	return exchanger.Member{
-		Node: identifier.Node(fmt.Sprintf("n%d", i)), Deliver: fmt.Sprint(i), Peer: "p", Domain: w.domainOf(i),
+		Node: identifier.Node(fmt.Sprintf("n%d", i)), DeliveryAddress: fmt.Sprint(i), PeerAddress: "p", Domain: w.domainOf(i),
 		Service: "portal", Incarnation: int64(w.now) + 1,
 	}
 }
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -143,15 +143,15 @@
 	c.unanswered = true
 	c.detector.Doubt(e.Node, now)
 	if !e.Sought {
-		c.table.Failed(e.Node, now)
+		c.table.RecordFailure(e.Node, now)
 	}
 }
 
 func (c *Conductor) peerAnswered(e PeerAnswered, now clock.Time) {
-	c.table.Answered(e.Node)
+	c.table.RecordAnswer(e.Node)
 	c.answered, c.unanswered = now, false
 	c.detector.Word(e.Node, now)
-	c.takeReports(c.table.Hear(e.Node, e.Answer), c.members[e.Node], now)
+	c.takeReports(c.table.AcceptAnswer(e.Node, e.Answer), c.members[e.Node], now)
 }
 
 func (c *Conductor) takeReports(reports []exchanger.Report, from exchanger.Member, now clock.Time) {
@@ -226,8 +226,8 @@
 	asking := q.Report.Member
 	c.detector.Word(asking.Node, now)
 	c.takeReports([]exchanger.Report{q.Report}, asking, now)
-	c.takeReports(q.Passed, asking, now)
-	return c.table.Answer(asking.Node, q.Heard, now)
+	c.takeReports(q.Forwarded, asking, now)
+	return c.table.Answer(asking.Node, q.Since, now)
 }
 
 // CollectsForFleet tells whether this node is the fleet's collector, which has nobody to ask itself, as far as it knows.
@@ -237,7 +237,7 @@
 
 // CollectsForDomain tells whether this node is its failure domain's collector of reports, as far as it knows.
 func (c *Conductor) CollectsForDomain(now clock.Time) bool {
-	return c.table.Collects(c.members, now)
+	return c.table.IsCollector(c.members, now)
 }
 
 const (
@@ -277,13 +277,13 @@
 func (c *Conductor) Ask(now clock.Time) (Asking, bool) {
 	own := c.Report(now)
 	if node := c.table.Next(c.members, now); node != c.self.Node {
-		return Asking{Member: c.members[node], Question: c.table.Ask(c.members[node], own, now)}, true
+		return Asking{Member: c.members[node], Question: c.table.QuestionFor(c.members[node], own, now)}, true
 	}
-	node, ok := c.table.Missing(c.members, now)
+	node, ok := c.table.NextMissing(c.members, now)
 	if !ok {
 		return Asking{}, false
 	}
-	return Asking{Member: c.members[node], Question: c.table.Seek(c.members[node], own), Seeks: true}, true
+	return Asking{Member: c.members[node], Question: c.table.QuestionWithoutReports(c.members[node], own), Seeks: true}, true
 }
 
 // coveredByReports is how long an exchange shows that reports bring every change of the members: three periods.
--- a/internal/conductor/placing.go
+++ b/internal/conductor/placing.go
@@ -100,7 +100,7 @@
 	c.emit(Send{
 		ID:            r.id,
 		Local:         local,
-		Address:       member.Deliver,
+		Address:       member.DeliveryAddress,
 		Node:          endpoint.Node,
 		Endpoint:      endpoint.ID,
 		Service:       r.service,
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -65,7 +65,7 @@
 	c.emit(Draw{
 		ID:      r.id,
 		Node:    holder.Node,
-		Address: holder.Peer,
+		Address: holder.PeerAddress,
 		Team:    team,
 		Back:    c.pooler.TakeUnused(team),
 		Crosses: holder.Domain != c.self.Domain,
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -32,16 +32,16 @@
 // probe has the nodes probed that owe a word.
 func (c *Conductor) probe(now clock.Time) {
 	for _, node := range c.detector.Tick(now) {
-		c.emit(Probe{Node: node, Address: c.members[node].Deliver})
+		c.emit(Probe{Node: node, Address: c.members[node].DeliveryAddress})
 	}
 }
 
 func (c *Conductor) probeEnded(e Probed, now clock.Time) {
 	if e.Reached && c.detector.Lost(e.Node) {
-		c.table.Answered(e.Node)
+		c.table.RecordAnswer(e.Node)
 	}
 	for _, node := range c.detector.Probed(e.Node, e.Reached, now) {
-		c.table.Failed(node, now)
+		c.table.RecordFailure(node, now)
 		if m := c.members[node]; m.Endpoint != "" && m.State != exchanger.Absent {
 			c.route(m, now, true)
 		}
--- a/internal/conductor/world_test.go
+++ b/internal/conductor/world_test.go
@@ -19,7 +19,7 @@
 func newConductor(service identifier.Service) *Conductor {
 	return New(Options{
 		Self: exchanger.Member{
-			Node: "self", Deliver: "10.0.0.1:1", Peer: "10.0.0.1:2", Domain: "west", Service: service, Incarnation: 1,
+			Node: "self", DeliveryAddress: "10.0.0.1:1", PeerAddress: "10.0.0.1:2", Domain: "west", Service: service, Incarnation: 1,
 		},
 		Bounds: Bounds{
 			Revoke: 5000, InForce: 2000, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10000,
@@ -56,7 +56,7 @@
 
 func peer(node identifier.Node, service identifier.Service) exchanger.Member {
 	return exchanger.Member{
-		Node: node, Deliver: "10.0.0.9:1", Peer: "10.0.0.9:2", Domain: "west", Service: service,
+		Node: node, DeliveryAddress: "10.0.0.9:1", PeerAddress: "10.0.0.9:2", Domain: "west", Service: service,
 		Endpoint: identifier.Endpoint("i-" + node), Slots: 10, State: exchanger.Ready, Incarnation: 1, Sequence: 1,
 	}
 }
--- a/internal/exchanger/codec.go
+++ b/internal/exchanger/codec.go
@@ -14,17 +14,17 @@
 )
 
 type wireMember struct {
-	Node        string `cbor:"1,keyasint"`
-	Deliver     string `cbor:"2,keyasint"`
-	Peer        string `cbor:"3,keyasint"`
-	Domain      string `cbor:"4,keyasint"`
-	Service     string `cbor:"5,keyasint"`
-	Endpoint    string `cbor:"6,keyasint,omitempty"`
-	Slots       int    `cbor:"7,keyasint,omitempty"`
-	State       uint8  `cbor:"8,keyasint,omitempty"`
-	ColdLeft    int64  `cbor:"9,keyasint,omitempty"`
-	Incarnation int64  `cbor:"10,keyasint"`
-	Sequence    int64  `cbor:"11,keyasint"`
+	Node            string `cbor:"1,keyasint"`
+	DeliveryAddress string `cbor:"2,keyasint"`
+	PeerAddress     string `cbor:"3,keyasint"`
+	Domain          string `cbor:"4,keyasint"`
+	Service         string `cbor:"5,keyasint"`
+	Endpoint        string `cbor:"6,keyasint,omitempty"`
+	Slots           int    `cbor:"7,keyasint,omitempty"`
+	State           uint8  `cbor:"8,keyasint,omitempty"`
+	ColdLeft        int64  `cbor:"9,keyasint,omitempty"`
+	Incarnation     int64  `cbor:"10,keyasint"`
+	Sequence        int64  `cbor:"11,keyasint"`
 }
 
 type wireReport struct {
@@ -46,10 +46,10 @@
 type wireCalls map[string]map[string]float32
 
 type wireQuestion struct {
-	Report wireReport   `cbor:"1,keyasint"`
-	Table  uint64       `cbor:"2,keyasint,omitempty"`
-	Change uint64       `cbor:"3,keyasint,omitempty"`
-	Passed []wireReport `cbor:"4,keyasint,omitempty"`
+	Report    wireReport   `cbor:"1,keyasint"`
+	Table     uint64       `cbor:"2,keyasint,omitempty"`
+	Change    uint64       `cbor:"3,keyasint,omitempty"`
+	Forwarded []wireReport `cbor:"4,keyasint,omitempty"`
 }
 
 type wireAnswer struct {
@@ -74,9 +74,9 @@
 
 // EncodeQuestion returns the bytes of a question.
 func EncodeQuestion(q Question) ([]byte, error) {
-	w := wireQuestion{Report: reportToWire(q.Report), Table: q.Heard.Table, Change: q.Heard.Change}
-	for _, r := range q.Passed {
-		w.Passed = append(w.Passed, reportToWire(r))
+	w := wireQuestion{Report: reportToWire(q.Report), Table: q.Since.Table, Change: q.Since.Change}
+	for _, r := range q.Forwarded {
+		w.Forwarded = append(w.Forwarded, reportToWire(r))
 	}
 	return cbor.Marshal(w)
 }
@@ -87,23 +87,23 @@
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return Question{}, fmt.Errorf("decode question: %w", err)
 	}
-	q := Question{Heard: Cursor{Table: w.Table, Change: w.Change}}
+	q := Question{Since: Cursor{Table: w.Table, Change: w.Change}}
 	var err error
-	if q.Report, err = wholeReportFromWire(w.Report); err != nil {
+	if q.Report, err = fullReportFromWire(w.Report); err != nil {
 		return Question{}, err
 	}
-	for _, wire := range w.Passed {
-		r, err := wholeReportFromWire(wire)
+	for _, wire := range w.Forwarded {
+		r, err := fullReportFromWire(wire)
 		if err != nil {
 			return Question{}, err
 		}
-		q.Passed = append(q.Passed, r)
+		q.Forwarded = append(q.Forwarded, r)
 	}
 	return q, nil
 }
 
-// wholeReportFromWire reads a report that has to hold the member's record.
-func wholeReportFromWire(w wireReport) (Report, error) {
+// fullReportFromWire reads a report that has to hold the member's record.
+func fullReportFromWire(w wireReport) (Report, error) {
 	r, err := reportFromWire(w)
 	if err == nil && r.Compact {
 		err = fmt.Errorf("decode question of %q: the member is missing", r.Member.Node)
@@ -186,39 +186,39 @@
 
 func memberToWire(m Member) wireMember {
 	return wireMember{
-		Node:        string(m.Node),
-		Deliver:     m.Deliver,
-		Peer:        m.Peer,
-		Domain:      string(m.Domain),
-		Service:     string(m.Service),
-		Endpoint:    string(m.Endpoint),
-		Slots:       m.Slots,
-		State:       uint8(m.State),
-		ColdLeft:    int64(m.ColdLeft),
-		Incarnation: m.Incarnation,
-		Sequence:    m.Sequence,
+		Node:            string(m.Node),
+		DeliveryAddress: m.DeliveryAddress,
+		PeerAddress:     m.PeerAddress,
+		Domain:          string(m.Domain),
+		Service:         string(m.Service),
+		Endpoint:        string(m.Endpoint),
+		Slots:           m.Slots,
+		State:           uint8(m.State),
+		ColdLeft:        int64(m.ColdLeft),
+		Incarnation:     m.Incarnation,
+		Sequence:        m.Sequence,
 	}
 }
 
 func memberFromWire(w wireMember) (Member, error) {
-	if w.Node == "" || w.Deliver == "" || w.Peer == "" {
+	if w.Node == "" || w.DeliveryAddress == "" || w.PeerAddress == "" {
 		return Member{}, fmt.Errorf("decode member %q: a name or an address is missing", w.Node)
 	}
 	if w.State > uint8(Stopping) {
 		return Member{}, fmt.Errorf("decode member %q: unknown state %d", w.Node, w.State)
 	}
 	return Member{
-		Node:        identifier.Node(w.Node),
-		Deliver:     w.Deliver,
-		Peer:        w.Peer,
-		Domain:      identifier.FailureDomain(w.Domain),
-		Service:     identifier.Service(w.Service),
-		Endpoint:    identifier.Endpoint(w.Endpoint),
-		Slots:       max(0, w.Slots),
-		State:       State(w.State),
-		ColdLeft:    clock.Duration(max(0, w.ColdLeft)),
-		Incarnation: w.Incarnation,
-		Sequence:    w.Sequence,
+		Node:            identifier.Node(w.Node),
+		DeliveryAddress: w.DeliveryAddress,
+		PeerAddress:     w.PeerAddress,
+		Domain:          identifier.FailureDomain(w.Domain),
+		Service:         identifier.Service(w.Service),
+		Endpoint:        identifier.Endpoint(w.Endpoint),
+		Slots:           max(0, w.Slots),
+		State:           State(w.State),
+		ColdLeft:        clock.Duration(max(0, w.ColdLeft)),
+		Incarnation:     w.Incarnation,
+		Sequence:        w.Sequence,
 	}, nil
 }
 
--- a/internal/exchanger/compatibility_test.go
+++ b/internal/exchanger/compatibility_test.go
@@ -15,7 +15,7 @@
 // version would be misread. The file holds what the first version with this test encoded.
 func TestEncodedReportsStayTheSame(t *testing.T) {
 	member := Member{
-		Node: "portal-1", Deliver: "10.0.0.1:7400", Peer: "10.0.0.1:7401", Domain: "north", Service: "portal", Endpoint: "i-1",
+		Node: "portal-1", DeliveryAddress: "10.0.0.1:7400", PeerAddress: "10.0.0.1:7401", Domain: "north", Service: "portal", Endpoint: "i-1",
 		Slots: 45, State: Stopping, ColdLeft: 2500, Incarnation: 7, Sequence: 9,
 	}
 	report := Report{
@@ -27,7 +27,7 @@
 	compact.Compact, compact.Member = true, Member{Node: "portal-2"}
 	record, err := EncodeMember(member)
 	assert.NilError(t, err)
-	question, err := EncodeQuestion(Question{Report: report, Heard: Cursor{Table: 11, Change: 12}, Passed: []Report{report}})
+	question, err := EncodeQuestion(Question{Report: report, Since: Cursor{Table: 11, Change: 12}, Forwarded: []Report{report}})
 	assert.NilError(t, err)
 	answer, err := EncodeAnswer(Answer{Cursor: Cursor{Table: 13, Change: 14}, Reports: []Report{report, compact}})
 	assert.NilError(t, err)
--- a/internal/exchanger/next_bench_test.go
+++ b/internal/exchanger/next_bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkNext measures which node to ask among 195: 3.8 us, 40.6 us with the names sorted each time.
 func BenchmarkNext(b *testing.B) {
 	f := newFleetOf(195, 6)
-	f.play(0, 2000, anywhere)
+	f.runRounds(0, 2000, allReachable)
 	table := f.tables["n150"]
 	for b.Loop() {
 		table.Next(f.members, clock.Time(2000))
--- a/internal/exchanger/table_test.go
+++ b/internal/exchanger/table_test.go
@@ -12,7 +12,7 @@
 )
 
 func member(node identifier.Node) Member {
-	return Member{Node: node, Deliver: "10.0.0.1:1", Peer: "10.0.0.1:2", Domain: "west", Service: "portal", Incarnation: 5}
+	return Member{Node: node, DeliveryAddress: "10.0.0.1:1", PeerAddress: "10.0.0.1:2", Domain: "west", Service: "portal", Incarnation: 5}
 }
 
 func TestNewerReportsReplaceOlderOnes(t *testing.T) {
@@ -29,7 +29,7 @@
 
 // A report that has come a long way round is as old as when it was made. Counted from its arrival, a node that died
 // would look alive for as long as others pass its last report on.
-func TestAgeCountsFromTheMaking(t *testing.T) {
+func TestAgeCountsFromReportCreation(t *testing.T) {
 	table := NewTable("a", "west", 1)
 	table.Put(Report{Member: member("b"), Number: 1, Age: 3000}, member("b"), 10000)
 	age, ok := table.Age("b", 10500)
@@ -41,56 +41,56 @@
 
 // Some nodes are suspended, among them the one that all ask, and wake together. Its last reports look new to it and to
 // them, since their clocks stood still, and they would go on hearing only of each other.
-func TestWokenNodeLooksForOthers(t *testing.T) {
+func TestResumedNodeSearchesForPeers(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b"), "c": member("c")}
 	table := NewTable("a", "west", 1)
 	table.Put(Report{Member: member("b"), Number: 1}, member("b"), 1000)
 	assert.Equal(t, table.Next(members, 1000), identifier.Node("a"))
-	table.Elapse(3000)
+	table.AddElapsed(3000)
 	assert.Assert(t, table.Next(members, 1000) != "a")
 	age, _ := table.Age("b", 1000)
 	assert.Equal(t, age, clock.Duration(3000))
 }
 
 // The node that everybody asks dies. Nodes that kept asking it would know nothing of each other until it is back.
-func TestNextPassesOverFailedNodes(t *testing.T) {
+func TestNextSkipsFailedNodes(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b"), "c": member("c")}
 	table := NewTable("c", "west", 1)
 	assert.Equal(t, table.Next(members, 0), identifier.Node("a"))
-	table.Failed("a", 0)
+	table.RecordFailure("a", 0)
 	assert.Equal(t, table.Next(members, 10), identifier.Node("b"))
-	table.Failed("b", 10)
+	table.RecordFailure("b", 10)
 	assert.Equal(t, table.Next(members, 20), identifier.Node("c"))
 	assert.Equal(t, table.Next(members, clock.Time(minBackoff)+1), identifier.Node("a"))
 	// Among nodes that are heard of, a failed one is passed over as well, and this node may be the first.
 	table.Put(Report{Member: member("a"), Number: 1}, member("a"), 4000)
 	table.Put(Report{Member: member("b"), Number: 1}, member("b"), 4000)
 	assert.Equal(t, table.Next(members, 4001), identifier.Node("a"))
-	table.Failed("a", 4001)
+	table.RecordFailure("a", 4001)
 	assert.Equal(t, table.Next(members, 4002), identifier.Node("b"))
-	table.Failed("b", 4002)
+	table.RecordFailure("b", 4002)
 	assert.Equal(t, table.Next(members, 4003), identifier.Node("c"))
 }
 
-func TestReportsSurviveTheirCodec(t *testing.T) {
+func TestReportsRoundTripThroughCodec(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Report{
 			Member: Member{
-				Node:        identifier.Node(rapid.StringN(1, 20, 20).Draw(t, "node")),
-				Deliver:     "10.0.0.1:1",
-				Peer:        "10.0.0.1:2",
-				Endpoint:    identifier.Endpoint(rapid.String().Draw(t, "endpoint")),
-				Slots:       rapid.IntRange(0, 1000).Draw(t, "slots"),
-				State:       State(rapid.IntRange(0, 2).Draw(t, "state")),
-				Incarnation: rapid.Int64().Draw(t, "incarnation"),
-				Sequence:    rapid.Int64().Draw(t, "sequence"),
+				Node:            identifier.Node(rapid.StringN(1, 20, 20).Draw(t, "node")),
+				DeliveryAddress: "10.0.0.1:1",
+				PeerAddress:     "10.0.0.1:2",
+				Endpoint:        identifier.Endpoint(rapid.String().Draw(t, "endpoint")),
+				Slots:           rapid.IntRange(0, 1000).Draw(t, "slots"),
+				State:           State(rapid.IntRange(0, 2).Draw(t, "state")),
+				Incarnation:     rapid.Int64().Draw(t, "incarnation"),
+				Sequence:        rapid.Int64().Draw(t, "sequence"),
 			},
 			Number: rapid.Int64().Draw(t, "number"),
 			Excess: 0.5, Load: 40, NestedTime: 12, RootTime: 7,
 			Demand: map[identifier.Team]float64{"parish": 2.5},
 			Calls:  map[identifier.Route]map[identifier.Route]float64{"order": {"hours": 4}, "": {}},
 		}
-		question := Question{Report: in, Heard: Cursor{Table: 7, Change: rapid.Uint64().Draw(t, "change")}}
+		question := Question{Report: in, Since: Cursor{Table: 7, Change: rapid.Uint64().Draw(t, "change")}}
 		data, err := EncodeQuestion(question)
 		assert.NilError(t, err)
 		asked, err := DecodeQuestion(data)
@@ -98,7 +98,7 @@
 		assert.DeepEqual(t, asked, question)
 		brief := in
 		brief.Compact, brief.Member = true, Member{Node: in.Member.Node}
-		answer := Answer{Cursor: question.Heard, Reports: []Report{in, brief}}
+		answer := Answer{Cursor: question.Since, Reports: []Report{in, brief}}
 		data, err = EncodeAnswer(answer)
 		assert.NilError(t, err)
 		out, err := DecodeAnswer(data)
@@ -119,7 +119,7 @@
 	f.Add([]byte{0x9f})
 	f.Add(good[:len(good)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if q, err := DecodeQuestion(data); err == nil && (q.Report.Compact || q.Report.Member.Deliver == "") {
+		if q, err := DecodeQuestion(data); err == nil && (q.Report.Compact || q.Report.Member.DeliveryAddress == "") {
 			t.Fatalf("taken: %+v", q)
 		}
 		answer, err := DecodeAnswer(data)
@@ -127,24 +127,24 @@
 			return
 		}
 		for _, r := range answer.Reports {
-			if r.Member.Node == "" || !r.Compact && r.Member.Deliver == "" || r.Age < 0 || r.Excess < 0 || r.Excess > 1 {
+			if r.Member.Node == "" || !r.Compact && r.Member.DeliveryAddress == "" || r.Age < 0 || r.Excess < 0 || r.Excess > 1 {
 				t.Fatalf("taken: %+v", r)
 			}
 		}
 	})
 }
 
-// bundle is what a table of many nodes tells a node that has heard up to a cursor.
-func bundle(t testing.TB, table *Table, heard Cursor, now clock.Time) (Answer, int) {
+// answerAndSize is what a table of many nodes tells a node that has heard up to a cursor.
+func answerAndSize(t testing.TB, table *Table, since Cursor, now clock.Time) (Answer, int) {
 	t.Helper()
-	a := table.Answer("n00", heard, now)
+	a := table.Answer("n00", since, now)
 	data, err := EncodeAnswer(a)
 	assert.NilError(t, err)
 	return a, len(data)
 }
 
-// tell has many nodes report, each with the demand of some teams.
-func tell(table *Table, nodes int, number int64, now clock.Time) {
+// putReports has many nodes report, each with the demand of some teams.
+func putReports(table *Table, nodes int, number int64, now clock.Time) {
 	for i := range nodes {
 		m := member(identifier.Node(fmt.Sprintf("n%02d", i)))
 		m.Endpoint = "i-0123456789"
@@ -159,50 +159,50 @@
 // A fleet of 88 nodes is quiet. Every node asks twice a second for what is new, and pays for each byte that crosses between
 // failure domains. Whole bundles have 11.7 kB here, in brief 6.6 kB; with the demands of 87 teams they had 82 kB, and cost
 // more than all requests did.
-func TestKnownNodesAreToldInBrief(t *testing.T) {
+func TestReportsOfKnownMembersAreCompact(t *testing.T) {
 	table := NewTable("n50", "west", 1)
-	tell(table, 88, 1, 1000)
-	first, whole := bundle(t, table, Cursor{}, 1000)
+	putReports(table, 88, 1, 1000)
+	first, whole := answerAndSize(t, table, Cursor{}, 1000)
 	assert.Equal(t, len(first.Reports), 87)
-	tell(table, 88, 2, 1500)
-	second, brief := bundle(t, table, first.Cursor, 1500)
+	putReports(table, 88, 2, 1500)
+	second, brief := answerAndSize(t, table, first.Cursor, 1500)
 	assert.Equal(t, len(second.Reports), 87)
 	t.Logf("%d bytes at first, %d then", whole, brief)
 	assert.Assert(t, brief < whole*7/10, "%d bytes of %d", brief, whole)
-	none, empty := bundle(t, table, second.Cursor, 1600)
+	none, empty := answerAndSize(t, table, second.Cursor, 1600)
 	assert.Equal(t, len(none.Reports), 0)
 	assert.Assert(t, empty < 32)
 }
 
 // The node that is asked was started anew, or the asking one has dropped a member: cursors and records of before say
 // nothing then. Taken for known, a node's state would be missing for as long as it does not change.
-func TestBriefReportsNeedARecord(t *testing.T) {
+func TestCompactReportsNeedAKnownMember(t *testing.T) {
 	asked, asking := NewTable("a", "west", 1), NewTable("n00", "west", 2)
-	tell(asked, 3, 1, 1000)
-	reports := asking.Hear("a", asked.Answer("n00", asking.Ask(member("a"), Report{}, 0).Heard, 1000))
+	putReports(asked, 3, 1, 1000)
+	reports := asking.AcceptAnswer("a", asked.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 1000))
 	assert.Equal(t, len(reports), 2)
 	for _, r := range reports {
 		asking.Put(r, member("a"), 1000)
 	}
 	asking.Drop("n01")
-	tell(asked, 3, 2, 1500)
-	reports = asking.Hear("a", asked.Answer("n00", asking.Ask(member("a"), Report{}, 0).Heard, 1500))
+	putReports(asked, 3, 2, 1500)
+	reports = asking.AcceptAnswer("a", asked.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 1500))
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].Member.Endpoint, identifier.Endpoint("i-0123456789"))
 	// Asked again for everything, it tells of all.
-	reports = asking.Hear("a", asked.Answer("n00", asking.Ask(member("a"), Report{}, 0).Heard, 1600))
+	reports = asking.AcceptAnswer("a", asked.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 1600))
 	assert.Equal(t, len(reports), 2)
 	again := NewTable("a", "west", 3)
-	tell(again, 3, 3, 2000)
-	reports = asking.Hear("a", again.Answer("n00", asking.Ask(member("a"), Report{}, 0).Heard, 2000))
+	putReports(again, 3, 3, 2000)
+	reports = asking.AcceptAnswer("a", again.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 2000))
 	assert.Equal(t, len(reports), 2)
-	assert.Assert(t, !reports[0].Compact && reports[0].Member.Deliver != "")
+	assert.Assert(t, !reports[0].Compact && reports[0].Member.DeliveryAddress != "")
 }
 
 // A failure domain with many nodes is cut off, and its nodes come first by name. Whoever asks them one after the other must
 // get past them before the first is asked again, or the rest of the fleet never hears of itself: rates and refusals
 // would stand still for as long as the cut lasts.
-func TestManyDeadNodesArePassedOver(t *testing.T) {
+func TestNextSkipsManyDeadNodes(t *testing.T) {
 	members := map[identifier.Node]Member{"z-self": member("z-self"), "y-alive": member("y-alive")}
 	for i := range 20 {
 		name := identifier.Node(fmt.Sprintf("a-%02d", i))
@@ -216,7 +216,7 @@
 		if node == "y-alive" {
 			break
 		}
-		table.Failed(node, now)
+		table.RecordFailure(node, now)
 		now += 400
 	}
 	table.Put(Report{Member: member("y-alive"), Number: 1}, member("y-alive"), now)
@@ -224,10 +224,10 @@
 }
 
 // A node that answers again is asked as before.
-func TestAnsweredNodeIsNotAvoided(t *testing.T) {
+func TestAnswerClearsBackoff(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b")}
 	table := NewTable("b", "west", 1)
-	table.Failed("a", 0)
-	table.Answered("a")
+	table.RecordFailure("a", 0)
+	table.RecordAnswer("a")
 	assert.Equal(t, table.Next(members, 1), identifier.Node("a"))
 }
--- a/internal/exchanger/types.go
+++ b/internal/exchanger/types.go
@@ -27,11 +27,11 @@
 // Member is a node and the endpoint beside it.
 type Member struct {
 	Node identifier.Node
-	// Deliver is the address for requests to the endpoint, Peer the one for reports.
-	Deliver string
-	Peer    string
-	Domain  identifier.FailureDomain
-	Service identifier.Service
+	// DeliveryAddress is the address for requests to the endpoint, Peer the one for reports.
+	DeliveryAddress string
+	PeerAddress     string
+	Domain          identifier.FailureDomain
+	Service         identifier.Service
 
 	Endpoint identifier.Endpoint
 	Slots    int
@@ -60,9 +60,9 @@
 
 // Question is a node's own report, those that it passes on, and what it has heard so far from the node that it asks.
 type Question struct {
-	Report Report
-	Passed []Report
-	Heard  Cursor
+	Report    Report
+	Forwarded []Report
+	Since     Cursor
 }
 
 // Answer is what the asking node has not heard yet.
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -126,12 +126,12 @@
 	s := o.Settings
 	return conductor.New(conductor.Options{
 		Self: exchanger.Member{
-			Node:        s.Name,
-			Deliver:     s.Listen.Inbound.String(),
-			Peer:        s.Listen.Peer.String(),
-			Domain:      s.Domain,
-			Service:     s.Service,
-			Incarnation: int64(c.Wall()),
+			Node:            s.Name,
+			DeliveryAddress: s.Listen.Inbound.String(),
+			PeerAddress:     s.Listen.Peer.String(),
+			Domain:          s.Domain,
+			Service:         s.Service,
+			Incarnation:     int64(c.Wall()),
 		},
 		Bounds:          boundsOf(s.Bounds),
 		EndpointAddress: s.Endpoint.String(),
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -108,7 +108,7 @@
 		return exchanger.Answer{}, nil, err
 	}
 	asked := clock.Boot{}.Now()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member.Peer+"/reports", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member.PeerAddress+"/reports", bytes.NewReader(body))
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
--- a/internal/mesher/relay.go
+++ b/internal/mesher/relay.go
@@ -140,7 +140,7 @@
 ) (watcher.Batch, error) {
 	batch := watcher.Batch{End: from, Relayed: true}
 	query := url.Values{"from": {strconv.FormatInt(int64(from), 10)}, waitParameter: {strconv.FormatInt(int64(wait), 10)}}
-	address := "http://" + source.Peer + ordersPath + "?" + query.Encode()
+	address := "http://" + source.PeerAddress + ordersPath + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return batch, err
--- a/internal/relayer/handover_test.go
+++ b/internal/relayer/handover_test.go
@@ -127,7 +127,7 @@
 		out := &requester.Request{Method: http.MethodPost, URI: "/obs/1", Host: "h.example", Header: http.Header{}}
 		out.Body, out.Length = held.reader()
 		a := entry.ask(context.Background(), conductor.Send{
-			Address: beside.member.Deliver, Endpoint: "i-beside", Team: "parish", RateUnchecked: true, Crossing: router.NoneNear,
+			Address: beside.member.DeliveryAddress, Endpoint: "i-beside", Team: "parish", RateUnchecked: true, Crossing: router.NoneNear,
 			Deadline: entry.options.Clock.Now().Add(clock.Second), QueueTimeout: 100,
 		}, out, held)
 		a.finish(true)
--- a/internal/relayer/harness_test.go
+++ b/internal/relayer/harness_test.go
@@ -85,7 +85,7 @@
 	t.Cleanup(n.outbound.Close)
 	k := conductor.New(conductor.Options{
 		Self: exchanger.Member{
-			Node: identifier.Node(name), Deliver: strings.TrimPrefix(n.inbound.URL, "http://"), Peer: "127.0.0.1:1",
+			Node: identifier.Node(name), DeliveryAddress: strings.TrimPrefix(n.inbound.URL, "http://"), PeerAddress: "127.0.0.1:1",
 			Domain: "west", Service: service, Incarnation: 1,
 		},
 		Bounds:          conductor.Bounds{Revoke: 5 * clock.Second, InForce: 2 * clock.Second, RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10 * clock.Second},
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -361,7 +361,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	dead := beside.member
-	dead.Node, dead.Endpoint, dead.Deliver = "dead", "i-dead", l.Addr().String()
+	dead.Node, dead.Endpoint, dead.DeliveryAddress = "dead", "i-dead", l.Addr().String()
 	assert.NilError(t, l.Close())
 	meetAs(entry, dead)
 	for range 10 {
@@ -417,7 +417,7 @@
 		questions.Add(1)
 		beside.ServeTokens(w, r)
 	}))
-	beside.member.Peer = strings.TrimPrefix(peers.URL, "http://")
+	beside.member.PeerAddress = strings.TrimPrefix(peers.URL, "http://")
 	beside.member.Sequence++
 	meetAs(entry, beside.member)
 	meetAs(beside, entry.member)
@@ -510,6 +510,6 @@
 func TestProbe(t *testing.T) {
 	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
 	entry.Tell(conductor.Probed{Node: "beside"})
-	entry.probe(conductor.Probe{Node: "beside", Address: beside.member.Deliver})
+	entry.probe(conductor.Probe{Node: "beside", Address: beside.member.DeliveryAddress})
 	entry.View(func(c *conductor.Conductor, _ clock.Time) { assert.Assert(t, !c.Lost("beside")) })
 }
