--- a/internal/exchanger/codec.go
+++ b/internal/exchanger/codec.go
@@ -1,8 +1,9 @@
 package exchanger
 
-// Reports travel twice a second from every node and back in bundles, so their fields are numbered, not named.
+// Every node sends reports twice a second and gets back those of many others, so fields are encoded with integer keys in
+// place of names to keep messages small.
 //
-// Example: EncodeQuestion(Question{Report: Report{Member: m, Excess: 0.4}}) gives a CBOR map with a map in it.
+// Example: EncodeQuestion(Question{Report: Report{Member: m, Excess: 0.4}}) gives a CBOR map with a nested map.
 
 import (
 	"fmt"
@@ -36,13 +37,13 @@
 	Calls  wireCalls          `cbor:"6,keyasint,omitempty"`
 	Nested int64              `cbor:"7,keyasint,omitempty"`
 	Load   float32            `cbor:"8,keyasint,omitempty"`
-	// Node stands in place of a member whose record the other side has.
+	// Node replaces Member when the receiver already has the member's record.
 	Node string `cbor:"9,keyasint,omitempty"`
 	Root int64  `cbor:"10,keyasint,omitempty"`
 	Cold int64  `cbor:"11,keyasint,omitempty"`
 }
 
-// wireCalls holds calls by the run's route and the call's.
+// wireCalls holds the number of calls by the run's route and the call's route.
 type wireCalls map[string]map[string]float32
 
 type wireQuestion struct {
@@ -58,12 +59,12 @@
 	Reports []wireReport `cbor:"3,keyasint"`
 }
 
-// EncodeMember returns a member's record.
+// EncodeMember encodes a member's record.
 func EncodeMember(m Member) ([]byte, error) {
 	return cbor.Marshal(memberToWire(m))
 }
 
-// DecodeMember reads a member's record.
+// DecodeMember decodes a member's record.
 func DecodeMember(data []byte) (Member, error) {
 	var w wireMember
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -72,7 +73,7 @@
 	return memberFromWire(w)
 }
 
-// EncodeQuestion returns the bytes of a question.
+// EncodeQuestion encodes a question.
 func EncodeQuestion(q Question) ([]byte, error) {
 	w := wireQuestion{Report: reportToWire(q.Report), Table: q.Since.Table, Change: q.Since.Change}
 	for _, r := range q.Forwarded {
@@ -81,7 +82,7 @@
 	return cbor.Marshal(w)
 }
 
-// DecodeQuestion reads a question.
+// DecodeQuestion decodes a question; its reports must hold full member records.
 func DecodeQuestion(data []byte) (Question, error) {
 	var w wireQuestion
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -102,7 +103,7 @@
 	return q, nil
 }
 
-// fullReportFromWire reads a report that has to hold the member's record.
+// fullReportFromWire decodes a report that must hold the member's record.
 func fullReportFromWire(w wireReport) (Report, error) {
 	r, err := reportFromWire(w)
 	if err == nil && r.Compact {
@@ -111,7 +112,7 @@
 	return r, err
 }
 
-// EncodeAnswer returns the bytes of an answer.
+// EncodeAnswer encodes an answer.
 func EncodeAnswer(a Answer) ([]byte, error) {
 	w := wireAnswer{Table: a.Cursor.Table, Change: a.Cursor.Change, Reports: make([]wireReport, 0, len(a.Reports))}
 	for _, r := range a.Reports {
@@ -120,7 +121,7 @@
 	return cbor.Marshal(w)
 }
 
-// DecodeAnswer reads an answer; a report that is faulty fails all of it.
+// DecodeAnswer decodes an answer; one invalid report makes it reject the whole answer.
 func DecodeAnswer(data []byte) (Answer, error) {
 	var w wireAnswer
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -233,7 +234,7 @@
 func fromFloats[K ~string](from map[string]float32) map[K]float64 {
 	to := make(map[K]float64, len(from))
 	for key, value := range from {
-		// A figure that is no number would spread into every sum it takes part in.
+		// The comparison drops NaN too, which would otherwise turn every sum that includes it into NaN.
 		if value >= 0 {
 			to[K(key)] = float64(value)
 		}
--- a/internal/exchanger/compatibility_test.go
+++ b/internal/exchanger/compatibility_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Guards against a field whose encoding changes: members' records in the store and reports of nodes that run another
-// version would be misread. The file holds what the first version with this test encoded.
+// Guards against changes of a field's encoding: member records in the store and reports of nodes that run another version
+// would be misread. The file holds the reference encoding.
 func TestEncodedReportsStayTheSame(t *testing.T) {
 	member := Member{
 		Node: "portal-1", DeliveryAddress: "10.0.0.1:7400", PeerAddress: "10.0.0.1:7401", Domain: "north", Service: "portal", Endpoint: "i-1",
--- a/internal/exchanger/doc.go
+++ b/internal/exchanger/doc.go
@@ -1,2 +1,2 @@
-// Package exchanger spreads what each node reports of itself by way of one node that all of them ask.
+// Package exchanger distributes the nodes' load and state reports through one collector node per failure domain.
 package exchanger
--- a/internal/exchanger/fleet_test.go
+++ b/internal/exchanger/fleet_test.go
@@ -12,12 +12,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// fleet is some nodes that exchange reports every 500 ms, unless they are cut off from each other.
+// fleet simulates nodes that exchange reports every 500 ms with the nodes that they can reach.
 type fleet struct {
 	members map[identifier.Node]Member
 	tables  map[identifier.Node]*Table
 	number  int64
-	// answeredExchanges and crossed are how many exchanges each node answered, and how many of all crossed domains.
+	// answeredExchanges counts the exchanges that each node answered, crossDomainExchanges those between domains.
 	answeredExchanges    map[identifier.Node]int
 	crossDomainExchanges int
 }
@@ -49,14 +49,14 @@
 	}
 }
 
-// runRounds runs rounds of 500 ms from one moment to another.
+// runRounds runs a round every 500 ms between two times.
 func (f *fleet) runRounds(from, to clock.Time, reachable func(a, b identifier.Node) bool) {
 	for now := from; now < to; now += 500 {
 		f.round(now, reachable)
 	}
 }
 
-// oldestReportAge returns the age of the oldest report that any node has of another one that lives.
+// oldestReportAge returns the age of the oldest report that any node holds of another living node.
 func (f *fleet) oldestReportAge(now clock.Time) (oldest clock.Duration) {
 	for _, table := range f.tables {
 		for other := range f.tables {
@@ -115,9 +115,9 @@
 	}
 }
 
-// All nodes start anew while a part of them can't reach the rest, as when a failure domain is cut off and the power fails.
-// Each part finds a node to ask, and when the cut is over each still asks that one. The parts then know nothing of each
-// other's load: half of the entry nodes sends on to a service that drowns, and callers get errors until somebody
+// All nodes restart while one part of them can't reach the rest, as after a power failure during a network partition.
+// Each part picks a collector and keeps it after the partition has healed. The parts then lack each other's load
+// reports: half of the entry nodes keeps sending to an overloaded service, and callers get errors until an operator
 // restarts the nodes.
 func TestPartitionsMergeAfterRestart(t *testing.T) {
 	f := newFleet(12)
@@ -131,12 +131,13 @@
 	}
 	for node, table := range f.tables {
 		for other := range f.members {
-			assert.Assert(t, table.isFresh(other, 14000), "%s knows nothing new of %s", node, other)
+			assert.Assert(t, table.isFresh(other, 14000), "%s has no fresh report of %s, expected one after the partition healed", node, other)
 		}
 	}
 }
 
-// Machines that are gone leave their records. The node that is asked looks for them in turn; the others ask it as before.
+// Machines that are gone leave their records in the store. The fleet's collector probes members without a fresh report in
+// rotation, so that one dead member does not keep it from reaching the others.
 func TestNextMissingRotates(t *testing.T) {
 	f := newFleet(4)
 	table := f.tables["n000"]
@@ -154,23 +155,24 @@
 	assert.Assert(t, !ok)
 }
 
-// A fleet of 200 nodes must not load one node and the links between domains with every node's exchange.
+// Guards against all 200 nodes of a fleet exchanging reports with one node, which would load it and the links between
+// domains: only the domain collectors may exchange across domains.
 func TestMostExchangesStayInTheirFailureDomain(t *testing.T) {
 	f := newFleetOf(200, 6)
 	f.runRounds(0, 5000, allReachable)
-	assert.Assert(t, f.oldestReportAge(5000) <= 2000, "%d ms", f.oldestReportAge(5000))
+	assert.Assert(t, f.oldestReportAge(5000) <= 2000, "oldest report is %d ms old, expected at most 2000 ms", f.oldestReportAge(5000))
 	clear(f.answeredExchanges)
 	f.crossDomainExchanges = 0
 	f.runRounds(5000, 10_000, allReachable)
 	const rounds = 10
 	assert.Equal(t, f.crossDomainExchanges, 5*rounds)
 	for node, n := range f.answeredExchanges {
-		assert.Assert(t, n <= rounds*(200/6+1+5), "%s answers %d exchanges", node, n)
+		assert.Assert(t, n <= rounds*(200/6+1+5), "%s answers %d exchanges, expected only those of its domain and of the other collectors", node, n)
 	}
-	assert.Assert(t, f.oldestReportAge(10_000) <= 2000, "%d ms", f.oldestReportAge(10_000))
+	assert.Assert(t, f.oldestReportAge(10_000) <= 2000, "oldest report is %d ms old, expected at most 2000 ms", f.oldestReportAge(10_000))
 }
 
-// Losing a collector, or the fleet's one, must not leave the others without news of each other.
+// The crash of a domain's collector or of the fleet's must not leave the other nodes with old reports of each other.
 func TestCollectorCrashKeepsReportsFresh(t *testing.T) {
 	for name, lost := range map[string][]identifier.Node{
 		"a domain's":                 {"n034"},
@@ -185,13 +187,14 @@
 			}
 			for now := clock.Time(5000); now < 15_000; now += 500 {
 				f.round(now, allReachable)
-				assert.Assert(t, f.oldestReportAge(now) <= 2000, "%d ms at %d", f.oldestReportAge(now), now)
+				assert.Assert(t, f.oldestReportAge(now) <= 2000, "oldest report is %d ms old at %d ms, expected at most 2000 ms", f.oldestReportAge(now), now)
 			}
 		})
 	}
 }
 
-// A failure domain that is cut off must keep hearing of itself, and hear of all others soon after the cut.
+// Nodes of a partitioned failure domain must keep exchanging reports with each other, and must have fresh reports of all
+// others soon after the partition heals.
 func TestPartitionedFailureDomainRecovers(t *testing.T) {
 	for name, cut := range map[string]identifier.FailureDomain{"the first": "domain-0", "another": "domain-3"} {
 		t.Run(name, func(t *testing.T) {
@@ -204,16 +207,17 @@
 			for node, table := range f.tables {
 				for other := range f.tables {
 					age, _ := table.Age(other, 65_000)
-					assert.Assert(t, !apart(node, other) || age <= 2000, "%s hears of %s %d ms late", node, other, age)
+					assert.Assert(t, !apart(node, other) || age <= 2000, "%s has a report of %s that is %d ms old, expected at most 2000 ms", node, other, age)
 				}
 			}
 			f.runRounds(65_000, 70_000, allReachable)
-			assert.Assert(t, f.oldestReportAge(70_000) <= 2000, "%d ms", f.oldestReportAge(70_000))
+			assert.Assert(t, f.oldestReportAge(70_000) <= 2000, "oldest report is %d ms old, expected at most 2000 ms", f.oldestReportAge(70_000))
 		})
 	}
 }
 
-// The collector is started anew with an empty table: its domain's nodes must be heard of elsewhere as before.
+// A collector restarts with an empty table. Nodes that sent it only the delta since its last answer would leave it, and
+// so the other domains, without their reports.
 func TestRestartedCollectorsReceiveAllReports(t *testing.T) {
 	f := newFleetOf(60, 6)
 	f.runRounds(0, 5000, allReachable)
@@ -224,5 +228,5 @@
 		f.tables[node] = NewTable(node, m.Domain, 1000)
 	}
 	f.runRounds(5000, 8000, allReachable)
-	assert.Assert(t, f.oldestReportAge(8000) <= 2000, "%d ms", f.oldestReportAge(8000))
+	assert.Assert(t, f.oldestReportAge(8000) <= 2000, "oldest report is %d ms old, expected at most 2000 ms", f.oldestReportAge(8000))
 }
--- a/internal/exchanger/next_bench_test.go
+++ b/internal/exchanger/next_bench_test.go
@@ -6,7 +6,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// BenchmarkNext measures which node to ask among 195: 3.8 us, 40.6 us with the names sorted each time.
+// BenchmarkNext measures the choice of the node to ask among 195, with the cached member names.
 func BenchmarkNext(b *testing.B) {
 	f := newFleetOf(195, 6)
 	f.runRounds(0, 2000, allReachable)
--- a/internal/exchanger/table.go
+++ b/internal/exchanger/table.go
@@ -1,16 +1,17 @@
 package exchanger
 
-// Reports are collected in two steps, without anything being agreed on. Within a failure domain all nodes exchange reports
-// with the same one, the first by name that answers: the domain's collector. Collectors exchange with the first of them by
-// name, the fleet's collector. With n nodes in d domains that are n exchanges a period, of which d - 1 cross domains. If two
-// nodes are asked by different parts of the fleet, each part knows less for a moment, and a later report replaces an earlier
-// one wherever they meet. So that they do meet, the fleet's collector looks for members that nobody reports of.
+// Reports are collected in two levels, without any agreement protocol. Within a failure domain all nodes exchange reports
+// with the same node, the first by name that answers: the domain's collector. Domain collectors exchange reports with the
+// first of them by name, the fleet's collector. With n nodes in d domains that makes n exchanges per period, of which d - 1
+// cross domains. If parts of the fleet use different collectors, each part lacks the other's reports until the collectors
+// exchange theirs; a newer report always replaces an older one. To make sure that they do, the fleet's collector probes
+// members without a fresh report.
 //
-// A node that asks says up to where it has heard, and gets only what changed since; of members whose record is the
-// same, only what they report. Whole bundles would grow with the square of the fleet.
+// A question holds the asking node's cursor, and the answer holds only the delta since then; reports of members whose
+// record has not changed are compact. Sending all reports every time would make traffic grow with the square of the fleet.
 //
-// Example: a and b are in the domain west, c and d in east. b asks a, d asks c, and c asks a, to which it passes on what
-// d reports. When a gives no answer, b and c ask the next one, and a again after a while.
+// Example: a and b are in the domain west, c and d in east. b asks a, d asks c, and c asks a and forwards d's report to
+// it. When a does not answer, b and c ask the next node by name, and retry a after a backoff.
 
 import (
 	"iter"
@@ -22,14 +23,14 @@
 )
 
 const (
-	// minBackoff is how long a node that gave no answer is not asked again: a restart takes one to three seconds. Each
-	// further failure doubles that up to maxBackoff. With a fixed time, a node would ask the dead again before it is
-	// through with them as soon as there are some ten, such as the nodes of a failure domain that is cut off.
+	// minBackoff is how long a node is not asked again after its first failure: a restart takes one to three seconds. Each
+	// further failure doubles the backoff up to maxBackoff. With a fixed backoff and about ten dead nodes, such as those of
+	// a partitioned failure domain, the first would be asked again before a living one is reached.
 	minBackoff = 3 * clock.Second
 	maxBackoff = 30 * clock.Second
-	// maxFreshAge is the age up to which a report shows that its node is there: five periods of the reports.
+	// maxFreshAge is the age up to which a report counts as proof that its node is alive: five report periods.
 	maxFreshAge = 2500 * clock.Millisecond
-	// maxReportAge is the age from which a report is not passed on.
+	// maxReportAge is the age above which a report is neither used nor forwarded.
 	maxReportAge = 10 * clock.Second
 )
 
@@ -38,23 +39,23 @@
 	self    identifier.Node
 	domain  identifier.FailureDomain
 	reports map[identifier.Node]heldReport
-	// sortedNodes holds the nodes with reports, sorted, so that what is summed up from them does not hang on a map's order.
+	// sortedNodes holds the nodes with reports, sorted, so that sums over the reports do not depend on map iteration order.
 	sortedNodes []identifier.Node
 	backoffs    map[identifier.Node]backoff
-	// memberNames are the members' names, sorted; nil when they have to be sorted anew.
+	// memberNames caches the members' names, sorted; nil when the cache is invalid.
 	memberNames []identifier.Node
-	// lastSought is the member that was last looked for.
+	// lastSought is the member that NextMissing returned last.
 	lastSought identifier.Node
-	// cursor is this table's, heard what other tables' cursors were when they last answered.
+	// cursor is this table's own; receivedCursors holds the other tables' cursors as of their last answers.
 	cursor          Cursor
 	receivedCursors map[identifier.Node]Cursor
-	// sentCursors is up to which of its own changes this table has told other nodes, by their tables; asked is up to which it
-	// does so with the question under way.
+	// sentCursors holds, by node, the receiver's table and the last change of this table that it has been sent;
+	// pendingChanges holds the last change that the question in flight covers.
 	sentCursors    map[identifier.Node]Cursor
 	pendingChanges map[identifier.Node]uint64
 }
 
-// backoff is until when a node is not asked, and how long that was set for.
+// backoff is the time until which a node is not asked, and the duration of that backoff.
 type backoff struct {
 	until clock.Time
 	span  clock.Duration
@@ -62,16 +63,16 @@
 
 type heldReport struct {
 	report Report
-	// madeAt is when the report was made, by this node's clock.
+	// madeAt is when the report was created, by this node's clock.
 	madeAt clock.Time
-	// reportChange is the table's change that brought the report, member the one that brought the member's record.
+	// reportChange is the table's change that stored the report, memberChange the one that stored the member's record.
 	reportChange, memberChange uint64
-	// source is the node that told of it, and remote tells that it was one of another failure domain.
+	// source is the node that sent the report; fromOtherDomain means that it belongs to another failure domain.
 	source          identifier.Node
 	fromOtherDomain bool
 }
 
-// NewTable returns an empty table; id tells it from the tables that the node had before it was started anew.
+// NewTable returns an empty table; id distinguishes it from the tables of the node's earlier runs.
 func NewTable(self identifier.Node, domain identifier.FailureDomain, id uint64) *Table {
 	return &Table{
 		self:            self,
@@ -85,7 +86,7 @@
 	}
 }
 
-// Put takes over a report that a member told of if it is newer than what is held.
+// Put stores a report received from the source if it is newer than the stored one, and reports whether it did.
 func (t *Table) Put(r Report, source Member, now clock.Time) bool {
 	h, ok := t.reports[r.Member.Node]
 	if ok && !r.Newer(h.report) {
@@ -111,13 +112,13 @@
 	return true
 }
 
-// QuestionWithoutReports returns the question for a member of which nothing is known.
+// QuestionWithoutReports returns a question that forwards no reports, for a member without a fresh report.
 func (t *Table) QuestionWithoutReports(target Member, own Report) Question {
 	t.pendingChanges[target.Node] = t.sentCursors[target.Node].Change
 	return Question{Report: own, Since: t.receivedCursors[target.Node]}
 }
 
-// QuestionFor returns the question for a member, with the reports that it lacks as far as is known here.
+// QuestionFor returns the question for a member, with the reports that it has not been sent yet.
 func (t *Table) QuestionFor(target Member, own Report, now clock.Time) Question {
 	q := t.QuestionWithoutReports(target, own)
 	sent := t.sentCursors[target.Node]
@@ -134,8 +135,9 @@
 	return q
 }
 
-// isForwardedTo tells whether a report is passed on with a question. To another failure domain all are, and within the own one
-// those that its collector may not have: what a node told itself, and what came from another domain.
+// isForwardedTo reports whether a question to the target forwards the report. Reports of all nodes are forwarded to another
+// failure domain; within the own domain only those that its collector may lack: reports received from the reporting node
+// itself or from another domain.
 func (h heldReport) isForwardedTo(asked Member, domain identifier.FailureDomain) bool {
 	if h.source == asked.Node || h.report.Member.Node == asked.Node {
 		return false
@@ -143,7 +145,8 @@
 	return asked.Domain != domain || h.fromOtherDomain || h.source == h.report.Member.Node
 }
 
-// Answer returns what a node has not heard yet, itself and what it told left out.
+// Answer returns the reports changed since the asking node's cursor, without the node's own report and, unless the cursor
+// is reset, without those that came from the node.
 func (t *Table) Answer(asker identifier.Node, since Cursor, now clock.Time) Answer {
 	if since.Table != t.cursor.Table {
 		since.Change = 0
@@ -163,14 +166,14 @@
 	return a
 }
 
-// AcceptAnswer completes a node's answer by the records that are held here. If one is missing, the node is asked for everything
-// next time.
+// AcceptAnswer updates the node's cursors and returns its reports, with compact ones expanded from the stored member
+// records. If a record is missing, the cursor is reset, so that the next answer holds all reports.
 func (t *Table) AcceptAnswer(node identifier.Node, a Answer) []Report {
 	reports := make([]Report, 0, len(a.Reports))
 	before := t.receivedCursors[node]
 	t.sentCursors[node] = Cursor{Table: a.Cursor.Table, Change: t.pendingChanges[node]}
 	if before.Table != 0 && before.Table != a.Cursor.Table {
-		// The node was started anew and has got only what was new.
+		// The node has restarted with an empty table, and the question held only the changes since its last answer.
 		t.sentCursors[node] = Cursor{}
 	}
 	t.receivedCursors[node] = a.Cursor
@@ -188,7 +191,7 @@
 	return reports
 }
 
-// AddElapsed ages all reports by a time that this node's clock did not count.
+// AddElapsed ages all reports by a time span that this node's clock did not count, such as a suspension.
 func (t *Table) AddElapsed(span clock.Duration) {
 	for node, h := range t.reports {
 		h.madeAt = h.madeAt.Add(-span)
@@ -202,7 +205,7 @@
 	return now.Sub(h.madeAt), ok
 }
 
-// All gives all reports that are not too old, with their ages, in the order of their nodes.
+// All iterates over the reports up to maxReportAge, with their ages, in the order of their nodes' names.
 func (t *Table) All(now clock.Time) iter.Seq[Report] {
 	return func(yield func(Report) bool) {
 		for _, node := range t.sortedNodes {
@@ -220,12 +223,12 @@
 	}
 }
 
-// Reports returns what All gives.
+// Reports returns the reports of All as a slice.
 func (t *Table) Reports(now clock.Time) []Report {
 	return slices.Collect(t.All(now))
 }
 
-// Drop forgets a node.
+// Drop removes a node's report.
 func (t *Table) Drop(node identifier.Node) {
 	if _, ok := t.reports[node]; !ok {
 		return
@@ -235,12 +238,12 @@
 	t.sortedNodes = slices.Delete(t.sortedNodes, place, place+1)
 }
 
-// Len returns of how many nodes there are reports, old ones included.
+// Len returns the number of nodes with a report, old reports included.
 func (t *Table) Len() int {
 	return len(t.sortedNodes)
 }
 
-// RecordFailure notes that a node gave no answer.
+// RecordFailure starts or doubles the backoff of a node that did not answer.
 func (t *Table) RecordFailure(node identifier.Node, now clock.Time) {
 	b := t.backoffs[node]
 	b.span = min(maxBackoff, max(minBackoff, 2*b.span))
@@ -248,15 +251,15 @@
 	t.backoffs[node] = b
 }
 
-// RecordAnswer notes that a node gave an answer.
+// RecordAnswer clears the backoff of a node that answered.
 func (t *Table) RecordAnswer(node identifier.Node) {
 	delete(t.backoffs, node)
 }
 
-// Next returns the node to ask, which may be this one: the first by name in the own failure domain of those whose reports
-// are fresh and that have not failed lately, and for that one the first of all domains. A node that hears nobody goes
-// through all others, those of its domain and with the fewest failures first. The store keeps the records of machines
-// that are gone, and those must not come first for ever.
+// Next returns the node to ask, which may be this one. It is the first by name in the own failure domain with a fresh
+// report and no current backoff; for that node itself it is the first such node of all domains. A node without any fresh
+// report of another tries all others in turn, nodes of its own domain and with the shortest backoff first: the store keeps
+// the records of machines that are gone, and by name alone these could always come first.
 func (t *Table) Next(members map[identifier.Node]Member, now clock.Time) identifier.Node {
 	names := t.sortedMemberNames(members)
 	if !t.hasFreshPeer(members, now) {
@@ -278,17 +281,17 @@
 	return t.self
 }
 
-// isAvailable tells whether a node may be asked: this one, or one that is heard of and has not failed lately.
+// isAvailable reports whether a node may be asked: this node, or one with a fresh report and no current backoff.
 func (t *Table) isAvailable(node identifier.Node, now clock.Time) bool {
 	return node == t.self || now >= t.backoffs[node].until && t.isFresh(node, now)
 }
 
-// MembersChanged tells that a member came or went.
+// MembersChanged invalidates the cached member names after a member was added or removed.
 func (t *Table) MembersChanged() {
 	t.memberNames = nil
 }
 
-// sortedMemberNames returns the members' names. They are needed dozens of times a second, and change rarely.
+// sortedMemberNames returns the members' names, cached because they are needed dozens of times a second and change rarely.
 func (t *Table) sortedMemberNames(members map[identifier.Node]Member) []identifier.Node {
 	if len(t.memberNames) != len(members) {
 		t.memberNames = slices.Sorted(maps.Keys(members))
@@ -296,15 +299,15 @@
 	return t.memberNames
 }
 
-// IsCollector tells whether this node is its failure domain's collector, as far as it knows.
+// IsCollector reports whether this node is its failure domain's collector, by its own view of the fleet.
 func (t *Table) IsCollector(members map[identifier.Node]Member, now clock.Time) bool {
 	next := t.Next(members, now)
 	return next == t.self || members[next].Domain != t.domain
 }
 
-// NextMissing returns a member of which nothing fresh is known, each in turn, and none if there is no such member. Two parts of a
-// fleet that started while they could not reach each other would else stay apart for good: each asks the first node
-// that it hears of, and hears only of its own part.
+// NextMissing returns the next member without a fresh report, in rotation, and false if there is none. Without it, two
+// parts of a fleet that started while partitioned would never merge: each part asks its own collector and gets only the
+// reports of its own part.
 func (t *Table) NextMissing(members map[identifier.Node]Member, now clock.Time) (identifier.Node, bool) {
 	var missing []identifier.Node
 	for _, node := range t.sortedMemberNames(members) {
@@ -347,7 +350,7 @@
 	return best
 }
 
-// hasFreshPeer tells whether some other node's report is fresh.
+// hasFreshPeer reports whether any other node's report is fresh.
 func (t *Table) hasFreshPeer(members map[identifier.Node]Member, now clock.Time) bool {
 	for node := range members {
 		if node != t.self && t.isFresh(node, now) {
--- a/internal/exchanger/table_test.go
+++ b/internal/exchanger/table_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, reports[0].Excess, 0.3)
 }
 
-// A report that has come a long way round is as old as when it was made. Counted from its arrival, a node that died
-// would look alive for as long as others pass its last report on.
+// The age of a forwarded report counts from its creation. If it counted from the arrival, a dead node would look alive for
+// as long as other nodes forward its last report.
 func TestAgeCountsFromReportCreation(t *testing.T) {
 	table := NewTable("a", "west", 1)
 	table.Put(Report{Member: member("b"), Number: 1, Age: 3000}, member("b"), 10000)
@@ -39,8 +39,8 @@
 	assert.Equal(t, len(table.Reports(18000)), 0)
 }
 
-// Some nodes are suspended, among them the one that all ask, and wake together. Its last reports look new to it and to
-// them, since their clocks stood still, and they would go on hearing only of each other.
+// Several nodes, including their collector, are suspended and resume together. Their clocks stood still, so without
+// AddElapsed their last reports of each other look fresh, and they would keep exchanging reports only among themselves.
 func TestResumedNodeSearchesForPeers(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b"), "c": member("c")}
 	table := NewTable("a", "west", 1)
@@ -52,7 +52,7 @@
 	assert.Equal(t, age, clock.Duration(3000))
 }
 
-// The node that everybody asks dies. Nodes that kept asking it would know nothing of each other until it is back.
+// The collector dies. Nodes that kept asking it would have no reports of each other until it is back.
 func TestNextSkipsFailedNodes(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b"), "c": member("c")}
 	table := NewTable("c", "west", 1)
@@ -62,7 +62,7 @@
 	table.RecordFailure("b", 10)
 	assert.Equal(t, table.Next(members, 20), identifier.Node("c"))
 	assert.Equal(t, table.Next(members, clock.Time(minBackoff)+1), identifier.Node("a"))
-	// Among nodes that are heard of, a failed one is passed over as well, and this node may be the first.
+	// A failed node is skipped among nodes with fresh reports as well, and this node itself may come first.
 	table.Put(Report{Member: member("a"), Number: 1}, member("a"), 4000)
 	table.Put(Report{Member: member("b"), Number: 1}, member("b"), 4000)
 	assert.Equal(t, table.Next(members, 4001), identifier.Node("a"))
@@ -107,7 +107,7 @@
 	})
 }
 
-// Bytes from the network may be anything; they must give an error, never a panic or a member without an address.
+// Arbitrary bytes from the network must give an error, never a panic or a member without an address.
 func FuzzDecodeAnswer(f *testing.F) {
 	full := Report{Member: member("b"), Number: 1, Demand: map[identifier.Team]float64{"x": 1}}
 	good, err := EncodeAnswer(Answer{Reports: []Report{full, {Compact: true, Member: Member{Node: "c"}}}})
@@ -120,7 +120,7 @@
 	f.Add(good[:len(good)-3])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if q, err := DecodeQuestion(data); err == nil && (q.Report.Compact || q.Report.Member.DeliveryAddress == "") {
-			t.Fatalf("taken: %+v", q)
+			t.Fatalf("decoded an invalid question: %+v", q)
 		}
 		answer, err := DecodeAnswer(data)
 		if err != nil {
@@ -128,13 +128,13 @@
 		}
 		for _, r := range answer.Reports {
 			if r.Member.Node == "" || !r.Compact && r.Member.DeliveryAddress == "" || r.Age < 0 || r.Excess < 0 || r.Excess > 1 {
-				t.Fatalf("taken: %+v", r)
+				t.Fatalf("decoded an invalid report: %+v", r)
 			}
 		}
 	})
 }
 
-// answerAndSize is what a table of many nodes tells a node that has heard up to a cursor.
+// answerAndSize returns a table's answer to node n00 since a cursor, and its encoded size in bytes.
 func answerAndSize(t testing.TB, table *Table, since Cursor, now clock.Time) (Answer, int) {
 	t.Helper()
 	a := table.Answer("n00", since, now)
@@ -143,7 +143,7 @@
 	return a, len(data)
 }
 
-// putReports has many nodes report, each with the demand of some teams.
+// putReports stores a report of each node, with the demand of two teams.
 func putReports(table *Table, nodes int, number int64, now clock.Time) {
 	for i := range nodes {
 		m := member(identifier.Node(fmt.Sprintf("n%02d", i)))
@@ -156,9 +156,9 @@
 	}
 }
 
-// A fleet of 88 nodes is quiet. Every node asks twice a second for what is new, and pays for each byte that crosses between
-// failure domains. Whole bundles have 11.7 kB here, in brief 6.6 kB; with the demands of 87 teams they had 82 kB, and cost
-// more than all requests did.
+// In an idle fleet of 88 nodes every node asks twice a second for changed reports, and every byte between failure domains
+// costs money. If members whose record has not changed were sent in full each time, that traffic could cost more than all
+// requests do.
 func TestReportsOfKnownMembersAreCompact(t *testing.T) {
 	table := NewTable("n50", "west", 1)
 	putReports(table, 88, 1, 1000)
@@ -167,15 +167,15 @@
 	putReports(table, 88, 2, 1500)
 	second, brief := answerAndSize(t, table, first.Cursor, 1500)
 	assert.Equal(t, len(second.Reports), 87)
-	t.Logf("%d bytes at first, %d then", whole, brief)
-	assert.Assert(t, brief < whole*7/10, "%d bytes of %d", brief, whole)
+	t.Logf("first answer has %d bytes, second one with compact reports %d", whole, brief)
+	assert.Assert(t, brief < whole*7/10, "compact answer has %d bytes of %d, expected less than 70 percent", brief, whole)
 	none, empty := answerAndSize(t, table, second.Cursor, 1600)
 	assert.Equal(t, len(none.Reports), 0)
 	assert.Assert(t, empty < 32)
 }
 
-// The node that is asked was started anew, or the asking one has dropped a member: cursors and records of before say
-// nothing then. Taken for known, a node's state would be missing for as long as it does not change.
+// The asked node has restarted, or the asking node has dropped a member, which makes earlier cursors and records invalid.
+// If they were still used, a member's record would be missing for as long as it does not change.
 func TestCompactReportsNeedAKnownMember(t *testing.T) {
 	asked, asking := NewTable("a", "west", 1), NewTable("n00", "west", 2)
 	putReports(asked, 3, 1, 1000)
@@ -189,7 +189,7 @@
 	reports = asking.AcceptAnswer("a", asked.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 1500))
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].Member.Endpoint, identifier.Endpoint("i-0123456789"))
-	// Asked again for everything, it tells of all.
+	// The missing record has reset the cursor, so the next answer holds all reports.
 	reports = asking.AcceptAnswer("a", asked.Answer("n00", asking.QuestionFor(member("a"), Report{}, 0).Since, 1600))
 	assert.Equal(t, len(reports), 2)
 	again := NewTable("a", "west", 3)
@@ -199,9 +199,9 @@
 	assert.Assert(t, !reports[0].Compact && reports[0].Member.DeliveryAddress != "")
 }
 
-// A failure domain with many nodes is cut off, and its nodes come first by name. Whoever asks them one after the other must
-// get past them before the first is asked again, or the rest of the fleet never hears of itself: rates and refusals
-// would stand still for as long as the cut lasts.
+// A failure domain with many nodes is partitioned, and its nodes come first by name. A node that asks them in turn must
+// reach a living node before the first backoff ends. Otherwise the rest of the fleet gets no reports, and rates and
+// refusals stay unchanged until the partition heals.
 func TestNextSkipsManyDeadNodes(t *testing.T) {
 	members := map[identifier.Node]Member{"z-self": member("z-self"), "y-alive": member("y-alive")}
 	for i := range 20 {
@@ -211,7 +211,7 @@
 	table := NewTable("z-self", "west", 1)
 	now := clock.Time(0)
 	for asked := 0; ; asked++ {
-		assert.Assert(t, asked < 40, "the living node is not asked")
+		assert.Assert(t, asked < 40, "living node not reached with 40 questions")
 		node := table.Next(members, now)
 		if node == "y-alive" {
 			break
@@ -223,7 +223,7 @@
 	assert.Equal(t, table.Next(members, now+2000), identifier.Node("y-alive"))
 }
 
-// A node that answers again is asked as before.
+// An answer clears a node's backoff, so that it is asked again at once.
 func TestAnswerClearsBackoff(t *testing.T) {
 	members := map[identifier.Node]Member{"a": member("a"), "b": member("b")}
 	table := NewTable("b", "west", 1)
--- a/internal/exchanger/types.go
+++ b/internal/exchanger/types.go
@@ -1,6 +1,7 @@
 package exchanger
 
-// What a node tells all others, in two parts: who it is, which also stands in the platform's store, and how it fares.
+// What a node sends to all others has two parts: its member record, which is also kept in the platform's store, and its
+// load report.
 //
 // Example: Member{Node: "a", Endpoint: "i-7", State: Ready}, Report{Excess: 0.4}
 
@@ -9,25 +10,26 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// State is what a node says of its endpoint.
+// State is the state that a node reports for its endpoint.
 type State uint8
 
 // The states of a member.
 const (
-	// Absent has no endpoint that may be used.
+	// Absent means that the node has no usable endpoint.
 	Absent State = iota
-	// Ready has an endpoint that takes requests.
+	// Ready means that the endpoint accepts requests.
 	Ready
-	// Leaving finishes what it has.
+	// Leaving means that the endpoint finishes its requests in flight and gets no new ones.
 	Leaving
-	// Stopping has an endpoint that stays, while the node itself stops: it takes what has nowhere else to go.
+	// Stopping means that the node shuts down while its endpoint stays up: it only gets requests that no other endpoint can
+	// take.
 	Stopping
 )
 
 // Member is a node and the endpoint beside it.
 type Member struct {
 	Node identifier.Node
-	// DeliveryAddress is the address for requests to the endpoint, Peer the one for reports.
+	// DeliveryAddress is where requests for the endpoint are sent, PeerAddress where nodes exchange reports.
 	DeliveryAddress string
 	PeerAddress     string
 	Domain          identifier.FailureDomain
@@ -38,12 +40,12 @@
 	State    State
 	ColdLeft clock.Duration
 
-	// Incarnation is the wall time of the node's start, Sequence counts its changes since.
+	// Incarnation is the wall time of the node's start, Sequence counts the changes of its record since then.
 	Incarnation int64
 	Sequence    int64
 }
 
-// Newer tells whether m is a later word of the node than o.
+// Newer reports whether m is a later record of the node than o.
 func (m Member) Newer(o Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -51,52 +53,52 @@
 	return m.Sequence > o.Sequence
 }
 
-// Cursor is up to where a node has heard what another node's table holds.
+// Cursor marks the change of another node's table up to which a node has received its reports.
 type Cursor struct {
-	// Table is the other node's table, which is made anew at each start; Change counts the changes in it.
+	// Table identifies the other node's table, which is created at each start; Change counts the changes in it.
 	Table  uint64
 	Change uint64
 }
 
-// Question is a node's own report, those that it passes on, and what it has heard so far from the node that it asks.
+// Question holds a node's own report, the reports that it forwards, and its cursor in the table of the node that it asks.
 type Question struct {
 	Report    Report
 	Forwarded []Report
 	Since     Cursor
 }
 
-// Answer is what the asking node has not heard yet.
+// Answer holds the reports that the asking node has not received yet, and its new cursor.
 type Answer struct {
 	Cursor  Cursor
 	Reports []Report
 }
 
-// Report is what a node tells about half a second.
+// Report holds what a node measured over half a second.
 type Report struct {
 	Member Member
-	// Compact tells that only the node's name is given of the member, whose record has not changed.
+	// Compact means that Member holds only the node's name, because the record has not changed.
 	Compact bool
-	// Age is how old the report is at the moment of sending.
+	// Age is the report's age when it is sent.
 	Age clock.Duration
 	// Number grows with each report of one incarnation.
 	Number int64
-	// Demand is the requests a second of each team that arrive at the node.
+	// Demand is the rate of requests that arrive at the node, per second and team.
 	Demand map[identifier.Team]float64
-	// Excess is the part of the load on the endpoint beside the node that is too much (see throttler).
+	// Excess is the fraction of the load on the node's endpoint that exceeds its capacity (see throttler).
 	Excess float64
-	// RootTime and NestedTime are the mean times of a run at the endpoint beside the node, of root requests and of nested
-	// calls, 0 before there was one.
+	// RootTime and NestedTime are the mean times of a run at the node's endpoint, of root requests and of nested calls, 0
+	// before the first one.
 	RootTime, NestedTime clock.Duration
-	// ColdLeft is how much longer the endpoint beside the node is cold.
+	// ColdLeft is how much longer the node's endpoint is cold.
 	ColdLeft clock.Duration
-	// Load is the calls a second that would arrive at the endpoint if nothing were refused.
+	// Load is the rate of calls per second that would arrive at the endpoint if nothing were refused.
 	Load float64
-	// Calls is how many nested calls one run at the endpoint makes, by the route of the run and that of the call. Calls of
-	// which nobody can say whose they are stand under the empty route, by all runs.
+	// Calls is how many nested calls one run at the endpoint makes, by the route of the run and that of the call. Calls
+	// that can't be attributed to a run count under the empty route, averaged over all runs.
 	Calls map[identifier.Route]map[identifier.Route]float64
 }
 
-// Newer tells whether r is a later word of the node than o.
+// Newer reports whether r is a later report of the node than o.
 func (r Report) Newer(o Report) bool {
 	if r.Member.Incarnation != o.Member.Incarnation {
 		return r.Member.Incarnation > o.Member.Incarnation
