--- a/internal/encoder/membership.go
+++ b/internal/encoder/membership.go
@@ -233,7 +233,7 @@
 	}
 }
 
-func newsToWire(n gossiper.News) newsWire {
+func newsToWire(n gossiper.Status) newsWire {
 	return newsWire{
 		Offset:  int64(n.Offset),
 		Version: int64(n.Version),
@@ -242,8 +242,8 @@
 	}
 }
 
-func newsFromWire(w newsWire) gossiper.News {
-	return gossiper.News{
+func newsFromWire(w newsWire) gossiper.Status {
+	return gossiper.Status{
 		Offset:  identifier.Offset(w.Offset),
 		Version: identifier.Version(w.Version),
 		InForce: identifier.Preset(w.InForce),
@@ -268,7 +268,7 @@
 func pingToWire(p gossiper.Ping) pingWire {
 	return pingWire{
 		Sequence: p.Sequence,
-		News:     newsToWire(p.News),
+		News:     newsToWire(p.Status),
 		Hash:     p.Hash,
 		Updates:  mapSlice(p.Updates, memberToWire),
 	}
@@ -277,20 +277,20 @@
 func pingFromWire(w pingWire) gossiper.Ping {
 	return gossiper.Ping{
 		Sequence: w.Sequence,
-		News:     newsFromWire(w.News),
+		Status:   newsFromWire(w.News),
 		Hash:     w.Hash,
 		Updates:  mapSlice(w.Updates, memberFromWire),
 	}
 }
 
 func ackToWire(a gossiper.Ack) ackWire {
-	return ackWire{Sequence: a.Sequence, News: newsToWire(a.News), Updates: mapSlice(a.Updates, memberToWire)}
+	return ackWire{Sequence: a.Sequence, News: newsToWire(a.Status), Updates: mapSlice(a.Updates, memberToWire)}
 }
 
 func ackFromWire(w ackWire) gossiper.Ack {
 	return gossiper.Ack{
 		Sequence: w.Sequence,
-		News:     newsFromWire(w.News),
+		Status:   newsFromWire(w.News),
 		Updates:  mapSlice(w.Updates, memberFromWire),
 	}
 }
@@ -419,23 +419,23 @@
 
 func subscriptionToWire(s gossiper.Subscription) subscriptionWire {
 	return subscriptionWire{
-		Answer:   s.Answer,
-		Same:     s.Same,
+		Answer:   s.IsAnswer,
+		Same:     s.Unchanged,
 		Members:  mapSlice(s.Members, memberToWire),
 		Contacts: mapSlice(s.Contacts, contactToWire),
-		Silent:   mapSlice(s.Silent, toText[identifier.FailureDomain]),
-		Heard:    mapSlice(s.Heard, toText[identifier.FailureDomain]),
+		Silent:   mapSlice(s.SilentDomains, toText[identifier.FailureDomain]),
+		Heard:    mapSlice(s.ReachableDomains, toText[identifier.FailureDomain]),
 	}
 }
 
 func subscriptionFromWire(w subscriptionWire) gossiper.Subscription {
 	return gossiper.Subscription{
-		Answer:   w.Answer,
-		Same:     w.Same,
-		Members:  mapSlice(w.Members, memberFromWire),
-		Contacts: mapSlice(w.Contacts, contactFromWire),
-		Silent:   mapSlice(w.Silent, fromText[identifier.FailureDomain]),
-		Heard:    mapSlice(w.Heard, fromText[identifier.FailureDomain]),
+		IsAnswer:         w.Answer,
+		Unchanged:        w.Same,
+		Members:          mapSlice(w.Members, memberFromWire),
+		Contacts:         mapSlice(w.Contacts, contactFromWire),
+		SilentDomains:    mapSlice(w.Silent, fromText[identifier.FailureDomain]),
+		ReachableDomains: mapSlice(w.Heard, fromText[identifier.FailureDomain]),
 	}
 }
 
--- a/internal/gossiper/contacts.go
+++ b/internal/gossiper/contacts.go
@@ -2,7 +2,7 @@
 // domain are known as contacts. Both lists are short, so that what passes between domains does not grow with the fleet.
 //
 // Example: of 482 members the three with the highest hash are relays; contacts of a domain whose relays all died are
-// asked for from the others.
+// nextContactRequest for from the others.
 
 package gossiper
 
@@ -25,15 +25,15 @@
 	return all
 }
 
-// Relays tells whether this node is a relay of its domain.
-func (g *Gossiper) Relays() bool {
-	return g.relayer.active
+// IsRelay tells whether this node is a relay of its domain.
+func (g *Gossiper) IsRelay() bool {
+	return g.relayer.isRelay
 }
 
-// elect chooses the members with the highest hashes of their names.
-func (g *Gossiper) elect() {
+// electRelays chooses the members with the highest hashes of their names.
+func (g *Gossiper) electRelays() {
 	var best []candidate
-	for _, n := range g.own.up {
+	for _, n := range g.ownTable.up {
 		c := candidate{node: n, hash: xxh3.HashString(string(n))}
 		i, _ := slices.BinarySearchFunc(best, c, candidate.compare)
 		if i < relayCount {
@@ -50,17 +50,17 @@
 	}
 	g.relayer.relays = relays
 	// A new relay knows no subscribers, and one that is none any more hears nothing from other domains.
-	g.follower.next = 0
+	g.follower.nextRenewal = 0
 	g.follower.answered = false
-	active := slices.Contains(g.relayer.relays, g.self.Node)
-	g.relayer.listening = g.relayer.listening && active
-	if g.relayer.active && !active {
+	isRelay := slices.Contains(g.relayer.relays, g.self.Node)
+	g.relayer.tracksSilence = g.relayer.tracksSilence && isRelay
+	if g.relayer.isRelay && !isRelay {
 		clear(g.relayer.tables)
 		clear(g.relayer.subscribers)
-		g.relayer.own = nil
-		g.relayer.pushes = nil
+		g.relayer.ownPushes = nil
+		g.relayer.remotePushes = nil
 	}
-	g.relayer.active = active
+	g.relayer.isRelay = isRelay
 }
 
 type candidate struct {
@@ -75,7 +75,7 @@
 func (g *Gossiper) ownRelays() []Contact {
 	contacts := make([]Contact, 0, relayCount)
 	for _, n := range g.relayer.relays {
-		contacts = append(contacts, contactOf(g.own.members[n].Member))
+		contacts = append(contacts, contactOf(g.ownTable.members[n].Member))
 	}
 	return contacts
 }
@@ -84,10 +84,10 @@
 	return Contact{Node: m.Node, Domain: m.Domain, Address: m.Address}
 }
 
-func (g *Gossiper) remoteOf(d identifier.FailureDomain, now clock.Time) *remote {
+func (g *Gossiper) remoteOf(d identifier.FailureDomain, now clock.Time) *remoteDomain {
 	r := g.relayer.remotes[d]
 	if r == nil {
-		r = &remote{heard: now}
+		r = &remoteDomain{lastContact: now}
 		g.relayer.remotes[d] = r
 	}
 	return r
@@ -104,7 +104,7 @@
 	var effects []Effect
 	for d, list := range byDomain {
 		r := g.remoteOf(d, now)
-		r.named = true
+		r.selfReported = true
 		list = list[:min(len(list), maxContacts)]
 		if !slices.Equal(r.contacts, list) {
 			r.contacts = list
@@ -121,7 +121,7 @@
 func (g *Gossiper) addContact(c Contact, now clock.Time) []Effect {
 	r := g.remoteOf(c.Domain, now)
 	known := slices.ContainsFunc(r.contacts, func(o Contact) bool { return o.Node == c.Node })
-	if known || (len(r.contacts) >= maxContacts && !r.silent) || (r.named && !r.silent) {
+	if known || (len(r.contacts) >= maxContacts && !r.silent) || (r.selfReported && !r.silent) {
 		return nil
 	}
 	if len(r.contacts) >= maxContacts {
--- a/internal/gossiper/follower.go
+++ b/internal/gossiper/follower.go
@@ -22,23 +22,23 @@
 	firstRetry = 300 * clock.Millisecond
 	// confirmTerm is how long a remote member is used that no relay has confirmed, relayTerm how long a relay
 	// uses one that its own table lacks.
-	confirmTerm = 15 * clock.Second
-	relayTerm   = 4 * clock.Second
+	confirmTerm      = 15 * clock.Second
+	relayConfirmTerm = 4 * clock.Second
 )
 
 type follower struct {
-	interests []identifier.Service
-	next      clock.Time
-	answered  bool
+	interests   []identifier.Service
+	nextRenewal clock.Time
+	answered    bool
 }
 
 func newFollower() follower {
 	return follower{}
 }
 
-// hurry renews the subscription now, and until it is answered.
-func (f *follower) hurry(now clock.Time) {
-	f.next = now
+// renewNow renews the subscription now, and until it is answered.
+func (f *follower) renewNow(now clock.Time) {
+	f.nextRenewal = now
 	f.answered = false
 }
 
@@ -49,13 +49,13 @@
 		return nil
 	}
 	g.follower.interests = slices.Insert(g.follower.interests, i, s)
-	g.follower.next = 0
+	g.follower.nextRenewal = 0
 	g.follower.answered = false
-	return g.seeTables(now)
+	return g.applyRelayTables(now)
 }
 
-// seeTables shows the node what it holds as a relay.
-func (g *Gossiper) seeTables(now clock.Time) []Effect {
+// applyRelayTables shows the node what it holds as a relay.
+func (g *Gossiper) applyRelayTables(now clock.Time) []Effect {
 	var effects []Effect
 	for _, d := range g.relayer.domains() {
 		t := g.relayer.tables[d]
@@ -63,58 +63,58 @@
 			continue
 		}
 		for _, n := range t.up {
-			effects = append(effects, g.seeRemote(t.members[n].Member, now)...)
+			effects = append(effects, g.applyRemoteRecord(t.members[n].Member, now)...)
 		}
 	}
 	return effects
 }
 
-// seeRemote shows a record of another domain to the view, without the services that are of no interest.
-func (g *Gossiper) seeRemote(m Member, now clock.Time) []Effect {
-	filtered, wanted := filter(m, g.follower.interests)
+// applyRemoteRecord shows a record of another domain to the view, without the services that are of no interest.
+func (g *Gossiper) applyRemoteRecord(m Member, now clock.Time) []Effect {
+	filtered, wanted := filterServices(m, g.follower.interests)
 	s := g.view.members[m.Node]
 	if s == nil && (!wanted || len(filtered.Endpoints) == 0) {
 		return nil
 	}
-	effects := g.view.see(filtered, now)
+	effects := g.view.apply(filtered, now)
 	if o := g.relayer.remotes[m.Domain]; o != nil && o.silent {
-		effects = append(effects, g.view.hide(m.Domain, true)...)
+		effects = append(effects, g.view.setHidden(m.Domain, true)...)
 	}
 	return effects
 }
 
 func (g *Gossiper) tickFollow(now clock.Time) []Effect {
 	f := &g.follower
-	if now < f.next {
+	if now < f.nextRenewal {
 		return nil
 	}
-	f.next = now.Add(renewInterval*3/4 + g.jitter(renewInterval/2))
+	f.nextRenewal = now.Add(renewInterval*3/4 + g.jitter(renewInterval/2))
 	if !f.answered {
-		f.next = now.Add(firstRetry)
+		f.nextRenewal = now.Add(firstRetry)
 	}
-	if g.relayer.active {
+	if g.relayer.isRelay {
 		f.answered = true
-		f.next = now.Add(clock.Second)
-		effects := g.seeTables(now)
-		effects = append(effects, g.seeHeld(now)...)
-		return append(effects, g.dropUnconfirmed(now, relayTerm)...)
+		f.nextRenewal = now.Add(clock.Second)
+		effects := g.applyRelayTables(now)
+		effects = append(effects, g.refreshFromTables(now)...)
+		return append(effects, g.dropUnconfirmed(now, relayConfirmTerm)...)
 	}
 	effects := g.dropUnconfirmed(now, confirmTerm)
 	relays := g.relayer.relays
 	first := g.options.Rand.IntN(len(relays))
-	message := Subscribe{Services: f.interests, Hash: g.heldHash()}
+	message := Subscribe{Services: f.interests, Hash: g.subscribedHash()}
 	for i := range min(2, len(relays)) {
 		effects = append(effects, g.send(relays[(first+i)%len(relays)], message))
 	}
 	return effects
 }
 
-// heldHash covers each held remote endpoint's member and version, in any order.
-func (g *Gossiper) heldHash() uint64 {
+// subscribedHash covers each held remote endpoint's member and version, in any order.
+func (g *Gossiper) subscribedHash() uint64 {
 	h := uint64(0)
 	for n, s := range g.view.members {
 		if s.Domain != g.self.Domain && s.up() && len(s.Endpoints) > 0 {
-			h ^= heldHash(n, s.Member)
+			h ^= memberHash(n, s.Member)
 		}
 	}
 	return h ^ g.contactsHash()
@@ -130,7 +130,7 @@
 	return h
 }
 
-func heldHash(n identifier.Node, m Member) uint64 {
+func memberHash(n identifier.Node, m Member) uint64 {
 	return versionHash(n, m.Incarnation) * uint64(2*len(m.Endpoints)+1)
 }
 
@@ -142,18 +142,18 @@
 	}
 }
 
-// seeHeld confirms what a relay's view holds by its tables, down members too: one that died while this node
+// refreshFromTables confirms what a relay's view holds by its tables, down members too: one that died while this node
 // was no relay yet is in no list of living ones.
-func (g *Gossiper) seeHeld(now clock.Time) []Effect {
+func (g *Gossiper) refreshFromTables(now clock.Time) []Effect {
 	var effects []Effect
-	for _, n := range g.view.sorted() {
+	for _, n := range g.view.sortedNames() {
 		s := g.view.members[n]
 		t := g.relayer.tables[s.Domain]
 		if t == nil || !s.up() {
 			continue
 		}
 		if e := t.members[n]; e != nil {
-			effects = append(effects, g.seeRemote(e.Member, now)...)
+			effects = append(effects, g.applyRemoteRecord(e.Member, now)...)
 		}
 	}
 	return effects
@@ -161,7 +161,7 @@
 
 func (g *Gossiper) dropUnconfirmed(now clock.Time, term clock.Duration) []Effect {
 	var effects []Effect
-	for _, n := range g.view.sorted() {
+	for _, n := range g.view.sortedNames() {
 		s := g.view.members[n]
 		if s.Domain != g.self.Domain && now.Sub(s.confirmed) > term {
 			effects = append(effects, g.view.drop(n)...)
@@ -171,32 +171,32 @@
 }
 
 func (g *Gossiper) receiveSubscribe(from identifier.Node, m Subscribe, now clock.Time) []Effect {
-	if !g.relayer.active {
+	if !g.relayer.isRelay {
 		return nil
 	}
-	g.relayer.subscribers[from] = &subscriber{services: m.Services, until: now.Add(subscribeTerm)}
-	answer := Subscription{Answer: true, Contacts: g.Contacts()}
+	g.relayer.subscribers[from] = &subscriber{services: m.Services, until: now.Add(subscriptionTerm)}
+	answer := Subscription{IsAnswer: true, Contacts: g.Contacts()}
 	hash := g.contactsHash()
 	for _, d := range g.relayer.domains() {
 		if o := g.relayer.remotes[d]; o.silent {
-			answer.Silent = append(answer.Silent, d)
-		} else if o.known {
-			answer.Heard = append(answer.Heard, d)
+			answer.SilentDomains = append(answer.SilentDomains, d)
+		} else if o.contacted {
+			answer.ReachableDomains = append(answer.ReachableDomains, d)
 		}
 		t := g.relayer.tables[d]
 		if t == nil {
 			continue
 		}
 		for _, n := range t.up {
-			record, _ := filter(t.members[n].Member, m.Services)
+			record, _ := filterServices(t.members[n].Member, m.Services)
 			if len(record.Endpoints) > 0 {
 				answer.Members = append(answer.Members, record)
-				hash ^= heldHash(n, record)
+				hash ^= memberHash(n, record)
 			}
 		}
 	}
 	if hash == m.Hash {
-		answer.Same = true
+		answer.Unchanged = true
 		answer.Members = nil
 		answer.Contacts = nil
 	}
@@ -205,54 +205,54 @@
 
 func (g *Gossiper) receiveSubscription(from identifier.Node, m Subscription, now clock.Time) []Effect {
 	effects := g.setContacts(m.Contacts, now)
-	if m.Same {
+	if m.Unchanged {
 		g.confirmAll(now)
 	}
 	for _, record := range m.Members {
 		if record.Domain != g.self.Domain {
-			effects = append(effects, g.seeRemote(record, now)...)
+			effects = append(effects, g.applyRemoteRecord(record, now)...)
 		}
 	}
 	// A push of changes says nothing about silence.
-	if !m.Answer {
+	if !m.IsAnswer {
 		return effects
 	}
 	g.follower.answered = true
-	if missing := g.askMissing(from, m.Members); !m.Same && len(missing) > 0 {
+	if missing := g.requestMissing(from, m.Members); !m.Unchanged && len(missing) > 0 {
 		// The question or its answer may get lost, and the next regular renewal would come too late.
 		effects = append(effects, missing...)
-		g.follower.next = min(g.follower.next, now.Add(firstRetry))
+		g.follower.nextRenewal = min(g.follower.nextRenewal, now.Add(firstRetry))
 	}
-	return append(effects, g.noteHeard(m, now)...)
+	return append(effects, g.applyReachability(m, now)...)
 }
 
-// noteHeard believes a relay that heard a domain before one that didn't.
-func (g *Gossiper) noteHeard(m Subscription, now clock.Time) []Effect {
+// applyReachability believes a relay that heard a domain before one that didn't.
+func (g *Gossiper) applyReachability(m Subscription, now clock.Time) []Effect {
 	var effects []Effect
-	for _, d := range m.Heard {
-		effects = append(effects, g.hearDomain(d, now)...)
+	for _, d := range m.ReachableDomains {
+		effects = append(effects, g.recordContact(d, now)...)
 	}
-	for _, d := range m.Silent {
+	for _, d := range m.SilentDomains {
 		o := g.remoteOf(d, now)
-		if !o.silent && now.Sub(o.heard) >= clock.Second {
+		if !o.silent && now.Sub(o.lastContact) >= clock.Second {
 			o.silent = true
-			effects = append(effects, g.view.hide(d, true)...)
+			effects = append(effects, g.view.setHidden(d, true)...)
 		}
 	}
 	return effects
 }
 
-// askMissing asks for the records that are held here and weren't in a relay's answer. They may be gone or have
+// requestMissing asks for the records that are held here and weren't in a relay's answer. They may be gone or have
 // lost their endpoints; or the relay is a new one that doesn't know them yet, and then nothing comes back.
-func (g *Gossiper) askMissing(relay identifier.Node, answer []Member) []Effect {
-	told := map[identifier.Node]bool{}
+func (g *Gossiper) requestMissing(relay identifier.Node, answer []Member) []Effect {
+	answered := map[identifier.Node]bool{}
 	for _, m := range answer {
-		told[m.Node] = true
+		answered[m.Node] = true
 	}
 	missing := map[identifier.FailureDomain][]identifier.Node{}
-	for _, n := range g.view.sorted() {
+	for _, n := range g.view.sortedNames() {
 		s := g.view.members[n]
-		if s.Domain != g.self.Domain && s.up() && !told[n] {
+		if s.Domain != g.self.Domain && s.up() && !answered[n] {
 			missing[s.Domain] = append(missing[s.Domain], n)
 		}
 	}
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-func draw(t *rapid.T, w *world) *machine {
+func drawMachine(t *rapid.T, w *world) *machine {
 	return w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(t, "node")]
 }
 
@@ -22,28 +22,28 @@
 	step := func(t *rapid.T) { w.run(clock.Duration(rapid.IntRange(50, 1500).Draw(t, "span"))) }
 	return map[string]func(*rapid.T){
 		"start": func(t *rapid.T) {
-			if len(w.machines) < 16 && w.cut == "" {
+			if len(w.machines) < 16 && w.isolatedDomain == "" {
 				w.start(domain.Draw(t, "domain"))
 			}
 			step(t)
 		},
 		"crash": func(t *rapid.T) {
 			if len(w.machines) > 4 {
-				w.remove(draw(t, w), deadTime)
+				w.remove(drawMachine(t, w), deadLimit)
 			}
 			step(t)
 		},
 		"leave": func(t *rapid.T) {
 			if len(w.machines) > 4 {
-				w.remove(draw(t, w), leavingTime)
+				w.remove(drawMachine(t, w), leavingLimit)
 			}
 			step(t)
 		},
-		"announce": func(t *rapid.T) { w.announce(draw(t, w)); step(t) },
+		"announce": func(t *rapid.T) { w.announce(drawMachine(t, w)); step(t) },
 		"endpoint leaves": func(t *rapid.T) {
-			m := draw(t, w)
+			m := drawMachine(t, w)
 			for _, e := range m.g.Self().Endpoints {
-				w.end(e.ID, leavingTime)
+				w.endEndpoint(e.ID, leavingLimit)
 				if rapid.Bool().Draw(t, "at once") {
 					w.perform(m, m.g.RemoveEndpoint(e.ID, w.now))
 				} else {
@@ -53,19 +53,19 @@
 			step(t)
 		},
 		"cut off": func(t *rapid.T) {
-			w.cut = domain.Draw(t, "domain")
+			w.isolatedDomain = domain.Draw(t, "domain")
 			w.run(clock.Duration(rapid.IntRange(100, 15_000).Draw(t, "span")))
 		},
-		"heal": func(t *rapid.T) { w.cut = ""; step(t) },
+		"heal": func(t *rapid.T) { w.isolatedDomain = ""; step(t) },
 		"pause": func(t *rapid.T) {
-			m := draw(t, w)
-			m.paused = w.now.Add(clock.Duration(rapid.IntRange(100, 10_000).Draw(t, "pause")))
-			w.calm = max(w.calm, m.paused)
+			m := drawMachine(t, w)
+			m.pausedUntil = w.now.Add(clock.Duration(rapid.IntRange(100, 10_000).Draw(t, "pause")))
+			w.disturbedUntil = max(w.disturbedUntil, m.pausedUntil)
 			step(t)
 		},
-		"loss": func(t *rapid.T) { w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.2}).Draw(t, "loss"); step(t) },
+		"loss": func(t *rapid.T) { w.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.2}).Draw(t, "loss"); step(t) },
 		"wait": func(t *rapid.T) { w.run(clock.Duration(rapid.IntRange(1000, 8000).Draw(t, "span"))) },
-		"":     func(t *rapid.T) { assert.Equal(t, w.fault(), "") },
+		"":     func(t *rapid.T) { assert.Equal(t, w.findFault(), "") },
 	}
 }
 
@@ -78,25 +78,25 @@
 func membershipHolds(t *rapid.T) {
 	w := newWorld(rapid.Uint64().Draw(t, "seed"), 4, 3, 3)
 	w.run(8 * clock.Second)
-	w.calm = w.now
+	w.disturbedUntil = w.now
 	t.Repeat(actions(w))
-	w.cut = ""
+	w.isolatedDomain = ""
 	w.run(15 * clock.Second)
-	assert.Equal(t, w.fault(), "")
+	assert.Equal(t, w.findFault(), "")
 }
 
 // A fifth of all messages is lost, and nothing else happens. Nodes that wrongly take each other for dead would
-// take healthy servers out of use.
-func TestLossKillsNobody(t *testing.T) {
+// applyRecord healthy servers out of use.
+func TestMessageLossCausesNoFalseRemovals(t *testing.T) {
 	for name, domains := range map[string][]int{"14 nodes": {4, 4, 3, 3}, "100 nodes": {100}} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(11, domains...)
 			w.run(15 * clock.Second)
-			w.loss = 0.2
-			w.falsely = 0
+			w.lossRate = 0.2
+			w.falseRemovals = 0
 			w.run(60 * clock.Second)
-			assert.Equal(t, w.falsely, 0)
-			assert.Equal(t, w.fault(), "")
+			assert.Equal(t, w.falseRemovals, 0)
+			assert.Equal(t, w.findFault(), "")
 		})
 	}
 }
@@ -123,19 +123,19 @@
 }
 
 type fleet struct {
-	domains []int
-	loss    float64
-	// bytes bounds what an ordinary node may send per second while nothing changes.
-	bytes int
+	domains  []int
+	lossRate float64
+	// maxBytes bounds what an ordinary node may send per second while nothing changes.
+	maxBytes int
 }
 
 // A server leaves and a VM dies, in fleets of several shapes. Slow news would send users' requests there, and
 // control traffic that grew with the fleet would one day crowd out their requests.
-func TestMeasureTraffic(t *testing.T) {
+func TestTrafficAndDetectionTimesStayBounded(t *testing.T) {
 	for name, f := range map[string]fleet{
-		"14 nodes in 4 domains":          {domains: []int{4, 4, 3, 3}, bytes: 400},
-		"100 nodes":                      {domains: []int{100}, bytes: 400},
-		"100 in 2 domains, a fifth lost": {domains: []int{50, 50}, loss: 0.2, bytes: 1500},
+		"14 nodes in 4 domains":          {domains: []int{4, 4, 3, 3}, maxBytes: 400},
+		"100 nodes":                      {domains: []int{100}, maxBytes: 400},
+		"100 in 2 domains, a fifth lost": {domains: []int{50, 50}, lossRate: 0.2, maxBytes: 1500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := f.measure(t)
@@ -147,9 +147,9 @@
 // BenchmarkTraffic gives the figures of docs/design/membership.md for the largest domain; run it with -benchtime 1x.
 func BenchmarkTraffic(b *testing.B) {
 	for name, f := range map[string]fleet{
-		"482 nodes":               {domains: []int{482}, bytes: 400},
-		"482 nodes, a fifth lost": {domains: []int{482}, loss: 0.2, bytes: 1500},
-		"300 nodes in 6 domains":  {domains: []int{50, 50, 50, 50, 50, 50}, bytes: 400},
+		"482 nodes":               {domains: []int{482}, maxBytes: 400},
+		"482 nodes, a fifth lost": {domains: []int{482}, lossRate: 0.2, maxBytes: 1500},
+		"300 nodes in 6 domains":  {domains: []int{50, 50, 50, 50, 50, 50}, maxBytes: 400},
 	} {
 		b.Run(name, func(b *testing.B) {
 			m := f.measure(b)
@@ -163,30 +163,30 @@
 	}
 }
 
-type measured struct {
+type measurement struct {
 	ordinary, relay traffic
 	leaving, dead   clock.Duration
 }
 
-func (f fleet) measure(t testing.TB) measured {
+func (f fleet) measure(t testing.TB) measurement {
 	w := newWorld(4, f.domains...)
 	w.run(15 * clock.Second)
-	w.loss = f.loss
-	w.falsely = 0
+	w.lossRate = f.lossRate
+	w.falseRemovals = 0
 	w.run(5 * clock.Second)
-	assert.Equal(t, w.fault(), "")
-	var m measured
-	m.ordinary, m.relay = w.traffic(10 * clock.Second)
-	m.leaving = w.spread(func() {
+	assert.Equal(t, w.findFault(), "")
+	var m measurement
+	m.ordinary, m.relay = w.measureTraffic(10 * clock.Second)
+	m.leaving = w.measureSpread(func() {
 		n := w.machines[len(w.machines)/2]
 		id := n.g.Self().Endpoints[0].ID
-		w.end(id, leavingTime)
+		w.endEndpoint(id, leavingLimit)
 		w.perform(n, n.g.LeaveEndpoint(id, w.now))
 	})
-	m.dead = w.spread(func() { w.remove(w.machines[len(w.machines)/3], deadTime) })
-	assert.Assert(t, m.leaving <= leavingTime && m.dead <= deadTime, "leaving %d, dead %d", m.leaving, m.dead)
-	assert.Assert(t, m.ordinary.bytes <= f.bytes, "%s", m.ordinary)
-	assert.Equal(t, w.falsely, 0)
+	m.dead = w.measureSpread(func() { w.remove(w.machines[len(w.machines)/3], deadLimit) })
+	assert.Assert(t, m.leaving <= leavingLimit && m.dead <= deadLimit, "leaving %d, dead %d", m.leaving, m.dead)
+	assert.Assert(t, m.ordinary.bytes <= f.maxBytes, "%s", m.ordinary)
+	assert.Equal(t, w.falseRemovals, 0)
 	return m
 }
 
@@ -197,18 +197,18 @@
 
 func (f traffic) String() string { return fmt.Sprintf("%.1f messages %d bytes", f.messages, f.bytes) }
 
-func (w *world) traffic(span clock.Duration) (ordinary, relay traffic) {
-	w.weigh = true
+func (w *world) measureTraffic(span clock.Duration) (ordinary, relay traffic) {
+	w.countsTraffic = true
 	for _, m := range w.machines {
 		m.messages, m.bytes = 0, 0
 	}
 	w.run(span)
-	w.weigh = false
+	w.countsTraffic = false
 	var count [2]float64
 	var sum [2]traffic
 	for _, m := range w.machines {
 		i := 0
-		if m.g.Relays() {
+		if m.g.IsRelay() {
 			i = 1
 		}
 		count[i] += float64(span) / float64(clock.Second)
@@ -222,22 +222,22 @@
 	return sum[0], sum[1]
 }
 
-// spread does something that ends an endpoint, and returns how long any node went on using it.
-func (w *world) spread(event func()) clock.Duration {
+// sendGossip does something that ends an endpoint, and returns how long any node went on using it.
+func (w *world) measureSpread(event func()) clock.Duration {
 	before := map[identifier.Endpoint]bool{}
-	for id, a := range w.truth {
-		before[id] = a.gone > 0
+	for id, a := range w.endpointTruths {
+		before[id] = a.goneAt > 0
 	}
 	start := w.now
 	event()
 	for range 1000 {
 		used := false
-		for id, a := range w.truth {
-			if a.gone == 0 || before[id] {
+		for id, a := range w.endpointTruths {
+			if a.goneAt == 0 || before[id] {
 				continue
 			}
 			for _, m := range w.machines {
-				p, known := m.mirror[id]
+				p, known := m.effectView[id]
 				used = used || (known && p.State != gossiper.Leaving)
 			}
 		}
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -32,28 +32,28 @@
 	DefaultSuspicion     = 1500 * clock.Millisecond
 	// TickInterval is how often Tick is meant to be called.
 	TickInterval = 100 * clock.Millisecond
-	// downTerm is how long the record of a dead member is kept, so that a late message can't revive it.
-	downTerm = 10 * clock.Minute
-	// pauseLimit is the gap between two ticks that means that this process itself stood still.
-	pauseLimit = clock.Second
+	// downRetention is how long the record of a dead member is kept, so that a late message can't revive it.
+	downRetention = 10 * clock.Minute
+	// maxTickGap is the gap between two ticks that means that this process itself stood still.
+	maxTickGap = clock.Second
 )
 
 // Gossiper is the reducer of one node.
 type Gossiper struct {
-	options  Options
-	self     Member
-	own      *table
-	view     view
-	news     News
-	lastTick clock.Time
-	ticked   bool
-	spreader spreader
-	prober   prober
-	repairer repairer
-	relayer  relayer
-	joiner   joiner
-	follower follower
-	nextTidy clock.Time
+	options      Options
+	self         Member
+	ownTable     *table
+	view         view
+	status       Status
+	lastTick     clock.Time
+	ticked       bool
+	spreader     spreader
+	prober       prober
+	repairer     repairer
+	relayer      relayer
+	joiner       joiner
+	follower     follower
+	nextEviction clock.Time
 }
 
 // New returns a Gossiper that knows only itself.
@@ -69,29 +69,29 @@
 	g := &Gossiper{
 		options:  o,
 		self:     o.Self,
-		own:      newTable(o.Self.Domain),
+		ownTable: newTable(o.Self.Domain),
 		view:     newView(),
 		relayer:  newRelayer(),
 		follower: newFollower(),
 		joiner:   newJoiner(),
 	}
-	g.own.put(g.self, 0)
-	g.view.see(g.self, 0)
-	g.elect()
+	g.ownTable.put(g.self, 0)
+	g.view.apply(g.self, 0)
+	g.electRelays()
 	return g
 }
 
-// SetNews sets what this node's pings tell about its configuration.
-func (g *Gossiper) SetNews(n News) {
-	g.news = n
+// SetStatus sets what this node's pings tell about its configuration.
+func (g *Gossiper) SetStatus(s Status) {
+	g.status = s
 }
 
-// NewsOf returns the last news heard from a node of the own domain.
-func (g *Gossiper) NewsOf(n identifier.Node) (HeardNews, bool) {
-	if e := g.own.members[n]; e != nil && e.news.At > 0 {
-		return e.news, true
+// StatusOf returns the last news heard from a node of the own domain.
+func (g *Gossiper) StatusOf(n identifier.Node) (ReceivedStatus, bool) {
+	if e := g.ownTable.members[n]; e != nil && e.status.At > 0 {
+		return e.status, true
 	}
-	return HeardNews{}, false
+	return ReceivedStatus{}, false
 }
 
 // Self returns this node's own record.
@@ -101,12 +101,12 @@
 
 // Members returns the members of the own domain that are not dead, by name; the caller must not change it.
 func (g *Gossiper) Members() []identifier.Node {
-	return g.own.up
+	return g.ownTable.up
 }
 
 // Member returns the record of a member of the own domain.
 func (g *Gossiper) Member(n identifier.Node) (Member, bool) {
-	if e := g.own.members[n]; e != nil {
+	if e := g.ownTable.members[n]; e != nil {
 		return e.Member, true
 	}
 	return Member{}, false
@@ -119,7 +119,7 @@
 
 // AddressOf returns the address of a node.
 func (g *Gossiper) AddressOf(n identifier.Node) (string, bool) {
-	if e := g.own.members[n]; e != nil {
+	if e := g.ownTable.members[n]; e != nil {
 		return e.Address, true
 	}
 	if s := g.view.members[n]; s != nil {
@@ -130,49 +130,49 @@
 
 // Tick does what is due; call it every TickInterval.
 func (g *Gossiper) Tick(now clock.Time) []Effect {
-	g.excusePause(now)
+	g.compensatePause(now)
 	if g.self.State == Left {
-		return append(g.spread(now), g.flushOwn()...)
+		return append(g.sendGossip(now), g.flushOwnPushes()...)
 	}
 	effects := g.tickJoin(now)
-	effects = append(effects, g.tickProbes(now)...)
+	effects = append(effects, g.tickPings(now)...)
 	effects = append(effects, g.tickSuspects(now)...)
 	effects = append(effects, g.tickRelay(now)...)
 	effects = append(effects, g.tickFollow(now)...)
-	effects = append(effects, g.spread(now)...)
-	if now >= g.nextTidy {
-		g.nextTidy = now.Add(clock.Minute)
-		g.tidy(now)
+	effects = append(effects, g.sendGossip(now)...)
+	if now >= g.nextEviction {
+		g.nextEviction = now.Add(clock.Minute)
+		g.evictDownMembers(now)
 	}
 	return effects
 }
 
-// excusePause keeps a process that stood still from calling others dead: it didn't hear their answers, and a
-// paused node would otherwise tell the whole domain that everyone else is gone.
-func (g *Gossiper) excusePause(now clock.Time) {
+// excludePause keeps a process that stood still from calling others dead: it didn't hear their answers, and a
+// pausedUntil node would otherwise tell the whole domain that everyone else is gone.
+func (g *Gossiper) compensatePause(now clock.Time) {
 	gap := now.Sub(g.lastTick)
-	if g.ticked && gap > pauseLimit {
-		g.prober.forget()
-		for _, e := range g.own.members {
+	if g.ticked && gap > maxTickGap {
+		g.prober.clearPending()
+		for _, e := range g.ownTable.members {
 			if e.State == Suspect {
 				// A suspicion that was heard of right after the pause is not that old.
 				e.deadline = min(e.deadline.Add(gap), now.Add(g.options.Suspicion))
 			}
 		}
-		g.relayer.excuse(gap, now)
-		g.follower.hurry(now)
+		g.relayer.excludePause(gap, now)
+		g.follower.renewNow(now)
 	}
 	g.ticked = true
 	g.lastTick = now
 }
 
-func (g *Gossiper) tidy(now clock.Time) {
-	g.own.forget(now, downTerm)
+func (g *Gossiper) evictDownMembers(now clock.Time) {
+	g.ownTable.evictDown(now, downRetention)
 	for _, t := range g.relayer.tables {
-		t.forget(now, downTerm)
+		t.evictDown(now, downRetention)
 	}
 	for n, s := range g.view.members {
-		if !s.up() && now.Sub(s.confirmed) > downTerm {
+		if !s.up() && now.Sub(s.confirmed) > downRetention {
 			delete(g.view.members, n)
 		}
 	}
@@ -188,10 +188,10 @@
 	case PingRequest:
 		return g.receivePingRequest(from, m, now)
 	case IndirectAck:
-		g.prober.answered(m.Sequence, m.Target)
+		g.prober.removePending(m.Sequence, m.Target)
 		return nil
 	case Gossip:
-		return g.learn(m.Updates, now)
+		return g.applyUpdates(m.Updates, now)
 	case Digest:
 		return g.receiveDigest(from, m)
 	case Summary:
@@ -226,7 +226,7 @@
 	} else {
 		list = append(list, e)
 	}
-	return g.rewrite(list, Alive, now)
+	return g.updateSelf(list, Alive, now)
 }
 
 // LeaveEndpoint tells that an endpoint takes no new work any more.
@@ -246,30 +246,30 @@
 	if len(list) == len(g.self.Endpoints) {
 		return nil
 	}
-	return g.rewrite(list, Alive, now)
+	return g.updateSelf(list, Alive, now)
 }
 
 // Leave tells the fleet that this node goes; keep ticking for a second so that the news spreads.
 func (g *Gossiper) Leave(now clock.Time) []Effect {
-	effects := g.rewrite(nil, Left, now)
+	effects := g.updateSelf(nil, Left, now)
 	r := Departed{Node: g.self.Node, Domain: g.self.Domain}
 	return append(effects, Append{Record: r})
 }
 
-func (g *Gossiper) rewrite(endpoints []Endpoint, state MemberState, now clock.Time) []Effect {
+func (g *Gossiper) updateSelf(endpoints []Endpoint, state MemberState, now clock.Time) []Effect {
 	if g.self.State == Left {
 		return nil
 	}
 	g.self.Endpoints = endpoints
 	g.self.State = state
 	g.self.Incarnation++
-	effects := g.take(g.self, now)
-	effects = append(effects, g.spread(now)...)
-	return append(effects, g.flushOwn()...)
+	effects := g.applyRecord(g.self, now)
+	effects = append(effects, g.sendGossip(now)...)
+	return append(effects, g.flushOwnPushes()...)
 }
 
-// learn takes in records of the own domain.
-func (g *Gossiper) learn(updates []Member, now clock.Time) []Effect {
+// applyUpdates takes in records of the own domain.
+func (g *Gossiper) applyUpdates(updates []Member, now clock.Time) []Effect {
 	var effects []Effect
 	for _, m := range updates {
 		if m.Domain != g.self.Domain {
@@ -279,7 +279,7 @@
 			effects = append(effects, g.refute(m, now)...)
 			continue
 		}
-		effects = append(effects, g.take(m, now)...)
+		effects = append(effects, g.applyRecord(m, now)...)
 	}
 	return effects
 }
@@ -287,35 +287,35 @@
 // refute answers a record of this node that it hasn't written. Unanswered, a node that lost a few pings
 // would be taken for dead though it lives.
 func (g *Gossiper) refute(m Member, now clock.Time) []Effect {
-	if !newer(m, g.self) || g.self.State == Left {
+	if !supersedes(m, g.self) || g.self.State == Left {
 		return nil
 	}
 	g.self.Incarnation = m.Incarnation + 1
-	return g.take(g.self, now)
+	return g.applyRecord(g.self, now)
 }
 
-// take puts a record of the own domain in its table and passes it on if it is news.
-func (g *Gossiper) take(m Member, now clock.Time) []Effect {
-	old, ok := g.own.put(m, now)
+// applyRecord puts a record of the own domain in its table and passes it on if it is news.
+func (g *Gossiper) applyRecord(m Member, now clock.Time) []Effect {
+	old, ok := g.ownTable.put(m, now)
 	if !ok {
 		return nil
 	}
-	e := g.own.members[m.Node]
+	e := g.ownTable.members[m.Node]
 	m = e.Member
 	e.unverified = m.State == Suspect && (e.unverified || !old.up())
-	g.spreader.add(m.Node)
-	if g.relayer.active || m.Node == g.self.Node {
-		g.relayer.changedOwn(m.Node)
+	g.spreader.startSpreading(m.Node)
+	if g.relayer.isRelay || m.Node == g.self.Node {
+		g.relayer.pushOwn(m.Node)
 	}
 	if m.State == Suspect {
-		g.suspected(m.Node, now)
+		g.startSuspicion(m.Node, now)
 	}
 	var effects []Effect
 	if !e.unverified {
-		effects = g.view.see(m, now)
+		effects = g.view.apply(m, now)
 	}
 	if old.up() != m.up() {
-		g.elect()
+		g.electRelays()
 		effects = append(effects, MembersChanged{Domain: m.Domain})
 	}
 	return effects
--- a/internal/gossiper/joiner.go
+++ b/internal/gossiper/joiner.go
@@ -23,9 +23,9 @@
 )
 
 type joiner struct {
-	announced  bool
-	next       clock.Time
-	candidates []Contact
+	joinRecorded bool
+	nextJoin     clock.Time
+	candidates   []Contact
 }
 
 func newJoiner() joiner {
@@ -35,17 +35,17 @@
 func (g *Gossiper) tickJoin(now clock.Time) []Effect {
 	j := &g.joiner
 	var effects []Effect
-	if !j.announced {
-		j.announced = true
+	if !j.joinRecorded {
+		j.joinRecorded = true
 		effects = append(effects, Append{Record: Joined{Contact: contactOf(g.self)}})
 	}
-	if now < j.next {
+	if now < j.nextJoin {
 		return effects
 	}
-	j.next = now.Add(joinRetry/2 + g.jitter(joinRetry))
+	j.nextJoin = now.Add(joinRetry/2 + g.jitter(joinRetry))
 	fanout := joinFanout
-	if len(g.own.up) > 1 {
-		j.next = now.Add(rejoinInterval/2 + g.jitter(rejoinInterval))
+	if len(g.ownTable.up) > 1 {
+		j.nextJoin = now.Add(rejoinInterval/2 + g.jitter(rejoinInterval))
 		fanout = 1
 	}
 	message := Join{Self: g.self, Hash: g.joinHash()}
@@ -58,10 +58,10 @@
 }
 
 func (g *Gossiper) joinHash() uint64 {
-	if len(g.own.up) == 1 {
+	if len(g.ownTable.up) == 1 {
 		return 0
 	}
-	return g.own.hash()
+	return g.ownTable.hash()
 }
 
 func (g *Gossiper) joinTargets() []Contact {
@@ -72,7 +72,7 @@
 		}
 	}
 	for _, c := range g.joiner.candidates {
-		if e := g.own.members[c.Node]; e == nil || !e.up() {
+		if e := g.ownTable.members[c.Node]; e == nil || !e.up() {
 			targets = append(targets, c)
 		}
 	}
@@ -85,7 +85,7 @@
 	case Joined:
 		return g.addCandidate(r.Contact, now)
 	case Departed:
-		return g.readDeparted(r, now)
+		return g.applyDeparted(r, now)
 	}
 	return nil
 }
@@ -106,70 +106,70 @@
 		j.candidates = slices.Delete(j.candidates, 0, 1)
 	}
 	j.candidates = append(j.candidates, c)
-	if len(g.own.up) == 1 {
-		j.next = min(j.next, now.Add(TickInterval))
+	if len(g.ownTable.up) == 1 {
+		j.nextJoin = min(j.nextJoin, now.Add(TickInterval))
 	}
 	return nil
 }
 
-func (g *Gossiper) readDeparted(r Departed, now clock.Time) []Effect {
-	isIt := func(c Contact) bool { return c.Node == r.Node }
-	g.joiner.candidates = slices.DeleteFunc(g.joiner.candidates, isIt)
+func (g *Gossiper) applyDeparted(r Departed, now clock.Time) []Effect {
+	isDeparted := func(c Contact) bool { return c.Node == r.Node }
+	g.joiner.candidates = slices.DeleteFunc(g.joiner.candidates, isDeparted)
 	if r.Domain != g.self.Domain {
 		if o := g.relayer.remotes[r.Domain]; o != nil {
-			o.contacts = slices.DeleteFunc(slices.Clone(o.contacts), isIt)
+			o.contacts = slices.DeleteFunc(slices.Clone(o.contacts), isDeparted)
 		}
 		return nil
 	}
-	e := g.own.members[r.Node]
+	e := g.ownTable.members[r.Node]
 	if e == nil || r.Node == g.self.Node {
 		return nil
 	}
 	m := e.Member
 	m.State = Left
-	return g.take(m, now)
+	return g.applyRecord(m, now)
 }
 
 func (g *Gossiper) receiveJoin(m Join, now clock.Time) []Effect {
-	reply := func(answer any) Effect {
+	replyWith := func(answer any) Effect {
 		return Send{To: m.Self.Node, Address: m.Self.Address, Message: answer}
 	}
 	if m.Self.Domain != g.self.Domain {
 		contacts := append(g.ownRelays(), g.Contacts()...)
-		answer := reply(JoinAnswer{Contacts: contacts})
+		answer := replyWith(JoinAnswer{Contacts: contacts})
 		return append(g.addContact(contactOf(m.Self), now), answer)
 	}
-	effects := g.learn([]Member{m.Self}, now)
-	if e := g.own.members[m.Self.Node]; m.Hash != 0 && e != nil && e.up() {
+	effects := g.applyUpdates([]Member{m.Self}, now)
+	if e := g.ownTable.members[m.Self.Node]; m.Hash != 0 && e != nil && e.up() {
 		// It asks now and then whether it knows all; the whole table each time would be most of its traffic.
-		effects = append(effects, reply(JoinAnswer{Contacts: g.Contacts()}))
-		return append(effects, g.compare(m.Self.Node, m.Hash, now)...)
+		effects = append(effects, replyWith(JoinAnswer{Contacts: g.Contacts()}))
+		return append(effects, g.startComparison(m.Self.Node, m.Hash, now)...)
 	}
 	// A node that was taken for dead while it was cut off gets told, so that it writes a newer record.
 	var members []Member
-	for _, n := range g.own.up {
+	for _, n := range g.ownTable.up {
 		if n != m.Self.Node {
-			members = append(members, g.own.members[n].Member)
+			members = append(members, g.ownTable.members[n].Member)
 		}
 	}
-	if e := g.own.members[m.Self.Node]; e != nil && !e.up() {
+	if e := g.ownTable.members[m.Self.Node]; e != nil && !e.up() {
 		members = append(members, e.Member)
 	}
 	for len(members) > maxMembers {
-		effects = append(effects, reply(JoinAnswer{Members: members[:maxMembers]}))
+		effects = append(effects, replyWith(JoinAnswer{Members: members[:maxMembers]}))
 		members = members[maxMembers:]
 	}
-	return append(effects, reply(JoinAnswer{Members: members, Contacts: g.Contacts()}))
+	return append(effects, replyWith(JoinAnswer{Members: members, Contacts: g.Contacts()}))
 }
 
 func (g *Gossiper) receiveJoinAnswer(m JoinAnswer, now clock.Time) []Effect {
-	effects := g.learn(m.Members, now)
+	effects := g.applyUpdates(m.Members, now)
 	for _, c := range m.Contacts {
 		if c.Domain != g.self.Domain {
 			effects = append(effects, g.addContact(c, now)...)
 			continue
 		}
-		known := g.own.members[c.Node] != nil || c.Node == g.self.Node
+		known := g.ownTable.members[c.Node] != nil || c.Node == g.self.Node
 		if !known {
 			effects = append(effects, g.addCandidate(c, now)...)
 			effects = append(effects, Send{To: c.Node, Address: c.Address, Message: Join{Self: g.self, Hash: g.joinHash()}})
--- a/internal/gossiper/messages.go
+++ b/internal/gossiper/messages.go
@@ -12,7 +12,7 @@
 // Ping asks a member of the own domain whether it lives.
 type Ping struct {
 	Sequence uint32
-	News     News
+	Status   Status
 	Hash     uint64
 	Updates  []Member
 }
@@ -20,7 +20,7 @@
 // Ack answers a Ping.
 type Ack struct {
 	Sequence uint32
-	News     News
+	Status   Status
 	Updates  []Member
 }
 
@@ -104,15 +104,15 @@
 
 // Subscription answers Subscribe, or pushes changes unasked.
 type Subscription struct {
-	Answer bool
-	// Same tells that the subscriber holds all members and contacts, so that neither is repeated.
-	Same     bool
-	Members  []Member
-	Contacts []Contact
-	// Silent lists the domains that the relay hasn't heard for a while, Heard those that it has. A new relay
+	IsAnswer bool
+	// Unchanged tells that the subscriber holds all members and contacts, so that neither is repeated.
+	Unchanged bool
+	Members   []Member
+	Contacts  []Contact
+	// SilentDomains lists the domains that the relay hasn't heard for a while, Heard those that it has. A new relay
 	// lists a domain in neither until it knows.
-	Silent []identifier.FailureDomain
-	Heard  []identifier.FailureDomain
+	SilentDomains    []identifier.FailureDomain
+	ReachableDomains []identifier.FailureDomain
 }
 
 // Joined is the log's record of a node that has started.
--- a/internal/gossiper/pause_test.go
+++ b/internal/gossiper/pause_test.go
@@ -17,7 +17,7 @@
 	})
 	g.Tick(100)
 	for _, n := range members {
-		g.learn([]Member{testMember(n, Alive)}, 100)
+		g.applyUpdates([]Member{testMember(n, Alive)}, 100)
 	}
 	return g
 }
@@ -43,17 +43,17 @@
 }
 
 // A message taken in right after a pause must not move a domain's last word into the future, or its silence goes unnoticed.
-func TestPauseDoesNotMoveAWordIntoTheFuture(t *testing.T) {
+func TestPauseDoesNotMoveLastContactIntoTheFuture(t *testing.T) {
 	const woken = clock.Time(20_000)
 	g := newTestGossiper()
-	g.hearDomain("east", 50)
-	g.hearDomain("east", woken)
+	g.recordContact("east", 50)
+	g.recordContact("east", woken)
 	g.Tick(woken)
-	assert.Assert(t, g.relayer.remotes["east"].heard <= woken)
+	assert.Assert(t, g.relayer.remotes["east"].lastContact <= woken)
 }
 
 // Another domain's word that a member of the own one lives must not bring endpoints into use that may be long gone.
-func TestMemberRememberedElsewhereIsUsedOnceItAnswers(t *testing.T) {
+func TestMemberReportedByOtherDomainIsUsedOnceItRefutes(t *testing.T) {
 	g := newTestGossiper()
 	g.Receive("relayOfEast", Members{Domain: "west", Members: []Member{testMember("n", Alive)}}, 200)
 	m, ok := g.Member("n")
@@ -67,16 +67,16 @@
 }
 
 // A node that becomes a relay must not drop living members of other domains before its own tables are filled.
-func TestNewRelayKeepsWhatItWasTold(t *testing.T) {
+func TestNewRelayKeepsSubscribedMembers(t *testing.T) {
 	const chosen = clock.Time(20_000)
 	g := newTestGossiper()
 	g.AddInterest("ice", 100)
 	remote := testMember("n", Alive)
 	remote.Domain = "east"
-	g.seeRemote(remote, chosen.Add(-relayTerm))
+	g.applyRemoteRecord(remote, chosen.Add(-relayConfirmTerm))
 	g.remoteOf("east", 100)
-	g.relayer.listening = false
-	for now := chosen; now < chosen.Add(unknownLimit); now = now.Add(TickInterval) {
+	g.relayer.tracksSilence = false
+	for now := chosen; now < chosen.Add(newRelaySilenceLimit); now = now.Add(TickInterval) {
 		g.Tick(now)
 	}
 	assert.Equal(t, len(g.Endpoints("ice")), 1)
@@ -89,24 +89,24 @@
 	g.AddInterest("ice", 100)
 	remote := testMember("n", Alive)
 	remote.Domain = "east"
-	g.seeRemote(remote, chosen)
+	g.applyRemoteRecord(remote, chosen)
 	east := g.remoteOf("east", 100)
-	east.silent, east.heard = true, 100-clock.Time(2*silenceLimit)
-	g.view.hide("east", true)
-	g.relayer.listening = false
-	for now := chosen; now < chosen.Add(unknownLimit); now = now.Add(TickInterval) {
+	east.silent, east.lastContact = true, 100-clock.Time(2*silenceLimit)
+	g.view.setHidden("east", true)
+	g.relayer.tracksSilence = false
+	for now := chosen; now < chosen.Add(newRelaySilenceLimit); now = now.Add(TickInterval) {
 		g.Tick(now)
 		assert.Equal(t, len(g.Endpoints("ice")), 0)
 	}
 }
 
 // A node that stood still must ask at once what it missed, or it uses servers that left meanwhile for seconds.
-func TestPausedFollowerAsksAtOnce(t *testing.T) {
+func TestPausedFollowerRenewsAtOnce(t *testing.T) {
 	g := newTestGossiper("r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8")
-	assert.Assert(t, !g.relayer.active)
+	assert.Assert(t, !g.relayer.isRelay)
 	g.Tick(200)
 	g.follower.answered = true
-	g.follower.next = 30_000
+	g.follower.nextRenewal = 30_000
 	asked := 0
 	for _, e := range g.Tick(20_000) {
 		if s, ok := e.(Send); ok {
--- a/internal/gossiper/prober.go
+++ b/internal/gossiper/prober.go
@@ -23,48 +23,48 @@
 	indirectFanout = 2
 	// confirmInterval is how often a suspect member is pinged by those who confirm the suspicion.
 	confirmInterval = 300 * clock.Millisecond
-	// confirmers is about how many members confirm a suspicion.
-	confirmers = 4
-	// healInterval is how often a dead member is pinged, as it may have been cut off only.
-	healInterval = 5 * clock.Second
+	// confirmerCount is about how many members confirm a suspicion.
+	confirmerCount = 4
+	// deadPingInterval is how often a dead member is pinged, as it may have been cut off only.
+	deadPingInterval = 5 * clock.Second
 )
 
-type probe struct {
+type pendingPing struct {
 	sequence uint32
 	target   identifier.Node
-	sent     clock.Time
-	repeat   clock.Time
+	sentAt   clock.Time
+	repeatAt clock.Time
 	// requester is the node that asked for this ping, and requested its sequence.
-	requester identifier.Node
-	requested uint32
+	requester         identifier.Node
+	requesterSequence uint32
 }
 
 type prober struct {
-	sequence  uint32
-	pending   []probe
-	nextProbe clock.Time
-	nextHeal  clock.Time
-	random    bool
-	// suspects lists the members that were suspected last.
-	suspects []identifier.Node
+	sequence     uint32
+	pendingPings []pendingPing
+	nextProbe    clock.Time
+	nextDeadPing clock.Time
+	randomTarget bool
+	// suspectMembers lists the members that were suspected last.
+	suspectMembers []identifier.Node
 }
 
-func (p *prober) forget() {
-	p.pending = nil
+func (p *prober) clearPending() {
+	p.pendingPings = nil
 }
 
-func (p *prober) answered(sequence uint32, target identifier.Node) {
-	p.pending = slices.DeleteFunc(p.pending, func(o probe) bool {
+func (p *prober) removePending(sequence uint32, target identifier.Node) {
+	p.pendingPings = slices.DeleteFunc(p.pendingPings, func(o pendingPing) bool {
 		return o.target == target && o.sequence == sequence
 	})
 }
 
-func (g *Gossiper) tickProbes(now clock.Time) []Effect {
-	effects := g.judgeProbes(now)
+func (g *Gossiper) tickPings(now clock.Time) []Effect {
+	effects := g.checkPendingPings(now)
 	p := &g.prober
-	if now >= p.nextHeal {
-		p.nextHeal = now.Add(healInterval/2 + g.jitter(healInterval))
-		effects = append(effects, g.heal()...)
+	if now >= p.nextDeadPing {
+		p.nextDeadPing = now.Add(deadPingInterval/2 + g.jitter(deadPingInterval))
+		effects = append(effects, g.pingDeadMember()...)
 	}
 	if now < p.nextProbe {
 		return effects
@@ -79,133 +79,133 @@
 }
 
 func (g *Gossiper) nextTarget() identifier.Node {
-	up := g.own.up
+	up := g.ownTable.up
 	if len(up) < 2 {
 		return ""
 	}
-	g.prober.random = !g.prober.random
-	if g.prober.random {
-		return g.somePeer()
+	g.prober.randomTarget = !g.prober.randomTarget
+	if g.prober.randomTarget {
+		return g.randomPeer()
 	}
 	// Suspect members are pinged anyway; waiting for the end of one suspicion before the next member is looked at
 	// would take too long where neighbours died together.
 	i, _ := slices.BinarySearch(up, g.self.Node)
 	for step := 1; step < len(up); step++ {
-		if n := up[(i+step)%len(up)]; g.own.members[n].State == Alive {
+		if n := up[(i+step)%len(up)]; g.ownTable.members[n].State == Alive {
 			return n
 		}
 	}
-	return g.somePeer()
+	return g.randomPeer()
 }
 
-func (g *Gossiper) somePeer() identifier.Node {
-	i := g.options.Rand.IntN(len(g.own.up) - 1)
-	own, _ := slices.BinarySearch(g.own.up, g.self.Node)
-	if i >= own {
+func (g *Gossiper) randomPeer() identifier.Node {
+	i := g.options.Rand.IntN(len(g.ownTable.up) - 1)
+	ownIndex, _ := slices.BinarySearch(g.ownTable.up, g.self.Node)
+	if i >= ownIndex {
 		i++
 	}
-	return g.own.up[i]
+	return g.ownTable.up[i]
 }
 
 // ping sends a ping; the newest record of a suspect target goes first, so that it can refute.
-func (g *Gossiper) ping(target, requester identifier.Node, requested uint32, now clock.Time) Effect {
+func (g *Gossiper) ping(target, requester identifier.Node, requesterSequence uint32, now clock.Time) Effect {
 	g.prober.sequence++
-	g.prober.pending = append(g.prober.pending, probe{
-		sequence:  g.prober.sequence,
-		target:    target,
-		sent:      now,
-		repeat:    now.Add(repeatInterval),
-		requester: requester,
-		requested: requested,
+	g.prober.pendingPings = append(g.prober.pendingPings, pendingPing{
+		sequence:          g.prober.sequence,
+		target:            target,
+		sentAt:            now,
+		repeatAt:          now.Add(repeatInterval),
+		requester:         requester,
+		requesterSequence: requesterSequence,
 	})
 	return g.send(target, Ping{
 		Sequence: g.prober.sequence,
-		News:     g.news,
-		Hash:     g.own.hash(),
-		Updates:  g.updatesFor(target),
+		Status:   g.status,
+		Hash:     g.ownTable.hash(),
+		Updates:  g.updatesForTarget(target),
 	})
 }
 
-func (g *Gossiper) updatesFor(target identifier.Node) []Member {
-	updates := g.updates(1)
-	e := g.own.members[target]
+func (g *Gossiper) updatesForTarget(target identifier.Node) []Member {
+	updates := g.nextUpdates(1)
+	e := g.ownTable.members[target]
 	if e == nil || e.State == Alive {
 		return updates
 	}
 	return slices.Insert(updates, 0, e.Member)
 }
 
-func (g *Gossiper) judgeProbes(now clock.Time) []Effect {
+func (g *Gossiper) checkPendingPings(now clock.Time) []Effect {
 	var effects []Effect
-	var late []identifier.Node
-	kept := g.prober.pending[:0]
-	for _, p := range g.prober.pending {
-		age := now.Sub(p.sent)
+	var unanswered []identifier.Node
+	kept := g.prober.pendingPings[:0]
+	for _, p := range g.prober.pendingPings {
+		age := now.Sub(p.sentAt)
 		if age >= g.options.ProbeInterval {
 			if p.requester == "" {
-				late = append(late, p.target)
+				unanswered = append(unanswered, p.target)
 			}
 			continue
 		}
-		if now >= p.repeat && p.requester == "" {
-			p.repeat = now.Add(repeatInterval)
-			effects = append(effects, g.insist(p)...)
+		if now >= p.repeatAt && p.requester == "" {
+			p.repeatAt = now.Add(repeatInterval)
+			effects = append(effects, g.repeatPing(p)...)
 		}
 		kept = append(kept, p)
 	}
-	g.prober.pending = kept
-	for _, n := range late {
-		effects = append(effects, g.suspect(n, now)...)
+	g.prober.pendingPings = kept
+	for _, n := range unanswered {
+		effects = append(effects, g.markSuspect(n, now)...)
 	}
 	return effects
 }
 
-func (g *Gossiper) insist(p probe) []Effect {
-	again := Ping{Sequence: p.sequence, News: g.news, Hash: g.own.hash()}
-	effects := []Effect{g.send(p.target, again)}
-	for _, n := range g.somePeers(indirectFanout, p.target) {
+func (g *Gossiper) repeatPing(p pendingPing) []Effect {
+	repeated := Ping{Sequence: p.sequence, Status: g.status, Hash: g.ownTable.hash()}
+	effects := []Effect{g.send(p.target, repeated)}
+	for _, n := range g.randomPeers(indirectFanout, p.target) {
 		effects = append(effects, g.send(n, PingRequest{Sequence: p.sequence, Target: p.target}))
 	}
 	return effects
 }
 
-func (g *Gossiper) suspect(n identifier.Node, now clock.Time) []Effect {
-	e := g.own.members[n]
+func (g *Gossiper) markSuspect(n identifier.Node, now clock.Time) []Effect {
+	e := g.ownTable.members[n]
 	if e == nil || e.State != Alive {
 		return nil
 	}
 	m := e.Member
 	m.State = Suspect
-	effects := g.take(m, now)
+	effects := g.applyRecord(m, now)
 	e.confirming = true
 	return effects
 }
 
-// suspected starts the wait for a refutation. A few of those who hear of the suspicion ping the member too:
+// startSuspicion starts the wait for a refutation. A few of those who hear of the suspicion ping the member too:
 // with one in five messages lost, the one that suspects first is wrong too often to be trusted alone.
-func (g *Gossiper) suspected(n identifier.Node, now clock.Time) {
-	e := g.own.members[n]
+func (g *Gossiper) startSuspicion(n identifier.Node, now clock.Time) {
+	e := g.ownTable.members[n]
 	e.deadline = now.Add(g.options.Suspicion)
-	e.confirming = g.options.Rand.IntN(len(g.own.up)) < confirmers
+	e.confirming = g.options.Rand.IntN(len(g.ownTable.up)) < confirmerCount
 	e.nextPing = now
-	if !slices.Contains(g.prober.suspects, n) {
-		g.prober.suspects = append(g.prober.suspects, n)
+	if !slices.Contains(g.prober.suspectMembers, n) {
+		g.prober.suspectMembers = append(g.prober.suspectMembers, n)
 	}
 }
 
 func (g *Gossiper) tickSuspects(now clock.Time) []Effect {
 	var effects []Effect
 	isSettled := func(n identifier.Node) bool {
-		e := g.own.members[n]
+		e := g.ownTable.members[n]
 		return e == nil || e.State != Suspect
 	}
-	g.prober.suspects = slices.DeleteFunc(g.prober.suspects, isSettled)
-	for _, n := range g.prober.suspects {
-		e := g.own.members[n]
+	g.prober.suspectMembers = slices.DeleteFunc(g.prober.suspectMembers, isSettled)
+	for _, n := range g.prober.suspectMembers {
+		e := g.ownTable.members[n]
 		if now >= e.deadline {
 			m := e.Member
 			m.State = Dead
-			effects = append(effects, g.take(m, now)...)
+			effects = append(effects, g.applyRecord(m, now)...)
 			continue
 		}
 		if e.confirming && now >= e.nextPing {
@@ -216,55 +216,55 @@
 	return effects
 }
 
-// heal pings a dead member now and then. Two halves of a domain that were cut off from each other hold each
+// pingDeadMember pings a dead member now and then. Two halves of a domain that were cut off from each other hold each
 // other for dead, and without this no message would ever cross again.
-func (g *Gossiper) heal() []Effect {
-	if len(g.own.down) == 0 {
+func (g *Gossiper) pingDeadMember() []Effect {
+	if len(g.ownTable.down) == 0 {
 		return nil
 	}
-	n := g.own.down[g.options.Rand.IntN(len(g.own.down))]
-	message := Ping{News: g.news, Hash: g.own.hash(), Updates: g.updatesFor(n)}
+	n := g.ownTable.down[g.options.Rand.IntN(len(g.ownTable.down))]
+	message := Ping{Status: g.status, Hash: g.ownTable.hash(), Updates: g.updatesForTarget(n)}
 	return []Effect{g.send(n, message)}
 }
 
 func (g *Gossiper) receivePing(from identifier.Node, m Ping, now clock.Time) []Effect {
-	effects := g.learn(m.Updates, now)
-	effects = append(effects, g.hearNews(from, m.News, now)...)
-	e := g.own.members[from]
+	effects := g.applyUpdates(m.Updates, now)
+	effects = append(effects, g.receiveStatus(from, m.Status, now)...)
+	e := g.ownTable.members[from]
 	if e == nil {
 		// It knows this node, but not the other way round: ask for its record.
-		return append(effects, Send{To: from, Message: Ack{Sequence: m.Sequence, News: g.news}},
-			Send{To: from, Message: Members{Domain: g.own.domain, Wanted: []identifier.Node{from}}})
+		return append(effects, Send{To: from, Message: Ack{Sequence: m.Sequence, Status: g.status}},
+			Send{To: from, Message: Members{Domain: g.ownTable.domain, Wanted: []identifier.Node{from}}})
 	}
-	ack := Ack{Sequence: m.Sequence, News: g.news, Updates: g.updatesFor(from)}
+	ack := Ack{Sequence: m.Sequence, Status: g.status, Updates: g.updatesForTarget(from)}
 	effects = append(effects, g.send(from, ack))
-	return append(effects, g.compare(from, m.Hash, now)...)
+	return append(effects, g.startComparison(from, m.Hash, now)...)
 }
 
 func (g *Gossiper) receiveAck(from identifier.Node, m Ack, now clock.Time) []Effect {
 	var effects []Effect
-	for _, p := range g.prober.pending {
+	for _, p := range g.prober.pendingPings {
 		if p.sequence == m.Sequence && p.target == from && p.requester != "" {
-			effects = append(effects, g.send(p.requester, IndirectAck{Sequence: p.requested, Target: from}))
+			effects = append(effects, g.send(p.requester, IndirectAck{Sequence: p.requesterSequence, Target: from}))
 		}
 	}
-	g.prober.answered(m.Sequence, from)
-	effects = append(effects, g.learn(m.Updates, now)...)
-	return append(effects, g.hearNews(from, m.News, now)...)
+	g.prober.removePending(m.Sequence, from)
+	effects = append(effects, g.applyUpdates(m.Updates, now)...)
+	return append(effects, g.receiveStatus(from, m.Status, now)...)
 }
 
 func (g *Gossiper) receivePingRequest(from identifier.Node, m PingRequest, now clock.Time) []Effect {
-	if g.own.members[m.Target] == nil {
+	if g.ownTable.members[m.Target] == nil {
 		return nil
 	}
 	return []Effect{g.ping(m.Target, from, m.Sequence, now)}
 }
 
-func (g *Gossiper) hearNews(from identifier.Node, n News, now clock.Time) []Effect {
-	if e := g.own.members[from]; e != nil {
-		e.news = HeardNews{News: n, At: now}
+func (g *Gossiper) receiveStatus(from identifier.Node, received Status, now clock.Time) []Effect {
+	if e := g.ownTable.members[from]; e != nil {
+		e.status = ReceivedStatus{Status: received, At: now}
 	}
-	return []Effect{NewsHeard{Node: from, News: n}}
+	return []Effect{StatusReceived{Node: from, Status: received}}
 }
 
 func (g *Gossiper) jitter(span clock.Duration) clock.Duration {
--- a/internal/gossiper/pusher.go
+++ b/internal/gossiper/pusher.go
@@ -14,15 +14,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-func (g *Gossiper) flushOwn() []Effect {
-	if len(g.relayer.own) == 0 {
+func (g *Gossiper) flushOwnPushes() []Effect {
+	if len(g.relayer.ownPushes) == 0 {
 		return nil
 	}
 	var names []identifier.Node
-	for _, p := range g.relayer.own {
+	for _, p := range g.relayer.ownPushes {
 		names = append(names, p.node)
 	}
-	g.relayer.own = repeated(g.relayer.own)
+	g.relayer.ownPushes = remainingPushes(g.relayer.ownPushes)
 	var effects []Effect
 	for _, d := range g.relayer.domains() {
 		contacts := g.relayer.remotes[d].contacts
@@ -32,28 +32,28 @@
 		first := g.options.Rand.IntN(len(contacts))
 		for i := range min(relayFanout, len(contacts)) {
 			c := contacts[(first+i)%len(contacts)]
-			effects = append(effects, g.sendMembers(c.Node, g.own, names, nil)...)
+			effects = append(effects, g.sendMembers(c.Node, g.ownTable, names, nil)...)
 		}
 	}
 	return effects
 }
 
-// repeated returns the pushes that are to go out once more.
-func repeated(pushes []push) []push {
-	var again []push
+// remainingPushes returns the pushes that are to go out once more.
+func remainingPushes(pushes []push) []push {
+	var remaining []push
 	for _, p := range pushes {
 		p.copies++
 		if p.copies < pushCopies {
-			again = append(again, p)
+			remaining = append(remaining, p)
 		}
 	}
-	return again
+	return remaining
 }
 
-// learnRemote takes in records of another domain; only a relay keeps those of no interest to itself.
-func (g *Gossiper) learnRemote(m Members, now clock.Time) []Effect {
-	if !g.relayer.active {
-		return g.seeAll(m.Members, now)
+// applyRemoteMembers takes in records of another domain; only a relay keeps those of no interest to itself.
+func (g *Gossiper) applyRemoteMembers(m Members, now clock.Time) []Effect {
+	if !g.relayer.isRelay {
+		return g.applyRemoteRecords(m.Members, now)
 	}
 	t := g.relayer.tables[m.Domain]
 	if t == nil {
@@ -68,21 +68,21 @@
 			continue
 		}
 		changed = append(changed, record.Node)
-		effects = append(effects, g.seeRemote(t.members[record.Node].Member, now)...)
+		effects = append(effects, g.applyRemoteRecord(t.members[record.Node].Member, now)...)
 	}
 	// A whole table is left to the comparison between relays, or each would send it to each.
-	siblings := len(changed) > 0 && len(changed) <= maxMembers/2
+	toOwnRelays := len(changed) > 0 && len(changed) <= maxMembers/2
 	for _, n := range changed {
-		g.relayer.pushes = append(g.relayer.pushes, push{domain: m.Domain, node: n, siblings: siblings})
+		g.relayer.remotePushes = append(g.relayer.remotePushes, push{domain: m.Domain, node: n, toOwnRelays: toOwnRelays})
 	}
-	if siblings {
-		effects = append(effects, g.pushToSiblings(m.Domain, changed)...)
+	if toOwnRelays {
+		effects = append(effects, g.pushToOwnRelays(m.Domain, changed)...)
 	}
 	return effects
 }
 
-// pushToSiblings tells the other relays of the own domain of members of another one.
-func (g *Gossiper) pushToSiblings(d identifier.FailureDomain, changed []identifier.Node) []Effect {
+// pushToOwnRelays tells the other relays of the own domain of members of another one.
+func (g *Gossiper) pushToOwnRelays(d identifier.FailureDomain, changed []identifier.Node) []Effect {
 	var effects []Effect
 	for _, n := range g.relayer.relays {
 		if n != g.self.Node {
@@ -92,48 +92,48 @@
 	return effects
 }
 
-// repeatToSiblings tells the other relays once more: each of them may have lost the first word of both of the others, and
+// repeatToOwnRelays tells the other relays once more: each of them may have lost the first word of both of the others, and
 // what the domain itself pushes reaches only some of the relays.
-func (g *Gossiper) repeatToSiblings() []Effect {
+func (g *Gossiper) repeatToOwnRelays() []Effect {
 	changed := map[identifier.FailureDomain][]identifier.Node{}
-	for _, p := range g.relayer.pushes {
-		if p.siblings && p.copies > 0 {
+	for _, p := range g.relayer.remotePushes {
+		if p.toOwnRelays && p.copies > 0 {
 			changed[p.domain] = append(changed[p.domain], p.node)
 		}
 	}
 	var effects []Effect
 	for _, d := range g.relayer.domains() {
 		if len(changed[d]) > 0 {
-			effects = append(effects, g.pushToSiblings(d, changed[d])...)
+			effects = append(effects, g.pushToOwnRelays(d, changed[d])...)
 		}
 	}
 	return effects
 }
 
-func (g *Gossiper) seeAll(members []Member, now clock.Time) []Effect {
+func (g *Gossiper) applyRemoteRecords(members []Member, now clock.Time) []Effect {
 	var effects []Effect
 	for _, m := range members {
 		if m.Domain != g.self.Domain {
-			effects = append(effects, g.seeRemote(m, now)...)
+			effects = append(effects, g.applyRemoteRecord(m, now)...)
 		}
 	}
 	return effects
 }
 
-func (g *Gossiper) flushPushes(now clock.Time) []Effect {
-	pushes := g.relayer.pushes
-	if len(pushes) == 0 {
+func (g *Gossiper) flushRemotePushes(now clock.Time) []Effect {
+	remotePushes := g.relayer.remotePushes
+	if len(remotePushes) == 0 {
 		return nil
 	}
-	effects := g.repeatToSiblings()
+	effects := g.repeatToOwnRelays()
 	for _, n := range g.activeSubscribers(now) {
 		var records []Member
-		for _, p := range pushes {
+		for _, p := range remotePushes {
 			e := g.relayer.tables[p.domain].members[p.node]
 			if e == nil {
 				continue
 			}
-			if m, wanted := filter(e.Member, g.relayer.subscribers[n].services); wanted {
+			if m, wanted := filterServices(e.Member, g.relayer.subscribers[n].services); wanted {
 				records = append(records, m)
 			}
 		}
@@ -141,7 +141,7 @@
 			effects = append(effects, g.send(n, Subscription{Members: records}))
 		}
 	}
-	g.relayer.pushes = repeated(pushes)
+	g.relayer.remotePushes = remainingPushes(remotePushes)
 	return effects
 }
 
@@ -158,8 +158,8 @@
 	return names
 }
 
-// filter keeps the endpoints of some services; a member that is down is always wanted, as it may have had some.
-func filter(m Member, services []identifier.Service) (Member, bool) {
+// filterServices keeps the endpoints of some services; a member that is down is always wanted, as it may have had some.
+func filterServices(m Member, services []identifier.Service) (Member, bool) {
 	if !m.up() {
 		return m, true
 	}
--- a/internal/gossiper/pusher_test.go
+++ b/internal/gossiper/pusher_test.go
@@ -13,10 +13,10 @@
 // on using a server that left until the tables are compared.
 func TestRelaysRepeatRemoteChangesToEachOther(t *testing.T) {
 	g := newTestGossiper("a", "b")
-	assert.Assert(t, g.Relays())
+	assert.Assert(t, g.IsRelay())
 	left := testMember("far", Left)
 	left.Domain = "east"
-	told := map[identifier.Node]int{}
+	pushed := map[identifier.Node]int{}
 	count := func(effects []Effect) {
 		for _, e := range effects {
 			s, ok := e.(Send)
@@ -24,7 +24,7 @@
 				continue
 			}
 			if m, ok := s.Message.(Members); ok && m.Domain == "east" && len(m.Members) > 0 {
-				told[s.To]++
+				pushed[s.To]++
 			}
 		}
 	}
@@ -32,5 +32,5 @@
 	for now := clock.Time(300); now < 1500; now = now.Add(TickInterval) {
 		count(g.Tick(now))
 	}
-	assert.DeepEqual(t, told, map[identifier.Node]int{"a": pushCopies, "b": pushCopies})
+	assert.DeepEqual(t, pushed, map[identifier.Node]int{"a": pushCopies, "b": pushCopies})
 }
--- a/internal/gossiper/relayer.go
+++ b/internal/gossiper/relayer.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	relayCount   = 3
-	probeRemote  = clock.Second
-	maxContacts  = 4
-	silenceLimit = 3 * clock.Second
-	// unknownLimit is the same for a domain that a new relay has not heard yet.
-	unknownLimit = 1500 * clock.Millisecond
-	// urgentAfter is the silence after which all contacts of a domain are probed, every urgentProbe: taking a
+	relayCount          = 3
+	remoteProbeInterval = clock.Second
+	maxContacts         = 4
+	silenceLimit        = 3 * clock.Second
+	// newRelaySilenceLimit is the same for a domain that a new relay has not heard yet.
+	newRelaySilenceLimit = 1500 * clock.Millisecond
+	// urgentProbeDelay is the silence after which all contacts of a domain are probed, every urgentProbe: taking a
 	// whole domain out of use because a few probes got lost would be worse than the fault it guards against.
-	urgentAfter = 1200 * clock.Millisecond
-	urgentProbe = 300 * clock.Millisecond
-	// repeatsAfterSilence is how many urgent probes a relay sends to a domain when it has just been chosen, after it stood
+	urgentProbeDelay    = 1200 * clock.Millisecond
+	urgentProbeInterval = 300 * clock.Millisecond
+	// urgentProbesAfterSilence is how many urgent probes a relay sends to a domain when it has just been chosen, after it stood
 	// still, and after the domain was silent: what changed meanwhile was pushed in vain.
-	repeatsAfterSilence = 10
-	askAroundInterval   = 2 * clock.Second
-	subscribeTerm       = 12 * clock.Second
+	urgentProbesAfterSilence = 10
+	contactRequestInterval   = 2 * clock.Second
+	subscriptionTerm         = 12 * clock.Second
 	// pushCopies is how often a change is pushed to a subscriber, to the other relays of the own domain, and to relayFanout
 	// relays of each other domain, as pushes are not acknowledged and a comparison may come too late for a leaving server.
 	pushCopies  = 4
@@ -42,48 +42,48 @@
 	until    clock.Time
 }
 
-type remote struct {
+type remoteDomain struct {
 	contacts []Contact
-	// heard is when a node of that domain, or a relay of the own one on its behalf, was last heard.
-	heard  clock.Time
-	urgent clock.Time
-	// repeats is how many urgent probes are still due because the table differs or may be old. The exchange takes four
+	// lastContact is when a node of that domain, or a relay of the own one on its behalf, was last heard.
+	lastContact     clock.Time
+	nextUrgentProbe clock.Time
+	// remainingProbes is how many urgent probes are still due because the table differs or may be old. The exchange takes four
 	// messages, and with a fifth of them lost the next regular probe would often come too late.
-	repeats int
-	silent  bool
-	asked   clock.Time
-	// known tells that heard is of a real message, not of when this node began to listen.
-	known bool
-	// named tells that the domain itself has named the contacts.
-	named bool
+	remainingProbes    int
+	silent             bool
+	nextContactRequest clock.Time
+	// contacted tells that heard is of a real message, not of when this node began to listen.
+	contacted bool
+	// selfReported tells that the domain itself has named the contacts.
+	selfReported bool
 }
 
 type relayer struct {
-	relays      []identifier.Node
-	active      bool
-	listening   bool
-	tables      map[identifier.FailureDomain]*table
-	remotes     map[identifier.FailureDomain]*remote
-	subscribers map[identifier.Node]*subscriber
-	// own and pushes are the members changed since the last flush, of the own domain and of others. A node that
+	relays        []identifier.Node
+	isRelay       bool
+	tracksSilence bool
+	tables        map[identifier.FailureDomain]*table
+	remotes       map[identifier.FailureDomain]*remoteDomain
+	subscribers   map[identifier.Node]*subscriber
+	// ownTable and pushes are the members changed since the last flush, of the own domain and of others. A node that
 	// is no relay has only itself in own: it tells other domains of its own changes, as its relays may be dead.
-	own       []push
-	pushes    []push
-	nextProbe clock.Time
+	ownPushes    []push
+	remotePushes []push
+	nextProbe    clock.Time
 }
 
 type push struct {
 	domain identifier.FailureDomain
 	node   identifier.Node
 	copies int
-	// siblings tells that the other relays of the own domain get it as well.
-	siblings bool
+	// toOwnRelays tells that the other relays of the own domain get it as well.
+	toOwnRelays bool
 }
 
 func newRelayer() relayer {
 	return relayer{
 		tables:      map[identifier.FailureDomain]*table{},
-		remotes:     map[identifier.FailureDomain]*remote{},
+		remotes:     map[identifier.FailureDomain]*remoteDomain{},
 		subscribers: map[identifier.Node]*subscriber{},
 	}
 }
@@ -104,12 +104,12 @@
 	return "", false
 }
 
-// excuse leaves a pause of this process out of the silence of others. A message that was taken in right after the pause has
+// excludePause leaves a pause of this process out of the silence of others. A message that was taken in right after the pause has
 // already moved a domain's time on.
-func (r *relayer) excuse(gap clock.Duration, now clock.Time) {
+func (r *relayer) excludePause(gap clock.Duration, now clock.Time) {
 	for _, o := range r.remotes {
-		o.heard = min(now, o.heard.Add(gap))
-		o.repeats = repeatsAfterSilence
+		o.lastContact = min(now, o.lastContact.Add(gap))
+		o.remainingProbes = urgentProbesAfterSilence
 	}
 }
 
@@ -122,47 +122,47 @@
 	return names
 }
 
-func (r *relayer) changedOwn(n identifier.Node) {
-	r.own = slices.DeleteFunc(r.own, func(p push) bool { return p.node == n })
-	r.own = append(r.own, push{node: n})
+func (r *relayer) pushOwn(n identifier.Node) {
+	r.ownPushes = slices.DeleteFunc(r.ownPushes, func(p push) bool { return p.node == n })
+	r.ownPushes = append(r.ownPushes, push{node: n})
 }
 
 func (g *Gossiper) tickRelay(now clock.Time) []Effect {
 	r := &g.relayer
-	effects := g.flushOwn()
-	if !r.active {
+	effects := g.flushOwnPushes()
+	if !r.isRelay {
 		return effects
 	}
-	effects = append(effects, g.flushPushes(now)...)
-	g.listen(now)
+	effects = append(effects, g.flushRemotePushes(now)...)
+	g.startTrackingSilence(now)
 	for _, d := range r.domains() {
 		effects = append(effects, g.probeUrgently(d, now)...)
-		effects = append(effects, g.noteSilence(d, now)...)
-		effects = append(effects, g.askAround(d, now)...)
+		effects = append(effects, g.updateSilence(d, now)...)
+		effects = append(effects, g.requestContacts(d, now)...)
 	}
 	if now < r.nextProbe {
 		return effects
 	}
-	r.nextProbe = now.Add(probeRemote*3/4 + g.jitter(probeRemote/2))
+	r.nextProbe = now.Add(remoteProbeInterval*3/4 + g.jitter(remoteProbeInterval/2))
 	for _, d := range r.domains() {
 		effects = append(effects, g.probeDomain(d)...)
 	}
 	return effects
 }
 
-// listen begins to count silence when this node becomes a relay, as before it was told by others. What it was told counts
+// startTrackingSilence begins to count silence when this node becomes a relay, as before it was told by others. What it was told counts
 // until its own tables are filled: it would otherwise drop living members, and use those of a silent domain again.
-func (g *Gossiper) listen(now clock.Time) {
-	if g.relayer.listening {
+func (g *Gossiper) startTrackingSilence(now clock.Time) {
+	if g.relayer.tracksSilence {
 		return
 	}
-	g.relayer.listening = true
+	g.relayer.tracksSilence = true
 	g.confirmAll(now)
 	for _, o := range g.relayer.remotes {
-		o.known = false
-		o.repeats = repeatsAfterSilence
+		o.contacted = false
+		o.remainingProbes = urgentProbesAfterSilence
 		if !o.silent {
-			o.heard = now
+			o.lastContact = now
 		}
 	}
 }
@@ -194,13 +194,13 @@
 func (g *Gossiper) probeUrgently(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
 	t := g.relayer.tables[d]
-	quiet := now.Sub(o.heard) >= o.patience(urgentAfter, 0)
-	if t == nil || now < o.urgent || !(quiet || o.repeats > 0) {
+	silenceDue := now.Sub(o.lastContact) >= o.silenceThreshold(urgentProbeDelay, 0)
+	if t == nil || now < o.nextUrgentProbe || !(silenceDue || o.remainingProbes > 0) {
 		return nil
 	}
-	o.urgent = now.Add(urgentProbe)
-	if o.repeats > 0 && !quiet {
-		o.repeats--
+	o.nextUrgentProbe = now.Add(urgentProbeInterval)
+	if o.remainingProbes > 0 && !silenceDue {
+		o.remainingProbes--
 		return g.probeDomain(d)
 	}
 	var effects []Effect
@@ -215,41 +215,41 @@
 	return effects
 }
 
-// noteSilence takes a domain out of use that hasn't been heard for a while: when it dies whole, no member of
+// updateSilence takes a domain out of use that hasn't been heard for a while: when it dies whole, no member of
 // it is left to tell that the others are dead.
-func (g *Gossiper) noteSilence(d identifier.FailureDomain, now clock.Time) []Effect {
+func (g *Gossiper) updateSilence(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
-	silent := now.Sub(o.heard) > o.patience(silenceLimit, unknownLimit)
+	silent := now.Sub(o.lastContact) > o.silenceThreshold(silenceLimit, newRelaySilenceLimit)
 	if silent == o.silent {
 		return nil
 	}
 	o.silent = silent
-	effects := g.view.hide(d, silent)
+	effects := g.view.setHidden(d, silent)
 	if !silent {
 		return effects
 	}
 	for _, n := range g.activeSubscribers(now) {
-		push := Subscription{Answer: true, Same: true, Silent: []identifier.FailureDomain{d}}
-		effects = append(effects, g.send(n, push))
+		notice := Subscription{IsAnswer: true, Unchanged: true, SilentDomains: []identifier.FailureDomain{d}}
+		effects = append(effects, g.send(n, notice))
 	}
 	return effects
 }
 
-func (r *remote) patience(known, unknown clock.Duration) clock.Duration {
-	if r.known {
-		return known
+func (r *remoteDomain) silenceThreshold(contactedThreshold, uncontactedThreshold clock.Duration) clock.Duration {
+	if r.contacted {
+		return contactedThreshold
 	}
-	return unknown
+	return uncontactedThreshold
 }
 
-// askAround asks the other domains for contacts in a silent one: while it was cut off from this one, all its
+// requestContacts asks the other domains for contacts in a silent one: while it was cut off from this one, all its
 // nodes that are known here may have been replaced, and then nobody here could ever reach it again.
-func (g *Gossiper) askAround(d identifier.FailureDomain, now clock.Time) []Effect {
+func (g *Gossiper) requestContacts(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
-	if !o.silent || now < o.asked {
+	if !o.silent || now < o.nextContactRequest {
 		return nil
 	}
-	o.asked = now.Add(askAroundInterval)
+	o.nextContactRequest = now.Add(contactRequestInterval)
 	var effects []Effect
 	for _, other := range g.relayer.domains() {
 		contacts := g.relayer.remotes[other].contacts
@@ -263,25 +263,25 @@
 	return effects
 }
 
-func (g *Gossiper) hearDomain(d identifier.FailureDomain, now clock.Time) []Effect {
+func (g *Gossiper) recordContact(d identifier.FailureDomain, now clock.Time) []Effect {
 	if d == g.self.Domain {
 		return nil
 	}
 	o := g.remoteOf(d, now)
-	o.heard = max(o.heard, now)
-	o.known = true
+	o.lastContact = max(o.lastContact, now)
+	o.contacted = true
 	if !o.silent {
 		return nil
 	}
 	o.silent = false
-	o.repeats = repeatsAfterSilence
-	return g.view.hide(d, false)
+	o.remainingProbes = urgentProbesAfterSilence
+	return g.view.setHidden(d, false)
 }
 
 func (g *Gossiper) receiveProbe(from identifier.Node, m Probe, now clock.Time) []Effect {
 	effects := g.setContacts(m.Relays, now)
 	if len(m.Relays) > 0 {
-		effects = append(effects, g.hearDomain(m.Relays[0].Domain, now)...)
+		effects = append(effects, g.recordContact(m.Relays[0].Domain, now)...)
 	}
 	t := g.tableOf(m.Domain)
 	if t == nil {
@@ -299,7 +299,7 @@
 	effects := g.setContacts(m.Relays, now)
 	for _, c := range m.Relays {
 		if c.Domain != g.self.Domain {
-			return append(effects, g.hearDomain(c.Domain, now)...)
+			return append(effects, g.recordContact(c.Domain, now)...)
 		}
 	}
 	return effects
--- a/internal/gossiper/repairer.go
+++ b/internal/gossiper/repairer.go
@@ -19,8 +19,8 @@
 	repairInterval = 500 * clock.Millisecond
 	// settleTime is how long a table must be unchanged before a difference counts; in a table that never comes
 	// to rest, one difference in unsettledOdds does.
-	settleTime    = 300 * clock.Millisecond
-	unsettledOdds = 4
+	settleTime      = 300 * clock.Millisecond
+	unsettledChance = 4
 	// maxMembers bounds the records in one Members.
 	maxMembers = 64
 )
@@ -29,15 +29,15 @@
 	next clock.Time
 }
 
-func (g *Gossiper) compare(with identifier.Node, hash uint64, now clock.Time) []Effect {
-	if hash == g.own.hash() || now < g.repairer.next {
+func (g *Gossiper) startComparison(with identifier.Node, hash uint64, now clock.Time) []Effect {
+	if hash == g.ownTable.hash() || now < g.repairer.next {
 		return nil
 	}
-	if now.Sub(g.own.changed) < settleTime && g.options.Rand.IntN(unsettledOdds) > 0 {
+	if now.Sub(g.ownTable.lastChange) < settleTime && g.options.Rand.IntN(unsettledChance) > 0 {
 		return nil
 	}
 	g.repairer.next = now.Add(repairInterval)
-	return []Effect{g.send(with, digestOf(g.own))}
+	return []Effect{g.send(with, digestOf(g.ownTable))}
 }
 
 func digestOf(t *table) Digest {
@@ -46,8 +46,8 @@
 
 // tableOf returns the table of a domain, nil where this node keeps none.
 func (g *Gossiper) tableOf(d identifier.FailureDomain) *table {
-	if d == g.own.domain {
-		return g.own
+	if d == g.ownTable.domain {
+		return g.ownTable
 	}
 	return g.relayer.tables[d]
 }
@@ -67,10 +67,10 @@
 		return nil
 	}
 	if o := g.relayer.remotes[m.Domain]; o != nil {
-		o.repeats = max(o.repeats, 1)
+		o.remainingProbes = max(o.remainingProbes, 1)
 	}
 	s := Summary{Domain: m.Domain, Mask: mask}
-	for _, n := range t.sorted(mask) {
+	for _, n := range t.namesInBuckets(mask) {
 		e := t.members[n]
 		s.Entries = append(s.Entries, Entry{Node: n, Incarnation: e.Incarnation, State: e.State})
 	}
@@ -82,36 +82,36 @@
 	if t == nil {
 		return nil
 	}
-	theirs := make(map[identifier.Node]Entry, len(m.Entries))
+	remoteEntries := make(map[identifier.Node]Entry, len(m.Entries))
 	var wanted []identifier.Node
 	for _, e := range m.Entries {
-		theirs[e.Node] = e
+		remoteEntries[e.Node] = e
 		o := t.members[e.Node]
 		record := Member{Incarnation: e.Incarnation, State: e.State}
-		if (o == nil && record.up()) || (o != nil && newer(record, o.Member)) {
+		if (o == nil && record.up()) || (o != nil && supersedes(record, o.Member)) {
 			wanted = append(wanted, e.Node)
 		}
 	}
-	var newerHere []identifier.Node
-	for _, n := range t.sorted(m.Mask) {
+	var newerLocally []identifier.Node
+	for _, n := range t.namesInBuckets(m.Mask) {
 		own := t.members[n].Member
-		e, known := theirs[n]
-		if (!known && own.up()) || (known && newer(own, Member{Incarnation: e.Incarnation, State: e.State})) {
-			newerHere = append(newerHere, n)
+		e, known := remoteEntries[n]
+		if (!known && own.up()) || (known && supersedes(own, Member{Incarnation: e.Incarnation, State: e.State})) {
+			newerLocally = append(newerLocally, n)
 		}
 	}
-	if len(wanted)+len(newerHere) == 0 {
+	if len(wanted)+len(newerLocally) == 0 {
 		return nil
 	}
-	return g.sendMembers(from, t, newerHere, wanted)
+	return g.sendMembers(from, t, newerLocally, wanted)
 }
 
 func (g *Gossiper) receiveMembers(from identifier.Node, m Members, now clock.Time) []Effect {
 	var effects []Effect
-	if m.Domain == g.own.domain {
-		effects = g.learn(g.doubted(from, m.Members), now)
+	if m.Domain == g.ownTable.domain {
+		effects = g.applyUpdates(g.suspectUnconfirmed(from, m.Members), now)
 	} else {
-		effects = g.learnRemote(m, now)
+		effects = g.applyRemoteMembers(m, now)
 	}
 	t := g.tableOf(m.Domain)
 	if t == nil || len(m.Wanted) == 0 {
@@ -120,20 +120,20 @@
 	return append(effects, g.sendMembers(from, t, m.Wanted, nil)...)
 }
 
-// doubted makes suspects of members that only another domain says are alive. A domain that died whole is remembered there as
+// suspectUnconfirmed makes suspects of members that only another domain says are alive. A domain that died whole is remembered there as
 // it was before, and its first new node would otherwise use the dead until it has pinged them all.
-func (g *Gossiper) doubted(from identifier.Node, members []Member) []Member {
-	if g.own.members[from] != nil {
+func (g *Gossiper) suspectUnconfirmed(from identifier.Node, members []Member) []Member {
+	if g.ownTable.members[from] != nil {
 		return members
 	}
-	doubted := slices.Clone(members)
-	for i, m := range doubted {
-		e := g.own.members[m.Node]
+	suspected := slices.Clone(members)
+	for i, m := range suspected {
+		e := g.ownTable.members[m.Node]
 		if m.State == Alive && m.Node != from && m.Node != g.self.Node && (e == nil || !e.up()) {
-			doubted[i].State = Suspect
+			suspected[i].State = Suspect
 		}
 	}
-	return doubted
+	return suspected
 }
 
 func (g *Gossiper) sendMembers(to identifier.Node, t *table, names, wanted []identifier.Node) []Effect {
--- a/internal/gossiper/seeds_test.go
+++ b/internal/gossiper/seeds_test.go
@@ -9,7 +9,7 @@
 )
 
 // The first node of a failure domain that died whole must not use endpoints of the dead because another domain remembers them.
-func TestSeed17267NewcomerToDeadDomain(t *testing.T) { replay(t, "17267") }
+func TestSeed17267FirstNodeOfDeadDomain(t *testing.T) { replay(t, "17267") }
 
 // A node whose seeds are all dead must find the fleet by the log, or its endpoint stays unknown elsewhere.
 func TestSeed29941ServerUnknownElsewhere(t *testing.T) { replay(t, "29941") }
--- a/internal/gossiper/spreader.go
+++ b/internal/gossiper/spreader.go
@@ -30,69 +30,69 @@
 )
 
 type rumor struct {
-	node identifier.Node
-	sent int
+	node       identifier.Node
+	sentCopies int
 }
 
 type spreader struct {
-	rumors   []rumor
-	nextSend clock.Time
+	rumors     []rumor
+	nextGossip clock.Time
 }
 
-// add starts the spreading of a member's newest record, from zero if it was already under way.
-func (s *spreader) add(n identifier.Node) {
+// startSpreading starts the spreading of a member's newest record, from zero if it was already under way.
+func (s *spreader) startSpreading(n identifier.Node) {
 	s.rumors = slices.DeleteFunc(s.rumors, func(r rumor) bool { return r.node == n })
 	s.rumors = append(s.rumors, rumor{node: n})
 	if len(s.rumors) > maxRumors {
-		s.dropOldest()
+		s.dropMostSent()
 	}
 }
 
-// dropOldest ends the spreading of the record that was sent most often.
-func (s *spreader) dropOldest() {
-	oldest := 0
+// dropMostSent ends the spreading of the record that was sent most often.
+func (s *spreader) dropMostSent() {
+	mostSent := 0
 	for i, r := range s.rumors {
-		if r.sent > s.rumors[oldest].sent {
-			oldest = i
+		if r.sentCopies > s.rumors[mostSent].sentCopies {
+			mostSent = i
 		}
 	}
-	s.rumors = slices.Delete(s.rumors, oldest, oldest+1)
+	s.rumors = slices.Delete(s.rumors, mostSent, mostSent+1)
 }
 
 func (g *Gossiper) transmitLimit() int {
-	return max(minTransmits, int(math.Ceil(3*math.Log(float64(len(g.own.up)+1)))))
+	return max(minTransmits, int(math.Ceil(3*math.Log(float64(len(g.ownTable.up)+1)))))
 }
 
-// updates returns the records spread least so far, and counts them as sent to that many members.
-func (g *Gossiper) updates(copies int) []Member {
+// nextUpdates returns the records spread least so far, and counts them as sent to that many members.
+func (g *Gossiper) nextUpdates(copies int) []Member {
 	s := &g.spreader
 	if len(s.rumors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(s.rumors, func(a, b rumor) int { return cmp.Compare(a.sent, b.sent) })
+	slices.SortStableFunc(s.rumors, func(a, b rumor) int { return cmp.Compare(a.sentCopies, b.sentCopies) })
 	var records []Member
 	bytes := 0
 	for i := range s.rumors {
-		e := g.own.members[s.rumors[i].node]
+		e := g.ownTable.members[s.rumors[i].node]
 		if e == nil {
-			s.rumors[i].sent = math.MaxInt32
+			s.rumors[i].sentCopies = math.MaxInt32
 			continue
 		}
-		size := sizeOf(e.Member)
+		size := estimateSize(e.Member)
 		if len(records) == maxUpdates || (len(records) > 0 && bytes+size > maxUpdateBytes) {
 			break
 		}
 		bytes += size
 		records = append(records, e.Member)
-		s.rumors[i].sent += copies
+		s.rumors[i].sentCopies += copies
 	}
 	limit := g.transmitLimit()
-	s.rumors = slices.DeleteFunc(s.rumors, func(r rumor) bool { return r.sent >= limit })
+	s.rumors = slices.DeleteFunc(s.rumors, func(r rumor) bool { return r.sentCopies >= limit })
 	return records
 }
 
-// sizeOf estimates the encoded size of a record.
-func sizeOf(m Member) int {
+// estimateSize estimates the encoded size of a record.
+func estimateSize(m Member) int {
 	size := 16 + len(m.Node) + len(m.Domain) + len(m.Address) + len(m.AdminAddress)
 	for _, e := range m.Endpoints {
 		size += 12 + len(e.ID) + len(e.Service)
@@ -100,16 +100,16 @@
 	return size
 }
 
-func (g *Gossiper) spread(now clock.Time) []Effect {
-	if len(g.spreader.rumors) == 0 || now < g.spreader.nextSend {
+func (g *Gossiper) sendGossip(now clock.Time) []Effect {
+	if len(g.spreader.rumors) == 0 || now < g.spreader.nextGossip {
 		return nil
 	}
-	peers := g.somePeers(gossipFanout, "")
+	peers := g.randomPeers(gossipFanout, "")
 	if len(peers) == 0 {
 		return nil
 	}
-	g.spreader.nextSend = now.Add(TickInterval)
-	message := Gossip{Updates: g.updates(len(peers))}
+	g.spreader.nextGossip = now.Add(TickInterval)
+	message := Gossip{Updates: g.nextUpdates(len(peers))}
 	effects := make([]Effect, 0, len(peers))
 	for _, p := range peers {
 		effects = append(effects, g.send(p, message))
@@ -122,17 +122,17 @@
 	return Send{To: to, Address: address, Message: message}
 }
 
-// somePeers draws distinct members of the own domain other than this node and the one excepted.
+// randomPeers draws distinct members of the own domain other than this node and the one excepted.
 //
 // The last node of a domain is no longer among the members once it has left itself; a draw from nobody would end the
 // process in the middle of its planned stop, with uploads under way.
-func (g *Gossiper) somePeers(count int, except identifier.Node) []identifier.Node {
-	if len(g.own.up) == 0 {
+func (g *Gossiper) randomPeers(count int, except identifier.Node) []identifier.Node {
+	if len(g.ownTable.up) == 0 {
 		return nil
 	}
 	var peers []identifier.Node
 	for range 4 * count {
-		n := g.own.up[g.options.Rand.IntN(len(g.own.up))]
+		n := g.ownTable.up[g.options.Rand.IntN(len(g.ownTable.up))]
 		if n != g.self.Node && n != except && !slices.Contains(peers, n) {
 			peers = append(peers, n)
 		}
--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -19,8 +19,8 @@
 
 type entry struct {
 	Member
-	// changed is when this record was taken in.
-	changed clock.Time
+	// changedAt is when this record was taken in.
+	changedAt clock.Time
 	// deadline is when a suspect member counts as dead; zero in tables of other domains.
 	deadline clock.Time
 	// confirming tells that this node pings the suspect member itself, next at nextPing.
@@ -28,17 +28,17 @@
 	nextPing   clock.Time
 	// unverified tells that the member was suspect when it was first heard of, so that its endpoints are not used yet.
 	unverified bool
-	news       HeardNews
+	status     ReceivedStatus
 }
 
 type table struct {
 	domain  identifier.FailureDomain
 	members map[identifier.Node]*entry
 	// up lists the members that are alive or suspect, by name.
-	up      []identifier.Node
-	down    []identifier.Node
-	buckets [bucketCount]uint64
-	changed clock.Time
+	up         []identifier.Node
+	down       []identifier.Node
+	buckets    [bucketCount]uint64
+	lastChange clock.Time
 }
 
 func newTable(domain identifier.FailureDomain) *table {
@@ -67,7 +67,7 @@
 	e := t.members[m.Node]
 	if e != nil {
 		old = e.Member
-		if !newer(m, old) {
+		if !supersedes(m, old) {
 			return old, false
 		}
 	} else {
@@ -77,16 +77,16 @@
 	if !m.up() {
 		m.Endpoints = nil
 	}
-	t.recount(old, m)
+	t.updateIndexes(old, m)
 	e.Member = m
-	e.changed = now
+	e.changedAt = now
 	e.deadline = 0
 	e.confirming = false
-	t.changed = now
+	t.lastChange = now
 	return old, true
 }
 
-func (t *table) recount(old, m Member) {
+func (t *table) updateIndexes(old, m Member) {
 	b := bucketOf(m.Node)
 	if old.up() {
 		t.buckets[b] ^= versionHash(old.Node, old.Incarnation)
@@ -95,14 +95,14 @@
 		t.buckets[b] ^= versionHash(m.Node, m.Incarnation)
 	}
 	if old.up() != m.up() {
-		t.up = toggle(t.up, m.Node, m.up())
+		t.up = withPresence(t.up, m.Node, m.up())
 	}
 	if (old.State == Dead) != (m.State == Dead) {
-		t.down = toggle(t.down, m.Node, m.State == Dead)
+		t.down = withPresence(t.down, m.Node, m.State == Dead)
 	}
 }
 
-func toggle(list []identifier.Node, n identifier.Node, present bool) []identifier.Node {
+func withPresence(list []identifier.Node, n identifier.Node, present bool) []identifier.Node {
 	i, found := slices.BinarySearch(list, n)
 	// The old list may be in use by the caller of Members, so it isn't changed in place.
 	switch {
@@ -114,18 +114,18 @@
 	return list
 }
 
-// forget drops the records of members that are down for longer than the term.
-func (t *table) forget(now clock.Time, term clock.Duration) {
+// clearPending drops the records of members that are down for longer than the term.
+func (t *table) evictDown(now clock.Time, term clock.Duration) {
 	for n, e := range t.members {
-		if !e.up() && now.Sub(e.changed) > term {
+		if !e.up() && now.Sub(e.changedAt) > term {
 			delete(t.members, n)
-			t.down = toggle(t.down, n, false)
+			t.down = withPresence(t.down, n, false)
 		}
 	}
 }
 
-// sorted returns the names of all members in the buckets of mask.
-func (t *table) sorted(mask uint32) []identifier.Node {
+// sortedNames returns the names of all members in the buckets of mask.
+func (t *table) namesInBuckets(mask uint32) []identifier.Node {
 	var names []identifier.Node
 	for n := range t.members {
 		if mask&(1<<bucketOf(n)) != 0 {
--- a/internal/gossiper/types.go
+++ b/internal/gossiper/types.go
@@ -78,8 +78,8 @@
 	return m.State == Alive || m.State == Suspect
 }
 
-// newer tells whether record a of a member takes the place of record b.
-func newer(a, b Member) bool {
+// supersedes tells whether record a of a member takes the place of record b.
+func supersedes(a, b Member) bool {
 	if b.State == Left {
 		return false
 	}
@@ -103,8 +103,8 @@
 	Address string
 }
 
-// News is what pings tell about the sender's configuration.
-type News struct {
+// Status is what pings tell about the sender's configuration.
+type Status struct {
 	Offset  identifier.Offset
 	Version identifier.Version
 	InForce identifier.Preset
@@ -114,9 +114,9 @@
 	Age    clock.Duration
 }
 
-// HeardNews is the last news from one node.
-type HeardNews struct {
-	News
+// ReceivedStatus is the last news from one node.
+type ReceivedStatus struct {
+	Status
 	At clock.Time
 }
 
@@ -151,10 +151,10 @@
 	Domain identifier.FailureDomain
 }
 
-// NewsHeard passes on what a ping told.
-type NewsHeard struct {
-	Node identifier.Node
-	News News
+// StatusReceived passes on what a ping told.
+type StatusReceived struct {
+	Node   identifier.Node
+	Status Status
 }
 
 func (Send) effect()            {}
@@ -162,4 +162,4 @@
 func (EndpointChanged) effect() {}
 func (EndpointGone) effect()    {}
 func (MembersChanged) effect()  {}
-func (NewsHeard) effect()       {}
+func (StatusReceived) effect()  {}
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-type seen struct {
+type viewEntry struct {
 	Member
 	// confirmed is when a relay last told that it holds the same.
 	confirmed clock.Time
@@ -24,22 +24,22 @@
 }
 
 type view struct {
-	members   map[identifier.Node]*seen
+	members   map[identifier.Node]*viewEntry
 	byService map[identifier.Service][]PlacedEndpoint
 }
 
 func newView() view {
-	return view{members: map[identifier.Node]*seen{}, byService: map[identifier.Service][]PlacedEndpoint{}}
+	return view{members: map[identifier.Node]*viewEntry{}, byService: map[identifier.Service][]PlacedEndpoint{}}
 }
 
-// see takes a record in and tells what changed for the endpoints.
-func (v *view) see(m Member, now clock.Time) []Effect {
+// apply takes a record in and tells what changed for the endpoints.
+func (v *view) apply(m Member, now clock.Time) []Effect {
 	s := v.members[m.Node]
 	if s == nil {
 		if !m.up() {
 			return nil
 		}
-		s = &seen{}
+		s = &viewEntry{}
 		v.members[m.Node] = s
 	}
 	s.confirmed = now
@@ -48,14 +48,14 @@
 	case m.Incarnation == old.Incarnation && m.up() && old.up():
 		// Records of one incarnation differ only by which services were asked for.
 		m.Endpoints = union(old.Endpoints, m.Endpoints)
-	case old.State != 0 && !newer(m, old):
+	case old.State != 0 && !supersedes(m, old):
 		return nil
 	}
 	s.Member = m
 	if s.hidden {
 		return nil
 	}
-	return v.change(old, m)
+	return v.diffEndpoints(old, m)
 }
 
 func union(a, b []Endpoint) []Endpoint {
@@ -69,14 +69,14 @@
 	return all
 }
 
-func (v *view) change(old, m Member) []Effect {
+func (v *view) diffEndpoints(old, m Member) []Effect {
 	var effects []Effect
-	before := visible(old)
-	after := visible(m)
+	before := usableEndpoints(old)
+	after := usableEndpoints(m)
 	for _, e := range before {
 		gone := !slices.ContainsFunc(after, func(o Endpoint) bool { return o.ID == e.ID })
 		if gone {
-			v.index(e, m, false)
+			v.updateService(e, m, false)
 			effects = append(effects, EndpointGone{ID: e.ID, Node: m.Node})
 		}
 	}
@@ -84,22 +84,22 @@
 		if slices.Contains(before, e) {
 			continue
 		}
-		v.index(e, m, true)
+		v.updateService(e, m, true)
 		p := PlacedEndpoint{Endpoint: e, Node: m.Node, Domain: m.Domain}
 		effects = append(effects, EndpointChanged{Endpoint: p})
 	}
 	return effects
 }
 
-func visible(m Member) []Endpoint {
+func usableEndpoints(m Member) []Endpoint {
 	if m.up() {
 		return m.Endpoints
 	}
 	return nil
 }
 
-// index replaces the list of a service, as callers may still hold the old one.
-func (v *view) index(e Endpoint, m Member, present bool) {
+// updateService replaces the list of a service, as callers may still hold the old one.
+func (v *view) updateService(e Endpoint, m Member, present bool) {
 	list := slices.DeleteFunc(slices.Clone(v.byService[e.Service]), func(p PlacedEndpoint) bool {
 		return p.ID == e.ID && p.Node == m.Node
 	})
@@ -121,13 +121,13 @@
 	}
 	gone := s.Member
 	gone.State = Dead
-	return v.change(s.Member, gone)
+	return v.diffEndpoints(s.Member, gone)
 }
 
-// hide takes the endpoints of a silent domain out of use, and back when it is heard again.
-func (v *view) hide(domain identifier.FailureDomain, hidden bool) []Effect {
+// setHidden takes the endpoints of a silent domain out of use, and back when it is heard again.
+func (v *view) setHidden(domain identifier.FailureDomain, hidden bool) []Effect {
 	var effects []Effect
-	for _, n := range v.sorted() {
+	for _, n := range v.sortedNames() {
 		s := v.members[n]
 		if s.Domain != domain || s.hidden == hidden {
 			continue
@@ -136,15 +136,15 @@
 		down := s.Member
 		down.State = Dead
 		if hidden {
-			effects = append(effects, v.change(s.Member, down)...)
+			effects = append(effects, v.diffEndpoints(s.Member, down)...)
 		} else {
-			effects = append(effects, v.change(down, s.Member)...)
+			effects = append(effects, v.diffEndpoints(down, s.Member)...)
 		}
 	}
 	return effects
 }
 
-func (v *view) sorted() []identifier.Node {
+func (v *view) sortedNames() []identifier.Node {
 	names := make([]identifier.Node, 0, len(v.members))
 	for n := range v.members {
 		names = append(names, n)
--- a/internal/gossiper/world_test.go
+++ b/internal/gossiper/world_test.go
@@ -31,37 +31,37 @@
 }
 
 const (
-	service     identifier.Service = "bookings"
-	leavingTime                    = 2 * clock.Second
-	deadTime                       = 5 * clock.Second
-	comingTime                     = 10 * clock.Second
-	// healTime is what the domains need to meet again after a cut or a pause, before the times above count.
-	healTime = 3 * clock.Second
+	service        identifier.Service = "bookings"
+	leavingLimit                      = 2 * clock.Second
+	deadLimit                         = 5 * clock.Second
+	discoveryLimit                    = 10 * clock.Second
+	// recoveryTime is what the domains need to meet again after a cut or a pause, before the times above count.
+	recoveryTime = 3 * clock.Second
 )
 
 type machine struct {
-	id      identifier.Node
-	address string
-	domain  identifier.FailureDomain
-	g       *gossiper.Gossiper
-	started clock.Time
-	paused  clock.Time
-	// mirror is the view that the effects alone give.
-	mirror map[identifier.Endpoint]gossiper.PlacedEndpoint
-	seeds  []string
-	// read is up to where the node has read the log.
-	read     int
-	offset   clock.Time
-	messages int
-	bytes    int
+	id          identifier.Node
+	address     string
+	domain      identifier.FailureDomain
+	g           *gossiper.Gossiper
+	startedAt   clock.Time
+	pausedUntil clock.Time
+	// effectView is the view that the effects alone give.
+	effectView map[identifier.Endpoint]gossiper.PlacedEndpoint
+	seeds      []string
+	// logPosition is up to where the node has read the log.
+	logPosition int
+	tickOffset  clock.Time
+	messages    int
+	bytes       int
 }
 
-// announced is the truth about one endpoint.
-type announced struct {
+// joinRecorded is the truth about one endpoint.
+type endpointTruth struct {
 	node *machine
-	// ready and gone are when it came and when it left or died; zero where it hasn't.
-	ready, gone clock.Time
-	limit       clock.Duration
+	// readyAt and gone are when it came and when it left or died; zero where it hasn't.
+	readyAt, goneAt clock.Time
+	useLimit        clock.Duration
 }
 
 type envelope struct {
@@ -70,34 +70,34 @@
 }
 
 type world struct {
-	rand      *rand.Rand
-	now       clock.Time
-	machines  []*machine
-	byID      map[identifier.Node]*machine
-	byAddress map[string]*machine
-	mail      map[clock.Time][]envelope
-	log       []any
-	loss      float64
-	weigh     bool
-	// cut names a domain that can't reach the others.
-	cut identifier.FailureDomain
-	// calm is the last moment of a disturbance that voids the promised times.
-	calm clock.Time
-	// crashed is the last crash in a domain. After two in a row all its relays may be dead until that is
+	rand          *rand.Rand
+	now           clock.Time
+	machines      []*machine
+	byID          map[identifier.Node]*machine
+	byAddress     map[string]*machine
+	messagesDue   map[clock.Time][]envelope
+	log           []any
+	lossRate      float64
+	countsTraffic bool
+	// isolatedDomain names a domain that can't reach the others.
+	isolatedDomain identifier.FailureDomain
+	// disturbedUntil is the last moment of a disturbance that voids the promised times.
+	disturbedUntil clock.Time
+	// lastCrash is the last crash in a domain. After two in a row all its relays may be dead until that is
 	// noticed, and what passes between it and other domains waits for restless to end.
-	crashed  map[identifier.FailureDomain]clock.Time
-	restless map[identifier.FailureDomain]clock.Time
-	count    int
-	truth    map[identifier.Endpoint]*announced
-	falsely  int
+	lastCrash      map[identifier.FailureDomain]clock.Time
+	unsettledUntil map[identifier.FailureDomain]clock.Time
+	startCount     int
+	endpointTruths map[identifier.Endpoint]*endpointTruth
+	falseRemovals  int
 }
 
 func newWorld(seed uint64, domains ...int) *world {
 	w := &world{
 		rand: rand.New(rand.NewPCG(seed, 5)), now: 1000,
 		byID: map[identifier.Node]*machine{}, byAddress: map[string]*machine{},
-		crashed: map[identifier.FailureDomain]clock.Time{}, restless: map[identifier.FailureDomain]clock.Time{},
-		mail: map[clock.Time][]envelope{}, truth: map[identifier.Endpoint]*announced{},
+		lastCrash: map[identifier.FailureDomain]clock.Time{}, unsettledUntil: map[identifier.FailureDomain]clock.Time{},
+		messagesDue: map[clock.Time][]envelope{}, endpointTruths: map[identifier.Endpoint]*endpointTruth{},
 	}
 	for d, n := range domains {
 		for range n {
@@ -108,15 +108,15 @@
 }
 
 func (w *world) start(domain identifier.FailureDomain) *machine {
-	if !w.inhabited(domain) {
+	if !w.hasMachines(domain) {
 		// A domain that comes back is in use again at once; its newcomer has to find out who of it is dead.
-		w.restless[domain] = w.now.Add(deadTime)
+		w.unsettledUntil[domain] = w.now.Add(deadLimit)
 	}
-	w.count++
-	id := identifier.Node(fmt.Sprintf("node-%05d-4f7a", w.count*7919%100_000))
+	w.startCount++
+	id := identifier.Node(fmt.Sprintf("node-%05d-4f7a", w.startCount*7919%100_000))
 	m := &machine{
-		id: id, address: fmt.Sprintf("10.0.%d.%d:7400", w.count/250, w.count%250), domain: domain, started: w.now,
-		mirror: map[identifier.Endpoint]gossiper.PlacedEndpoint{}, offset: clock.Time(w.rand.IntN(100)),
+		id: id, address: fmt.Sprintf("10.0.%d.%d:7400", w.startCount/250, w.startCount%250), domain: domain, startedAt: w.now,
+		effectView: map[identifier.Endpoint]gossiper.PlacedEndpoint{}, tickOffset: clock.Time(w.rand.IntN(100)),
 	}
 	var seeds []string
 	for range min(3, len(w.machines)) {
@@ -124,68 +124,68 @@
 	}
 	m.g = gossiper.New(gossiper.Options{
 		Self:  gossiper.Member{Node: id, Domain: domain, Address: m.address, AdminAddress: m.address},
-		Seeds: seeds, Rand: rand.New(rand.NewPCG(uint64(w.count), 9)),
+		Seeds: seeds, Rand: rand.New(rand.NewPCG(uint64(w.startCount), 9)),
 	})
 	m.seeds = seeds
 	w.machines = append(w.machines, m)
 	w.byID[id] = m
 	w.byAddress[m.address] = m
-	m.g.SetNews(gossiper.News{Offset: 123_456, Version: 87, InForce: "ordinary", Reader: id, Stamp: 1_000_000, Age: 250})
+	m.g.SetStatus(gossiper.Status{Offset: 123_456, Version: 87, InForce: "ordinary", Reader: id, Stamp: 1_000_000, Age: 250})
 	w.perform(m, m.g.AddInterest(service, w.now))
 	w.announce(m)
 	return m
 }
 
 func (w *world) announce(m *machine) {
-	id := identifier.Endpoint(fmt.Sprintf("e%d", len(w.truth)+1))
-	w.truth[id] = &announced{node: m, ready: w.now}
+	id := identifier.Endpoint(fmt.Sprintf("e%d", len(w.endpointTruths)+1))
+	w.endpointTruths[id] = &endpointTruth{node: m, readyAt: w.now}
 	e := gossiper.Endpoint{ID: id, Service: service, Slots: 150, ConnectionLimit: 1000, State: gossiper.Ready}
 	w.perform(m, m.g.SetEndpoint(e, w.now))
 }
 
-func (w *world) end(id identifier.Endpoint, limit clock.Duration) {
-	if a := w.truth[id]; a.gone == 0 {
-		a.gone = w.now
-		a.limit = limit
+func (w *world) endEndpoint(id identifier.Endpoint, useLimit clock.Duration) {
+	if a := w.endpointTruths[id]; a.goneAt == 0 {
+		a.goneAt = w.now
+		a.useLimit = useLimit
 	}
 }
 
 // remove ends a node: at once, or after it told that it leaves.
-func (w *world) remove(m *machine, limit clock.Duration) {
-	for id, a := range w.truth {
+func (w *world) remove(m *machine, useLimit clock.Duration) {
+	for id, a := range w.endpointTruths {
 		if a.node == m {
-			w.end(id, limit)
+			w.endEndpoint(id, useLimit)
 		}
 	}
-	if limit == leavingTime {
+	if useLimit == leavingLimit {
 		w.perform(m, m.g.Leave(w.now))
 		w.run(clock.Second)
 	} else {
-		w.excuseUnheard(m)
-		if last := w.crashed[m.domain]; last > 0 && w.now.Sub(last) < 6*clock.Second {
-			w.restless[m.domain] = w.now.Add(deadTime)
+		w.extendUnheardLeaving(m)
+		if previous := w.lastCrash[m.domain]; previous > 0 && w.now.Sub(previous) < 6*clock.Second {
+			w.unsettledUntil[m.domain] = w.now.Add(deadLimit)
 		}
-		w.crashed[m.domain] = w.now
+		w.lastCrash[m.domain] = w.now
 	}
 	w.machines = slices.DeleteFunc(w.machines, func(o *machine) bool { return o == m })
 	delete(w.byID, m.id)
 	delete(w.byAddress, m.address)
 }
 
-// excuseUnheard gives an endpoint that began to leave just before its node crashed the time of a crash, if no living node
+// extendUnheardLeaving gives an endpoint that began to leave just before its node crashed the time of a crash, if no living node
 // has heard that it leaves: nobody is left who could tell, and no call can reach it through a dead node.
-func (w *world) excuseUnheard(crashed *machine) {
-	for id, a := range w.truth {
-		if a.node != crashed || a.gone == 0 || a.limit != leavingTime || w.now.Sub(a.gone) > leavingTime || w.heardOfLeaving(id, crashed) {
+func (w *world) extendUnheardLeaving(crashed *machine) {
+	for id, a := range w.endpointTruths {
+		if a.node != crashed || a.goneAt == 0 || a.useLimit != leavingLimit || w.now.Sub(a.goneAt) > leavingLimit || w.isLeavingKnown(id, crashed) {
 			continue
 		}
-		a.limit = deadTime + w.now.Sub(a.gone)
+		a.useLimit = deadLimit + w.now.Sub(a.goneAt)
 	}
 }
 
-func (w *world) heardOfLeaving(id identifier.Endpoint, crashed *machine) bool {
+func (w *world) isLeavingKnown(id identifier.Endpoint, crashed *machine) bool {
 	return slices.ContainsFunc(w.machines, func(m *machine) bool {
-		p, used := m.mirror[id]
+		p, used := m.effectView[id]
 		return m != crashed && (!used || p.State == gossiper.Leaving)
 	})
 }
@@ -197,8 +197,8 @@
 			return
 		}
 	}
-	for ; m.read < len(w.log); m.read++ {
-		w.perform(m, m.g.ReadRecord(w.log[m.read], w.now))
+	for ; m.logPosition < len(w.log); m.logPosition++ {
+		w.perform(m, m.g.ReadRecord(w.log[m.logPosition], w.now))
 	}
 }
 
@@ -208,11 +208,11 @@
 		case gossiper.Send:
 			w.send(m, e)
 		case gossiper.EndpointChanged:
-			m.mirror[e.Endpoint.ID] = e.Endpoint
+			m.effectView[e.Endpoint.ID] = e.Endpoint
 		case gossiper.EndpointGone:
-			delete(m.mirror, e.ID)
-			if a := w.truth[e.ID]; a.gone == 0 {
-				w.falsely++
+			delete(m.effectView, e.ID)
+			if a := w.endpointTruths[e.ID]; a.goneAt == 0 {
+				w.falseRemovals++
 			}
 		case gossiper.Append:
 			w.log = append(w.log, e.Record)
@@ -221,7 +221,7 @@
 }
 
 func (w *world) send(from *machine, e gossiper.Send) {
-	if w.weigh {
+	if w.countsTraffic {
 		raw, err := encoder.Encode(e.Message)
 		if err != nil {
 			panic(err)
@@ -229,28 +229,28 @@
 		from.messages++
 		from.bytes += len(raw)
 	}
-	if w.rand.Float64() < w.loss {
+	if w.rand.Float64() < w.lossRate {
 		return
 	}
 	due := w.now.Add(clock.Duration(1 + w.rand.IntN(4)))
-	w.mail[due] = append(w.mail[due], envelope{from: from, send: e})
+	w.messagesDue[due] = append(w.messagesDue[due], envelope{from: from, send: e})
 }
 
 func (w *world) run(span clock.Duration) {
 	for end := w.now.Add(span); w.now < end; {
 		w.now++
-		for _, e := range w.mail[w.now] {
+		for _, e := range w.messagesDue[w.now] {
 			w.deliver(e)
 		}
-		delete(w.mail, w.now)
+		delete(w.messagesDue, w.now)
 		for _, m := range slices.Clone(w.machines) {
-			if (w.now+m.offset)%clock.Time(gossiper.TickInterval) == 0 && w.now >= m.paused {
+			if (w.now+m.tickOffset)%clock.Time(gossiper.TickInterval) == 0 && w.now >= m.pausedUntil {
 				w.perform(m, m.g.Tick(w.now))
 				w.readLog(m)
 			}
 		}
-		if w.cut != "" {
-			w.calm = max(w.calm, w.now)
+		if w.isolatedDomain != "" {
+			w.disturbedUntil = max(w.disturbedUntil, w.now)
 		}
 	}
 }
@@ -260,49 +260,49 @@
 	if e.send.To == "" {
 		to = w.byAddress[e.send.Address]
 	}
-	apart := to != nil && to.domain != e.from.domain && (to.domain == w.cut || e.from.domain == w.cut)
-	if to == nil || apart || w.now < to.paused {
+	partitioned := to != nil && to.domain != e.from.domain && (to.domain == w.isolatedDomain || e.from.domain == w.isolatedDomain)
+	if to == nil || partitioned || w.now < to.pausedUntil {
 		return
 	}
 	w.perform(to, to.g.Receive(e.from.id, e.send.Message, w.now))
 }
 
-func (w *world) inhabited(d identifier.FailureDomain) bool {
+func (w *world) hasMachines(d identifier.FailureDomain) bool {
 	return slices.ContainsFunc(w.machines, func(m *machine) bool { return m.domain == d })
 }
 
-// fault returns what a node's view has wrong that it should have right by now.
-func (w *world) fault() string {
+// findFault returns what a node's view has wrong that it should have right by now.
+func (w *world) findFault() string {
 	for _, m := range w.machines {
-		if w.now < m.paused {
+		if w.now < m.pausedUntil {
 			continue
 		}
 		view := map[identifier.Endpoint]gossiper.PlacedEndpoint{}
 		for _, p := range m.g.Endpoints(service) {
 			view[p.ID] = p
-			if m.mirror[p.ID] != p {
+			if m.effectView[p.ID] != p {
 				return fmt.Sprintf("%s: effects and view differ on %s", m.id, p.ID)
 			}
 		}
-		if len(view) != len(m.mirror) {
-			return fmt.Sprintf("%s: %d endpoints in view, %d by effects", m.id, len(view), len(m.mirror))
+		if len(view) != len(m.effectView) {
+			return fmt.Sprintf("%s: %d endpoints in view, %d by effects", m.id, len(view), len(m.effectView))
 		}
-		for id, a := range w.truth {
+		for id, a := range w.endpointTruths {
 			p, known := view[id]
 			used := known && p.State != gossiper.Leaving
-			limit := a.limit
-			if !w.inhabited(a.node.domain) {
+			useLimit := a.useLimit
+			if !w.hasMachines(a.node.domain) {
 				// Nobody is left to tell; its silence must speak, to relays that may have just changed.
-				limit = deadTime + 4*clock.Second
+				useLimit = deadLimit + 4*clock.Second
 			}
-			since := max(a.ready, a.gone, m.started, w.calm.Add(healTime))
+			since := max(a.readyAt, a.goneAt, m.startedAt, w.disturbedUntil.Add(recoveryTime))
 			if m.domain != a.node.domain {
-				since = max(since, w.restless[m.domain], w.restless[a.node.domain])
+				since = max(since, w.unsettledUntil[m.domain], w.unsettledUntil[a.node.domain])
 			}
-			if used && a.gone > 0 && w.now > since.Add(limit) {
-				return fmt.Sprintf("%s of %s uses %s of %s, gone for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(a.gone))
+			if used && a.goneAt > 0 && w.now > since.Add(useLimit) {
+				return fmt.Sprintf("%s of %s uses %s of %s, gone for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(a.goneAt))
 			}
-			if !used && a.gone == 0 && w.now > since.Add(comingTime) {
+			if !used && a.goneAt == 0 && w.now > since.Add(discoveryLimit) {
 				return fmt.Sprintf("%s of %s lacks %s of %s, there for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(since))
 			}
 		}
--- a/internal/measurer/bytes.go
+++ b/internal/measurer/bytes.go
@@ -22,8 +22,8 @@
 	return float64(len(raw)), err
 }
 
-func news() gossiper.News {
-	return gossiper.News{
+func news() gossiper.Status {
+	return gossiper.Status{
 		Offset: 120_000, Version: 48_000, InForce: presetName, Reader: "01-9e3779b1", Stamp: 86_400_000, Age: 250,
 	}
 }
@@ -37,7 +37,7 @@
 }
 
 func pingBytes(updates int) (float64, error) {
-	return size(gossiper.Ping{Sequence: 70_000, News: news(), Hash: 1 << 60, Updates: members(updates)})
+	return size(gossiper.Ping{Sequence: 70_000, Status: news(), Hash: 1 << 60, Updates: members(updates)})
 }
 
 func subscriptionBytes(n int) (float64, error) {
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -196,9 +196,9 @@
 			s.router.Remove(e.ID)
 		case gossiper.MembersChanged:
 			s.membersChanged()
-		case gossiper.NewsHeard:
-			contact := configurer.Contact{Reader: e.News.Reader, Stamp: e.News.Stamp, Age: e.News.Age}
-			s.configure(s.configurer.PeerNews(e.Node, e.News.Offset, contact, s.now))
+		case gossiper.StatusReceived:
+			contact := configurer.Contact{Reader: e.Status.Reader, Stamp: e.Status.Stamp, Age: e.Status.Age}
+			s.configure(s.configurer.PeerNews(e.Node, e.Status.Offset, contact, s.now))
 		}
 	}
 }
@@ -279,7 +279,7 @@
 	}
 	s.slowAt = s.now
 	s.noticeAlone()
-	s.gossiper.SetNews(s.news())
+	s.gossiper.SetStatus(s.news())
 	s.gossip(s.gossiper.Tick(s.now))
 	s.configure(s.configurer.Tick(s.now, s.wall))
 	s.claim(s.claimer.SetLog(s.configurer.Freshness(s.now) <= logFresh, s.logStart, s.now))
@@ -288,9 +288,9 @@
 	s.tickLeaving()
 }
 
-func (s *State) news() gossiper.News {
+func (s *State) news() gossiper.Status {
 	contact := s.configurer.Contact(s.now)
-	n := gossiper.News{
+	n := gossiper.Status{
 		Offset:  s.configurer.Offset(),
 		Version: s.configurer.Version(),
 		Reader:  contact.Reader,
--- a/internal/reducer/dump.go
+++ b/internal/reducer/dump.go
@@ -137,7 +137,7 @@
 func (s *State) FleetStatus() map[identifier.Node]Status {
 	fleet := make(map[identifier.Node]Status)
 	for _, n := range s.gossiper.Members() {
-		h, ok := s.gossiper.NewsOf(n)
+		h, ok := s.gossiper.StatusOf(n)
 		if !ok {
 			continue
 		}
