--- a/internal/gossiper/contacts.go
+++ b/internal/gossiper/contacts.go
@@ -1,8 +1,8 @@
-// A few members of each failure domain are its relays, chosen by the same rule at every node, and a few nodes of each other
-// domain are known as contacts. Both lists are short, so that what passes between domains does not grow with the fleet.
+// Every node selects the same few members of its failure domain as relays, by one rule, and keeps a few contacts in
+// each other domain. Both lists are short, so that the traffic between domains doesn't grow with the fleet.
 //
-// Example: of 482 members the three with the highest hash are relays; contacts of a domain whose relays all died are
-// nextContactRequest for from the others.
+// Example: of 482 members the three with the highest hashes of their names are relays; if all known relays of a domain
+// have died, other domains are asked for contacts in it.
 
 package gossiper
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Contacts returns a few nodes of each other domain, by domain.
+// Contacts returns a few nodes of each other domain, ordered by domain.
 func (g *Gossiper) Contacts() []Contact {
 	var all []Contact
 	for _, d := range g.relayer.domains() {
@@ -25,12 +25,12 @@
 	return all
 }
 
-// IsRelay tells whether this node is a relay of its domain.
+// IsRelay reports whether this node is a relay of its domain.
 func (g *Gossiper) IsRelay() bool {
 	return g.relayer.isRelay
 }
 
-// electRelays chooses the members with the highest hashes of their names.
+// electRelays selects the members with the highest hashes of their names as relays.
 func (g *Gossiper) electRelays() {
 	var best []candidate
 	for _, n := range g.ownTable.up {
@@ -49,7 +49,8 @@
 		return
 	}
 	g.relayer.relays = relays
-	// A new relay knows no subscribers, and one that is none any more hears nothing from other domains.
+	// A new relay has no subscribers yet, and a former relay no longer gets records of other domains, so the
+	// subscription must be renewed at once.
 	g.follower.nextRenewal = 0
 	g.follower.answered = false
 	isRelay := slices.Contains(g.relayer.relays, g.self.Node)
@@ -93,7 +94,7 @@
 	return r
 }
 
-// setContacts takes what a domain itself says about its relays.
+// setContacts replaces the contacts of other domains with the relays that a domain itself has reported.
 func (g *Gossiper) setContacts(contacts []Contact, now clock.Time) []Effect {
 	byDomain := map[identifier.FailureDomain][]Contact{}
 	for _, c := range contacts {
@@ -117,7 +118,8 @@
 	return effects
 }
 
-// addContact remembers a node that was only heard of, behind those that the domain itself named.
+// addContact adds a contact learned from another source, unless the domain has reported its own relays or the list is
+// full. For a silent domain it is added in any case, and replaces the oldest contact if the list is full.
 func (g *Gossiper) addContact(c Contact, now clock.Time) []Effect {
 	r := g.remoteOf(c.Domain, now)
 	known := slices.ContainsFunc(r.contacts, func(o Contact) bool { return o.Node == c.Node })
--- a/internal/gossiper/doc.go
+++ b/internal/gossiper/doc.go
@@ -1,2 +1,3 @@
-// Package gossiper keeps the membership of the fleet and the liveness of its nodes without a given list.
+// Package gossiper maintains the fleet's membership and the liveness of its nodes by gossip, without a preconfigured
+// member list.
 package gossiper
--- a/internal/gossiper/follower.go
+++ b/internal/gossiper/follower.go
@@ -1,9 +1,9 @@
-// An ordinary node asks two relays of its own domain for the endpoints, in other domains, of the services
-// that it calls. The subscription ends by itself if it isn't renewed, so relays owe nothing to nodes that
-// died, and each renewal carries a hash of what is held, so that lost pushes are made good.
+// A node that is no relay subscribes at two relays of its own domain to the endpoints, in other domains, of the
+// services that it calls. Subscriptions expire unless renewed, so relays keep no state for dead nodes. Each renewal
+// carries a hash of the records that the node holds, so that lost pushes are detected and repaired.
 //
-// Example: AddInterest("ice") leads to Subscribe{["ice"]} at the next tick; the answers bring the remote
-// endpoints of "ice", and pushes keep them current.
+// Example: AddInterest("ice") leads to Subscribe{["ice"]} at the next tick; the answers bring the remote endpoints of
+// "ice", and pushes keep them current.
 
 package gossiper
 
@@ -18,10 +18,10 @@
 
 const (
 	renewInterval = 3 * clock.Second
-	// firstRetry is the wait before asking again while nothing was answered yet.
+	// firstRetry is the time between renewals until the first answer.
 	firstRetry = 300 * clock.Millisecond
-	// confirmTerm is how long a remote member is used that no relay has confirmed, relayTerm how long a relay
-	// uses one that its own table lacks.
+	// confirmTerm is how long a member of another domain is used without a relay's confirmation, relayConfirmTerm how
+	// long a relay uses one that its own table lacks.
 	confirmTerm      = 15 * clock.Second
 	relayConfirmTerm = 4 * clock.Second
 )
@@ -36,13 +36,13 @@
 	return follower{}
 }
 
-// renewNow renews the subscription now, and until it is answered.
+// renewNow makes the subscription due now, and after each firstRetry until it is answered.
 func (f *follower) renewNow(now clock.Time) {
 	f.nextRenewal = now
 	f.answered = false
 }
 
-// AddInterest tells that this node calls a service, so that its endpoints elsewhere must be known.
+// AddInterest subscribes this node to the endpoints of a service that it calls in other domains.
 func (g *Gossiper) AddInterest(s identifier.Service, now clock.Time) []Effect {
 	i, found := slices.BinarySearch(g.follower.interests, s)
 	if found {
@@ -54,7 +54,7 @@
 	return g.applyRelayTables(now)
 }
 
-// applyRelayTables shows the node what it holds as a relay.
+// applyRelayTables applies the records of the relay's tables to the node's own view.
 func (g *Gossiper) applyRelayTables(now clock.Time) []Effect {
 	var effects []Effect
 	for _, d := range g.relayer.domains() {
@@ -69,7 +69,7 @@
 	return effects
 }
 
-// applyRemoteRecord shows a record of another domain to the view, without the services that are of no interest.
+// applyRemoteRecord applies a record of another domain to the view, without the services that this node does not call.
 func (g *Gossiper) applyRemoteRecord(m Member, now clock.Time) []Effect {
 	filtered, wanted := filterServices(m, g.follower.interests)
 	s := g.view.members[m.Node]
@@ -109,7 +109,8 @@
 	return effects
 }
 
-// subscribedHash covers each held remote endpoint's member and version, in any order.
+// subscribedHash hashes the remote members with endpoints in the view, by version and number of endpoints, and the
+// contacts; the order of the members does not matter.
 func (g *Gossiper) subscribedHash() uint64 {
 	h := uint64(0)
 	for n, s := range g.view.members {
@@ -142,8 +143,8 @@
 	}
 }
 
-// refreshFromTables confirms what a relay's view holds by its tables, down members too: one that died while this node
-// was no relay yet is in no list of living ones.
+// refreshFromTables applies the tables' records of all members in a relay's view, including members that are down: one
+// that died before this node became a relay is in no table's list of living members.
 func (g *Gossiper) refreshFromTables(now clock.Time) []Effect {
 	var effects []Effect
 	for _, n := range g.view.sortedNames() {
@@ -213,20 +214,21 @@
 			effects = append(effects, g.applyRemoteRecord(record, now)...)
 		}
 	}
-	// A push of changes says nothing about silence.
+	// Only an answer to a subscription says which domains are silent; a push of changes doesn't.
 	if !m.IsAnswer {
 		return effects
 	}
 	g.follower.answered = true
 	if missing := g.requestMissing(from, m.Members); !m.Unchanged && len(missing) > 0 {
-		// The question or its answer may get lost, and the next regular renewal would come too late.
+		// The request or its answer may get lost, and the next regular renewal would come too late.
 		effects = append(effects, missing...)
 		g.follower.nextRenewal = min(g.follower.nextRenewal, now.Add(firstRetry))
 	}
 	return append(effects, g.applyReachability(m, now)...)
 }
 
-// applyReachability believes a relay that heard a domain before one that didn't.
+// applyReachability marks domains as reachable or silent. A relay's report that a domain is silent is ignored if the
+// domain was in contact within the last second: another relay may still reach it.
 func (g *Gossiper) applyReachability(m Subscription, now clock.Time) []Effect {
 	var effects []Effect
 	for _, d := range m.ReachableDomains {
@@ -242,8 +244,8 @@
 	return effects
 }
 
-// requestMissing asks for the records that are held here and weren't in a relay's answer. They may be gone or have
-// lost their endpoints; or the relay is a new one that doesn't know them yet, and then nothing comes back.
+// requestMissing requests the records that the view holds but a relay's answer lacks. The members may have died or lost
+// their endpoints; or the relay is new and does not have the records yet, and then it sends none.
 func (g *Gossiper) requestMissing(relay identifier.Node, answer []Member) []Effect {
 	answered := map[identifier.Node]bool{}
 	for _, m := range answer {
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Nodes start, leave, crash, stand still and are cut off while messages are lost. A user would notice requests
-// that go to a server that left, or servers that get no work though they are there.
+// Nodes start, leave, crash, pause and are partitioned while messages are lost. A wrong view would send requests to
+// endpoints that left, or leave available endpoints without requests.
 func TestFuzzMembership(t *testing.T) {
 	rapid.Check(t, membershipHolds)
 }
@@ -85,8 +85,8 @@
 	assert.Equal(t, w.findFault(), "")
 }
 
-// A fifth of all messages is lost, and nothing else happens. Nodes that wrongly take each other for dead would
-// applyRecord healthy servers out of use.
+// A fifth of all messages is lost, and nothing else fails. Nodes that declare each other dead because of lost messages
+// would take healthy endpoints out of use.
 func TestMessageLossCausesNoFalseRemovals(t *testing.T) {
 	for name, domains := range map[string][]int{"14 nodes": {4, 4, 3, 3}, "100 nodes": {100}} {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,8 @@
 	}
 }
 
-// Two nodes boot with nothing but the log's records; one of the records names a node that died long ago.
+// Two nodes start with nothing but the log's records, one of which names a node that died long ago: it must not become
+// a member.
 func TestJoinByLog(t *testing.T) {
 	w := newWorld(2)
 	a := w.start("domain-0")
@@ -125,12 +126,12 @@
 type fleet struct {
 	domains  []int
 	lossRate float64
-	// maxBytes bounds what an ordinary node may send per second while nothing changes.
+	// maxBytes limits what an ordinary node may send per second in steady state.
 	maxBytes int
 }
 
-// A server leaves and a VM dies, in fleets of several shapes. Slow news would send users' requests there, and
-// control traffic that grew with the fleet would one day crowd out their requests.
+// An endpoint leaves and a VM dies, in fleets of several shapes. If the change spread too slowly, requests would still
+// be sent there; if control traffic grew with the fleet, it would in time crowd out requests.
 func TestTrafficAndDetectionTimesStayBounded(t *testing.T) {
 	for name, f := range map[string]fleet{
 		"14 nodes in 4 domains":          {domains: []int{4, 4, 3, 3}, maxBytes: 400},
@@ -139,12 +140,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := f.measure(t)
-			t.Logf("per second: ordinary %s, relay %s; leaving known after %d ms, dead after %d ms", m.ordinary, m.relay, m.leaving, m.dead)
+			t.Logf("per second: ordinary node %s, relay %s; leaving endpoint unused after %d ms, dead one after %d ms", m.ordinary, m.relay, m.leaving, m.dead)
 		})
 	}
 }
 
-// BenchmarkTraffic gives the figures of docs/design/membership.md for the largest domain; run it with -benchtime 1x.
+// BenchmarkTraffic measures control traffic and detection times in the largest domains, for docs/design/membership.md;
+// run it with -benchtime 1x.
 func BenchmarkTraffic(b *testing.B) {
 	for name, f := range map[string]fleet{
 		"482 nodes":               {domains: []int{482}, maxBytes: 400},
@@ -184,8 +186,8 @@
 		w.perform(n, n.g.LeaveEndpoint(id, w.now))
 	})
 	m.dead = w.measureSpread(func() { w.remove(w.machines[len(w.machines)/3], deadLimit) })
-	assert.Assert(t, m.leaving <= leavingLimit && m.dead <= deadLimit, "leaving %d, dead %d", m.leaving, m.dead)
-	assert.Assert(t, m.ordinary.bytes <= f.maxBytes, "%s", m.ordinary)
+	assert.Assert(t, m.leaving <= leavingLimit && m.dead <= deadLimit, "leaving endpoint used for %d ms, dead one for %d ms, expected at most 2000 ms and 5000 ms", m.leaving, m.dead)
+	assert.Assert(t, m.ordinary.bytes <= f.maxBytes, "ordinary node sends %s per second, more than its limit of bytes", m.ordinary)
 	assert.Equal(t, w.falseRemovals, 0)
 	return m
 }
@@ -222,7 +224,7 @@
 	return sum[0], sum[1]
 }
 
-// sendGossip does something that ends an endpoint, and returns how long any node went on using it.
+// measureSpread runs an event that ends endpoints, and returns how long any node kept using them.
 func (w *world) measureSpread(event func()) clock.Duration {
 	before := map[identifier.Endpoint]bool{}
 	for id, a := range w.endpointTruths {
@@ -258,7 +260,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(g.Endpoints(service)) != nodes {
-					b.Fatal("endpoints are missing")
+					b.Fatal("view lacks endpoints of the service")
 				}
 			}
 		})
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -1,6 +1,6 @@
-// One reducer holds what a node knows of the fleet. Its own domain it knows whole, as any of its members may
-// be asked to take a call or to witness a claim; of other domains it knows a few contacts and the endpoints of
-// the services that it calls, so that its traffic doesn't grow with the fleet.
+// A single reducer holds a node's view of the fleet. The node keeps all members of its own domain, since any of them
+// may be asked to handle a call or to witness a claim; of other domains it keeps only a few contacts and the endpoints
+// of the services that it calls, so that its traffic doesn't grow with the fleet.
 //
 // Example: g.Tick(now) every 100 ms returns Send effects; g.Receive("n2", Ping{…}, now) returns Send{Ack}.
 
@@ -17,24 +17,24 @@
 // Options are the parameters of a Gossiper; the zero value of each number means its default.
 type Options struct {
 	Self Member
-	// Seeds are addresses of nodes to ask first, so that a node can boot while the log is down.
+	// Seeds are addresses of nodes to join through first, so that a node can start while the log is down.
 	Seeds []string
 	Rand  *rand.Rand
 	// ProbeInterval is the time between two pings that a node sends.
 	ProbeInterval clock.Duration
-	// Suspicion is how long a suspect member may take to refute.
+	// Suspicion is how long a suspect member has to refute before it counts as dead.
 	Suspicion clock.Duration
 }
 
-// Defaults of Options, and the fixed rhythm of the rest.
+// Defaults of Options, and fixed intervals and limits.
 const (
 	DefaultProbeInterval = 500 * clock.Millisecond
 	DefaultSuspicion     = 1500 * clock.Millisecond
-	// TickInterval is how often Tick is meant to be called.
+	// TickInterval is the interval at which the caller must call Tick.
 	TickInterval = 100 * clock.Millisecond
-	// downRetention is how long the record of a dead member is kept, so that a late message can't revive it.
+	// downRetention is how long the record of a dead or left member is kept, so that a late message can't revive it.
 	downRetention = 10 * clock.Minute
-	// maxTickGap is the gap between two ticks that means that this process itself stood still.
+	// maxTickGap is the gap between two ticks above which this process is assumed to have been paused.
 	maxTickGap = clock.Second
 )
 
@@ -81,12 +81,12 @@
 	return g
 }
 
-// SetStatus sets what this node's pings tell about its configuration.
+// SetStatus sets the configuration status that this node's pings carry.
 func (g *Gossiper) SetStatus(s Status) {
 	g.status = s
 }
 
-// StatusOf returns the last news heard from a node of the own domain.
+// StatusOf returns the last status received from a node of the own domain.
 func (g *Gossiper) StatusOf(n identifier.Node) (ReceivedStatus, bool) {
 	if e := g.ownTable.members[n]; e != nil && e.status.At > 0 {
 		return e.status, true
@@ -99,7 +99,8 @@
 	return g.self
 }
 
-// Members returns the members of the own domain that are not dead, by name; the caller must not change it.
+// Members returns the names of the own domain's alive and suspect members, sorted; the caller must not change the
+// slice.
 func (g *Gossiper) Members() []identifier.Node {
 	return g.ownTable.up
 }
@@ -112,7 +113,7 @@
 	return Member{}, false
 }
 
-// Endpoints returns the endpoints of a service that are known, by id; the caller must not change it.
+// Endpoints returns the known endpoints of a service, sorted by id; the caller must not change the slice.
 func (g *Gossiper) Endpoints(s identifier.Service) []PlacedEndpoint {
 	return g.view.byService[s]
 }
@@ -128,7 +129,7 @@
 	return g.relayer.addressOf(n)
 }
 
-// Tick does what is due; call it every TickInterval.
+// Tick performs the work that is due; the caller must call it every TickInterval.
 func (g *Gossiper) Tick(now clock.Time) []Effect {
 	g.compensatePause(now)
 	if g.self.State == Left {
@@ -147,15 +148,15 @@
 	return effects
 }
 
-// excludePause keeps a process that stood still from calling others dead: it didn't hear their answers, and a
-// pausedUntil node would otherwise tell the whole domain that everyone else is gone.
+// compensatePause leaves a pause of this process out of its failure detection. During the pause it received no acks, so
+// it would otherwise report all other members as dead to the whole domain.
 func (g *Gossiper) compensatePause(now clock.Time) {
 	gap := now.Sub(g.lastTick)
 	if g.ticked && gap > maxTickGap {
 		g.prober.clearPending()
 		for _, e := range g.ownTable.members {
 			if e.State == Suspect {
-				// A suspicion that was heard of right after the pause is not that old.
+				// A suspicion received after the pause but before this tick must not be extended by the whole gap.
 				e.deadline = min(e.deadline.Add(gap), now.Add(g.options.Suspicion))
 			}
 		}
@@ -178,7 +179,7 @@
 	}
 }
 
-// Receive takes in a message from another node.
+// Receive processes a message from another node.
 func (g *Gossiper) Receive(from identifier.Node, message any, now clock.Time) []Effect {
 	switch m := message.(type) {
 	case Ping:
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// SetEndpoint announces an endpoint behind this node, or changes it.
+// SetEndpoint announces an endpoint of this node, or changes its record.
 func (g *Gossiper) SetEndpoint(e Endpoint, now clock.Time) []Effect {
 	list := slices.Clone(g.self.Endpoints)
 	i := slices.IndexFunc(list, func(o Endpoint) bool { return o.ID == e.ID })
@@ -229,7 +230,7 @@
 	return g.updateSelf(list, Alive, now)
 }
 
-// LeaveEndpoint tells that an endpoint takes no new work any more.
+// LeaveEndpoint announces that an endpoint accepts no new requests.
 func (g *Gossiper) LeaveEndpoint(id identifier.Endpoint, now clock.Time) []Effect {
 	for _, e := range g.self.Endpoints {
 		if e.ID == id {
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// RemoveEndpoint takes an endpoint away.
+// RemoveEndpoint removes an endpoint from this node's record.
 func (g *Gossiper) RemoveEndpoint(id identifier.Endpoint, now clock.Time) []Effect {
 	list := slices.DeleteFunc(slices.Clone(g.self.Endpoints), func(o Endpoint) bool { return o.ID == id })
 	if len(list) == len(g.self.Endpoints) {
@@ -249,7 +250,8 @@
 	return g.updateSelf(list, Alive, now)
 }
 
-// Leave tells the fleet that this node goes; keep ticking for a second so that the news spreads.
+// Leave announces that this node leaves the fleet; the caller must keep calling Tick for a second so that the record
+// spreads.
 func (g *Gossiper) Leave(now clock.Time) []Effect {
 	effects := g.updateSelf(nil, Left, now)
 	r := Departed{Node: g.self.Node, Domain: g.self.Domain}
@@ -268,7 +270,7 @@
 	return append(effects, g.flushOwnPushes()...)
 }
 
-// applyUpdates takes in records of the own domain.
+// applyUpdates applies records of the own domain and ignores others.
 func (g *Gossiper) applyUpdates(updates []Member, now clock.Time) []Effect {
 	var effects []Effect
 	for _, m := range updates {
@@ -284,8 +286,8 @@
 	return effects
 }
 
-// refute answers a record of this node that it hasn't written. Unanswered, a node that lost a few pings
-// would be taken for dead though it lives.
+// refute raises this node's incarnation above that of a record that another node has changed. Without it, a live node
+// whose acks were lost would be declared dead.
 func (g *Gossiper) refute(m Member, now clock.Time) []Effect {
 	if !supersedes(m, g.self) || g.self.State == Left {
 		return nil
@@ -294,7 +296,7 @@
 	return g.applyRecord(g.self, now)
 }
 
-// applyRecord puts a record of the own domain in its table and passes it on if it is news.
+// applyRecord stores a record of the own domain if it is newer, and starts to spread it.
 func (g *Gossiper) applyRecord(m Member, now clock.Time) []Effect {
 	old, ok := g.ownTable.put(m, now)
 	if !ok {
--- a/internal/gossiper/joiner.go
+++ b/internal/gossiper/joiner.go
@@ -1,9 +1,10 @@
-// A node finds its fleet through the addresses in its settings and through the log's records of nodes that
-// started; either is enough, so it boots with the log down. A record on the log makes no member: the node it
-// names may be long dead, and each newcomer that read it would bring it back to everyone.
+// A node finds its fleet through the seed addresses in its settings and through the log's records of started nodes;
+// either is enough, so that a node can start while the log is down. A record in the log only makes a candidate, not a
+// member: the node may have died long ago, and every newcomer that read the record would revive it throughout the
+// domain.
 //
-// Example: settings name 10.0.0.7:7000 of another domain; its JoinAnswer names three relays of the own
-// domain, and a Join to those brings the member table.
+// Example: settings name 10.0.0.7:7000 of another domain; its JoinAnswer names three relays of the own domain, and a
+// Join to those brings the member table.
 
 package gossiper
 
@@ -15,8 +16,8 @@
 
 const (
 	joinRetry = clock.Second
-	// rejoinInterval is how often a node that has peers asks a seed or a candidate all the same: two groups
-	// that started apart would otherwise never meet.
+	// rejoinInterval is how often a node that has peers still contacts a seed or a candidate: two groups of nodes that
+	// started in separate partitions would otherwise never merge.
 	rejoinInterval = 30 * clock.Second
 	joinFanout     = 3
 	maxCandidates  = 64
@@ -79,7 +80,7 @@
 	return targets
 }
 
-// ReadRecord takes in a record of this matter from the log.
+// ReadRecord applies a membership record read from the log.
 func (g *Gossiper) ReadRecord(record any, now clock.Time) []Effect {
 	switch r := record.(type) {
 	case Joined:
@@ -141,11 +142,12 @@
 	}
 	effects := g.applyUpdates([]Member{m.Self}, now)
 	if e := g.ownTable.members[m.Self.Node]; m.Hash != 0 && e != nil && e.up() {
-		// It asks now and then whether it knows all; the whole table each time would be most of its traffic.
+		// A periodic rejoin only compares hashes: sending the whole table each time would make up most of the node's
+		// traffic.
 		effects = append(effects, replyWith(JoinAnswer{Contacts: g.Contacts()}))
 		return append(effects, g.startComparison(m.Self.Node, m.Hash, now)...)
 	}
-	// A node that was taken for dead while it was cut off gets told, so that it writes a newer record.
+	// A node that was declared dead during a partition is sent its own record, so that it refutes with a newer one.
 	var members []Member
 	for _, n := range g.ownTable.up {
 		if n != m.Self.Node {
--- a/internal/gossiper/last_node_test.go
+++ b/internal/gossiper/last_node_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The last VM of a failure domain is stopped as planned. Its node has nobody left to tell; if that ended the process,
-// the caller of an upload under way would see its connection break.
+// Guards against a panic when the last VM of a failure domain is stopped as planned and its node has no peers left: it
+// would end the process and break the connections of uploads in progress.
 func TestLastNodeOfDomainLeaves(t *testing.T) {
 	g := New(Options{
 		Self: Member{Node: "ice-1.1", Domain: "mombetsu", Address: "127.0.0.1:1", Incarnation: 1},
--- a/internal/gossiper/messages.go
+++ b/internal/gossiper/messages.go
@@ -1,15 +1,16 @@
-// Within a domain, changes ride on pings and short gossips; between domains, relays compare hashes of whole
-// member tables and exchange only what differs. None of the messages is needed: each loss is made good by a
-// later comparison.
+// Within a domain, changes are carried by pings and gossip messages; between domains, relays compare hashes of whole
+// member tables and exchange only the records that differ. No message has to arrive: a later comparison makes up for
+// each loss.
 //
-// Example: Ping{Hash: 7} meets a table of hash 9: Digest (16 bucket hashes) goes back, then Summary of the
-// buckets that differ, then Members with the newer records and the names of those wanted in return.
+// Example: Ping{Hash: 7} reaches a node whose table has hash 9: it replies with Digest (16 bucket hashes), gets a
+// Summary of the buckets that differ, and sends Members with its newer records and the names of the records that it
+// wants.
 
 package gossiper
 
 import "github.com/jackdawtide/jackdawtide/internal/identifier"
 
-// Ping asks a member of the own domain whether it lives.
+// Ping checks whether a member of the own domain is alive.
 type Ping struct {
 	Sequence uint32
 	Status   Status
@@ -30,18 +31,18 @@
 	Target   identifier.Node
 }
 
-// IndirectAck tells that the target of a PingRequest has answered.
+// IndirectAck reports to the sender of a PingRequest that the target has answered.
 type IndirectAck struct {
 	Sequence uint32
 	Target   identifier.Node
 }
 
-// Gossip carries changes alone.
+// Gossip carries changed records only.
 type Gossip struct {
 	Updates []Member
 }
 
-// Digest gives the bucket hashes of a domain's table, so that the receiver can tell where they differ.
+// Digest holds the bucket hashes of a domain's table, so that the receiver can find the buckets that differ.
 type Digest struct {
 	Domain  identifier.FailureDomain
 	Buckets []uint64
@@ -54,21 +55,21 @@
 	State       MemberState
 }
 
-// Summary gives the versions of all records in the buckets of Mask.
+// Summary holds the versions of all records in the buckets that are set in Mask.
 type Summary struct {
 	Domain  identifier.FailureDomain
 	Mask    uint32
 	Entries []Entry
 }
 
-// Members gives whole records and asks for those in Wanted.
+// Members holds full records and requests those named in Wanted.
 type Members struct {
 	Domain  identifier.FailureDomain
 	Members []Member
 	Wanted  []identifier.Node
 }
 
-// Probe is sent between relays: it compares the table of one domain and tells who the sender's relays are.
+// Probe is sent by relays to compare the table of one domain; it also names the relays of the sender's domain.
 type Probe struct {
 	// Domain is the one whose table is compared.
 	Domain identifier.FailureDomain
@@ -76,7 +77,7 @@
 	Relays []Contact
 }
 
-// ProbeAnswer answers a Probe whose hash was the same.
+// ProbeAnswer answers a Probe with the relays of the sender's domain; if the hashes differ, a Digest follows.
 type ProbeAnswer struct {
 	Domain identifier.FailureDomain
 	Relays []Contact
@@ -85,32 +86,34 @@
 // Join announces the sender to a node that may not know it.
 type Join struct {
 	Self Member
-	// Hash is of the sender's member table, 0 where it knows nobody else.
+	// Hash is the hash of the sender's member table, 0 if the sender knows no other member.
 	Hash uint64
 }
 
-// JoinAnswer gives the members of the answering node's domain to one of its own, and contacts elsewhere.
+// JoinAnswer sends a node of the same domain the members and the contacts in other domains, and a node of another
+// domain only contacts, among them the relays of the sender's domain.
 type JoinAnswer struct {
 	Members  []Member
 	Contacts []Contact
 }
 
-// Subscribe asks a relay of the own domain for the endpoints of services in other domains, for a term.
+// Subscribe subscribes at a relay of the own domain to the endpoints of services in other domains, until the term
+// expires.
 type Subscribe struct {
 	Services []identifier.Service
-	// Hash is of what the sender holds already.
+	// Hash covers the records and contacts that the sender already holds.
 	Hash uint64
 }
 
-// Subscription answers Subscribe, or pushes changes unasked.
+// Subscription answers Subscribe, or pushes changes.
 type Subscription struct {
 	IsAnswer bool
-	// Unchanged tells that the subscriber holds all members and contacts, so that neither is repeated.
+	// Unchanged means that the subscriber already holds all members and contacts, so that both lists are empty.
 	Unchanged bool
 	Members   []Member
 	Contacts  []Contact
-	// SilentDomains lists the domains that the relay hasn't heard for a while, Heard those that it has. A new relay
-	// lists a domain in neither until it knows.
+	// SilentDomains lists the domains that the relay considers silent, ReachableDomains those that it is in contact
+	// with. A new relay lists a domain in neither until it knows.
 	SilentDomains    []identifier.FailureDomain
 	ReachableDomains []identifier.FailureDomain
 }
--- a/internal/gossiper/pause_test.go
+++ b/internal/gossiper/pause_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// A suspicion that arrives right after a pause must not be prolonged by that pause, or a dead server is used for as long.
+// A suspicion received right after a pause must not be extended by the length of the pause; a dead endpoint would be
+// used for that much longer.
 func TestPauseDoesNotProlongNewSuspicion(t *testing.T) {
 	const woken = clock.Time(20_000)
 	g := newTestGossiper("other")
@@ -42,7 +43,8 @@
 	assert.Equal(t, m.State, Dead)
 }
 
-// A message taken in right after a pause must not move a domain's last word into the future, or its silence goes unnoticed.
+// A message received right after a pause must not move a domain's last contact time into the future; the domain's
+// silence would be detected too late.
 func TestPauseDoesNotMoveLastContactIntoTheFuture(t *testing.T) {
 	const woken = clock.Time(20_000)
 	g := newTestGossiper()
@@ -52,7 +54,8 @@
 	assert.Assert(t, g.relayer.remotes["east"].lastContact <= woken)
 }
 
-// Another domain's word that a member of the own one lives must not bring endpoints into use that may be long gone.
+// When only another domain reports a member of the own domain as alive, its endpoints must stay unused until it refutes
+// the suspicion itself: they may be long gone.
 func TestMemberReportedByOtherDomainIsUsedOnceItRefutes(t *testing.T) {
 	g := newTestGossiper()
 	g.Receive("relayOfEast", Members{Domain: "west", Members: []Member{testMember("n", Alive)}}, 200)
@@ -82,7 +85,7 @@
 	assert.Equal(t, len(g.Endpoints("ice")), 1)
 }
 
-// A node that becomes a relay must not use a domain that was silent before it was chosen.
+// A node that becomes a relay must not use a domain that was already silent before.
 func TestNewRelayKeepsASilentDomainHidden(t *testing.T) {
 	const chosen = clock.Time(20_000)
 	g := newTestGossiper()
@@ -100,7 +103,8 @@
 	}
 }
 
-// A node that stood still must ask at once what it missed, or it uses servers that left meanwhile for seconds.
+// A paused node must renew its subscription at once when it resumes; otherwise it uses endpoints that left during the
+// pause for some seconds more.
 func TestPausedFollowerRenewsAtOnce(t *testing.T) {
 	g := newTestGossiper("r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8")
 	assert.Assert(t, !g.relayer.isRelay)
--- a/internal/gossiper/prober.go
+++ b/internal/gossiper/prober.go
@@ -1,10 +1,10 @@
-// Each node pings one member per interval, by turns the next one by name and a random one. The next one makes
-// sure that every member is pinged by somebody within two intervals; the random one reaches past a run of
-// neighbours that died together. A member that answers neither directly nor through two others is suspect,
-// and only one that doesn't refute in time is dead.
+// Each node pings one member per interval, alternating between the next one by name and a random one. Pinging the next
+// one ensures that every member is pinged within two intervals; pinging a random one detects failures beyond a run of
+// neighbours that died together. A member that answers neither directly nor through two other members becomes suspect,
+// and dead if it does not refute in time.
 //
-// Example: n4 dies at 0 ms; n3 pings it by 1000 ms at the latest, suspects it at 1500 ms, and the domain
-// drops it at about 3100 ms.
+// Example: n4 dies at 0 ms; n3 pings it by 1000 ms at the latest, suspects it at 1500 ms, and the domain drops it at
+// about 3100 ms.
 
 package gossiper
 
@@ -16,16 +16,17 @@
 )
 
 const (
-	// repeatInterval is how long an answer may take before the ping is repeated and others are asked to ping
-	// too. With one message in five lost, a single ping misses more than a third of all answers; the domain
-	// would be busy with suspecting and refuting, and the queue of changes would outgrow what is sent.
+	// repeatInterval is how long to wait for an ack before the ping is repeated and other members are asked to ping
+	// too. With one message in five lost, a single ping goes unanswered more than a third of the time; the domain would
+	// be busy with suspicions and refutations, and changes would queue up faster than they are sent.
 	repeatInterval = 100 * clock.Millisecond
 	indirectFanout = 2
-	// confirmInterval is how often a suspect member is pinged by those who confirm the suspicion.
+	// confirmInterval is how often each confirming member pings a suspect member.
 	confirmInterval = 300 * clock.Millisecond
-	// confirmerCount is about how many members confirm a suspicion.
+	// confirmerCount is the approximate number of members that confirm a suspicion.
 	confirmerCount = 4
-	// deadPingInterval is how often a dead member is pinged, as it may have been cut off only.
+	// deadPingInterval is the average interval at which a node pings a dead member, which may only have been
+	// partitioned.
 	deadPingInterval = 5 * clock.Second
 )
 
@@ -34,7 +35,7 @@
 	target   identifier.Node
 	sentAt   clock.Time
 	repeatAt clock.Time
-	// requester is the node that asked for this ping, and requested its sequence.
+	// requester is the node that asked for this ping, and requesterSequence the sequence number of its own ping.
 	requester         identifier.Node
 	requesterSequence uint32
 }
@@ -45,7 +46,7 @@
 	nextProbe    clock.Time
 	nextDeadPing clock.Time
 	randomTarget bool
-	// suspectMembers lists the members that were suspected last.
+	// suspectMembers lists the members under suspicion; settled ones are removed at the next tick.
 	suspectMembers []identifier.Node
 }
 
@@ -69,7 +70,7 @@
 	if now < p.nextProbe {
 		return effects
 	}
-	// A small jitter keeps the nodes of a domain that were started together from pinging in step.
+	// The jitter keeps nodes that were started together from pinging in step.
 	p.nextProbe = now.Add(g.options.ProbeInterval - TickInterval/2 + g.jitter(TickInterval))
 	target := g.nextTarget()
 	if target == "" {
@@ -87,8 +88,8 @@
 	if g.prober.randomTarget {
 		return g.randomPeer()
 	}
-	// Suspect members are pinged anyway; waiting for the end of one suspicion before the next member is looked at
-	// would take too long where neighbours died together.
+	// Suspect members are skipped because they are pinged anyway; otherwise, if neighbours died together, each would
+	// only be pinged after the suspicion of the one before it has ended.
 	i, _ := slices.BinarySearch(up, g.self.Node)
 	for step := 1; step < len(up); step++ {
 		if n := up[(i+step)%len(up)]; g.ownTable.members[n].State == Alive {
@@ -107,7 +108,7 @@
 	return g.ownTable.up[i]
 }
 
-// ping sends a ping; the newest record of a suspect target goes first, so that it can refute.
+// ping sends a ping. If the target is suspect or dead, its record goes first, so that it can refute.
 func (g *Gossiper) ping(target, requester identifier.Node, requesterSequence uint32, now clock.Time) Effect {
 	g.prober.sequence++
 	g.prober.pendingPings = append(g.prober.pendingPings, pendingPing{
@@ -181,8 +182,8 @@
 	return effects
 }
 
-// startSuspicion starts the wait for a refutation. A few of those who hear of the suspicion ping the member too:
-// with one in five messages lost, the one that suspects first is wrong too often to be trusted alone.
+// startSuspicion starts the wait for a refutation. A few of the members that learn of the suspicion ping the member
+// too: with one in five messages lost, the first suspicion alone is wrong too often.
 func (g *Gossiper) startSuspicion(n identifier.Node, now clock.Time) {
 	e := g.ownTable.members[n]
 	e.deadline = now.Add(g.options.Suspicion)
@@ -216,8 +217,8 @@
 	return effects
 }
 
-// pingDeadMember pings a dead member now and then. Two halves of a domain that were cut off from each other hold each
-// other for dead, and without this no message would ever cross again.
+// pingDeadMember pings a random dead member. After a partition within the domain, each half considers the other dead,
+// and without these pings the halves would never exchange messages again.
 func (g *Gossiper) pingDeadMember() []Effect {
 	if len(g.ownTable.down) == 0 {
 		return nil
@@ -232,7 +233,7 @@
 	effects = append(effects, g.receiveStatus(from, m.Status, now)...)
 	e := g.ownTable.members[from]
 	if e == nil {
-		// It knows this node, but not the other way round: ask for its record.
+		// The sender knows this node but this node does not know the sender: request its record.
 		return append(effects, Send{To: from, Message: Ack{Sequence: m.Sequence, Status: g.status}},
 			Send{To: from, Message: Members{Domain: g.ownTable.domain, Wanted: []identifier.Node{from}}})
 	}
--- a/internal/gossiper/pusher.go
+++ b/internal/gossiper/pusher.go
@@ -1,9 +1,8 @@
-// What changes in a domain is pushed to where it is needed: to the relays of other domains, and from relays to the
-// subscribers of the services concerned. A push can get lost, so it is repeated a few times, and compared tables heal the
-// rest.
+// Changes in a domain are pushed to the relays of other domains, and from relays to the subscribers of the services
+// concerned. A push can get lost, so it is repeated a few times; the comparison of tables repairs the rest.
 //
-// Example: an endpoint of "ice" starts to leave; its relays push the member's record, and each relay elsewhere pushes it on
-// to the nodes that call "ice".
+// Example: an endpoint of "ice" starts to leave; its relays push the member's record, and each relay elsewhere pushes
+// it on to the nodes that call "ice".
 
 package gossiper
 
@@ -38,7 +37,7 @@
 	return effects
 }
 
-// remainingPushes returns the pushes that are to go out once more.
+// remainingPushes counts a copy of each push and returns those that must be repeated.
 func remainingPushes(pushes []push) []push {
 	var remaining []push
 	for _, p := range pushes {
@@ -50,7 +49,8 @@
 	return remaining
 }
 
-// applyRemoteMembers takes in records of another domain; only a relay keeps those of no interest to itself.
+// applyRemoteMembers applies records of another domain; only a relay stores all of them, other nodes just those of
+// services that they call.
 func (g *Gossiper) applyRemoteMembers(m Members, now clock.Time) []Effect {
 	if !g.relayer.isRelay {
 		return g.applyRemoteRecords(m.Members, now)
@@ -70,7 +70,8 @@
 		changed = append(changed, record.Node)
 		effects = append(effects, g.applyRemoteRecord(t.members[record.Node].Member, now)...)
 	}
-	// A whole table is left to the comparison between relays, or each would send it to each.
+	// Large updates, as of a whole table, are left to the comparison between relays; otherwise each relay would send
+	// the table to all others.
 	toOwnRelays := len(changed) > 0 && len(changed) <= maxMembers/2
 	for _, n := range changed {
 		g.relayer.remotePushes = append(g.relayer.remotePushes, push{domain: m.Domain, node: n, toOwnRelays: toOwnRelays})
@@ -81,7 +82,7 @@
 	return effects
 }
 
-// pushToOwnRelays tells the other relays of the own domain of members of another one.
+// pushToOwnRelays sends records of another domain to the other relays of the own domain.
 func (g *Gossiper) pushToOwnRelays(d identifier.FailureDomain, changed []identifier.Node) []Effect {
 	var effects []Effect
 	for _, n := range g.relayer.relays {
@@ -92,8 +93,8 @@
 	return effects
 }
 
-// repeatToOwnRelays tells the other relays once more: each of them may have lost the first word of both of the others, and
-// what the domain itself pushes reaches only some of the relays.
+// repeatToOwnRelays repeats the pushes to the other relays: a relay may have lost the first copies of both others, and
+// the other domain itself pushes only to some of the relays.
 func (g *Gossiper) repeatToOwnRelays() []Effect {
 	changed := map[identifier.FailureDomain][]identifier.Node{}
 	for _, p := range g.relayer.remotePushes {
@@ -158,7 +159,8 @@
 	return names
 }
 
-// filterServices keeps the endpoints of some services; a member that is down is always wanted, as it may have had some.
+// filterServices keeps only the endpoints of some services, and reports whether a subscriber of these needs the record.
+// A member that is down is always needed, as it may have had such endpoints.
 func filterServices(m Member, services []identifier.Service) (Member, bool) {
 	if !m.up() {
 		return m, true
@@ -171,6 +173,6 @@
 	}
 	all := len(m.Endpoints)
 	m.Endpoints = kept
-	// A member whose endpoints of that service were removed must be told of too, so that they go.
+	// A member whose last endpoints were removed is needed too, so that the subscriber removes them.
 	return m, len(kept) > 0 || all == 0
 }
--- a/internal/gossiper/pusher_test.go
+++ b/internal/gossiper/pusher_test.go
@@ -9,8 +9,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// What another domain pushes reaches only some of the relays. If the others are told only once, one that loses that word goes
-// on using a server that left until the tables are compared.
+// Another domain pushes its changes to only some of the relays. If these passed a change on only once, a relay that
+// lost that message would use an endpoint that left until the next comparison of tables.
 func TestRelaysRepeatRemoteChangesToEachOther(t *testing.T) {
 	g := newTestGossiper("a", "b")
 	assert.Assert(t, g.IsRelay())
--- a/internal/gossiper/relayer.go
+++ b/internal/gossiper/relayer.go
@@ -1,10 +1,10 @@
-// Three nodes of each domain, chosen by the hash of their names so that all agree without a word, keep the
-// member tables of all other domains. They push changes to the relays of other domains at once and compare
-// hashes every second, so that a lost push costs a second and no more. All others stay out of that traffic:
-// a relay's grows with the number of domains, an ordinary node's doesn't.
+// Three nodes of each domain, selected by the hash of their names so that all nodes agree without communication, keep
+// the member tables of all other domains. They push changes to the relays of other domains at once and compare hashes
+// every second, so that a lost push is repaired within about a second. The other nodes take no part in that traffic: a
+// relay's traffic grows with the number of domains, an ordinary node's doesn't.
 //
-// Example: an endpoint in domain east becomes Leaving: gossip brings it to the three relays of east, each
-// tells one relay in every other domain, and those tell their own domain's subscribers.
+// Example: an endpoint in domain east becomes Leaving: gossip brings the record to the three relays of east, each
+// pushes it to two relays in every other domain, and those push it to the subscribers in their own domain.
 
 package gossiper
 
@@ -20,19 +20,20 @@
 	remoteProbeInterval = clock.Second
 	maxContacts         = 4
 	silenceLimit        = 3 * clock.Second
-	// newRelaySilenceLimit is the same for a domain that a new relay has not heard yet.
+	// newRelaySilenceLimit replaces silenceLimit for a domain that a new relay has not been in contact with yet.
 	newRelaySilenceLimit = 1500 * clock.Millisecond
-	// urgentProbeDelay is the silence after which all contacts of a domain are probed, every urgentProbe: taking a
-	// whole domain out of use because a few probes got lost would be worse than the fault it guards against.
+	// urgentProbeDelay is the silence after which all contacts of a domain are probed, every urgentProbeInterval:
+	// taking a whole domain out of use because a few probes were lost would be worse than the fault it guards against.
 	urgentProbeDelay    = 1200 * clock.Millisecond
 	urgentProbeInterval = 300 * clock.Millisecond
-	// urgentProbesAfterSilence is how many urgent probes a relay sends to a domain when it has just been chosen, after it stood
-	// still, and after the domain was silent: what changed meanwhile was pushed in vain.
+	// urgentProbesAfterSilence is how many urgent probes a relay sends to a domain after it became a relay, after its
+	// process was paused, and after the domain was silent: pushes sent in the meantime were missed.
 	urgentProbesAfterSilence = 10
 	contactRequestInterval   = 2 * clock.Second
 	subscriptionTerm         = 12 * clock.Second
-	// pushCopies is how often a change is pushed to a subscriber, to the other relays of the own domain, and to relayFanout
-	// relays of each other domain, as pushes are not acknowledged and a comparison may come too late for a leaving server.
+	// pushCopies is how often a change is pushed to a subscriber, to the other relays of the own domain, and to
+	// relayFanout relays of each other domain: pushes are not acknowledged, and for an endpoint that leaves, the
+	// comparison of tables may come too late.
 	pushCopies  = 4
 	relayFanout = 2
 )
@@ -44,17 +45,18 @@
 
 type remoteDomain struct {
 	contacts []Contact
-	// lastContact is when a node of that domain, or a relay of the own one on its behalf, was last heard.
+	// lastContact is when a message last came from a node of that domain, or from a relay of the own domain that is in
+	// contact with it.
 	lastContact     clock.Time
 	nextUrgentProbe clock.Time
-	// remainingProbes is how many urgent probes are still due because the table differs or may be old. The exchange takes four
-	// messages, and with a fifth of them lost the next regular probe would often come too late.
+	// remainingProbes is how many urgent probes are still to be sent because the table differs or may be old. The
+	// exchange takes four messages, and with a fifth of them lost the next regular probe would often come too late.
 	remainingProbes    int
 	silent             bool
 	nextContactRequest clock.Time
-	// contacted tells that heard is of a real message, not of when this node began to listen.
+	// contacted means that lastContact is the time of a message, not the time when this node started to track silence.
 	contacted bool
-	// selfReported tells that the domain itself has named the contacts.
+	// selfReported means that the domain itself has reported the contacts.
 	selfReported bool
 }
 
@@ -65,8 +67,8 @@
 	tables        map[identifier.FailureDomain]*table
 	remotes       map[identifier.FailureDomain]*remoteDomain
 	subscribers   map[identifier.Node]*subscriber
-	// ownTable and pushes are the members changed since the last flush, of the own domain and of others. A node that
-	// is no relay has only itself in own: it tells other domains of its own changes, as its relays may be dead.
+	// ownPushes and remotePushes are the changes still to be pushed, of members of the own domain and of others. A node
+	// that is no relay only pushes its own record: it sends it to other domains itself, since its relays may be dead.
 	ownPushes    []push
 	remotePushes []push
 	nextProbe    clock.Time
@@ -76,7 +78,7 @@
 	domain identifier.FailureDomain
 	node   identifier.Node
 	copies int
-	// toOwnRelays tells that the other relays of the own domain get it as well.
+	// toOwnRelays means that the change is also pushed to the other relays of the own domain.
 	toOwnRelays bool
 }
 
@@ -104,8 +106,8 @@
 	return "", false
 }
 
-// excludePause leaves a pause of this process out of the silence of others. A message that was taken in right after the pause has
-// already moved a domain's time on.
+// excludePause leaves a pause of this process out of the silence of other domains. The last contact never moves past
+// now, as it may stem from a message received after the pause.
 func (r *relayer) excludePause(gap clock.Duration, now clock.Time) {
 	for _, o := range r.remotes {
 		o.lastContact = min(now, o.lastContact.Add(gap))
@@ -150,8 +152,9 @@
 	return effects
 }
 
-// startTrackingSilence begins to count silence when this node becomes a relay, as before it was told by others. What it was told counts
-// until its own tables are filled: it would otherwise drop living members, and use those of a silent domain again.
+// startTrackingSilence starts to measure the silence of other domains when this node becomes a relay; before, it relied
+// on the relays' answers. Members from these answers stay confirmed and silent domains stay silent until the node's own
+// tables are filled: otherwise it would drop living members, and use those of a silent domain again.
 func (g *Gossiper) startTrackingSilence(now clock.Time) {
 	if g.relayer.tracksSilence {
 		return
@@ -167,8 +170,8 @@
 	}
 }
 
-// probeDomain compares the table of a domain with one of its relays, or now and then with a relay of the own
-// domain, which may have been reached by what this one missed.
+// probeDomain compares the table of a domain with one of that domain's relays, or, one time in four, with a relay of
+// the own domain, which may have received what this node missed.
 func (g *Gossiper) probeDomain(d identifier.FailureDomain) []Effect {
 	o := g.relayer.remotes[d]
 	t := g.relayer.tables[d]
@@ -208,15 +211,15 @@
 	for _, c := range o.contacts {
 		effects = append(effects, Send{To: c.Node, Address: c.Address, Message: message})
 	}
-	// All the relays that it named may have died at once, and its others live.
+	// All reported relays of the domain may have died at once while other members live.
 	for range min(relayFanout, len(t.up)) {
 		effects = append(effects, g.send(t.up[g.options.Rand.IntN(len(t.up))], message))
 	}
 	return effects
 }
 
-// updateSilence takes a domain out of use that hasn't been heard for a while: when it dies whole, no member of
-// it is left to tell that the others are dead.
+// updateSilence takes a domain out of use after silenceLimit without contact, and back into use afterwards: when a
+// whole domain dies, no member of it is left to report the others as dead.
 func (g *Gossiper) updateSilence(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
 	silent := now.Sub(o.lastContact) > o.silenceThreshold(silenceLimit, newRelaySilenceLimit)
@@ -242,8 +245,8 @@
 	return uncontactedThreshold
 }
 
-// requestContacts asks the other domains for contacts in a silent one: while it was cut off from this one, all its
-// nodes that are known here may have been replaced, and then nobody here could ever reach it again.
+// requestContacts asks the other domains for contacts in a silent one. During a partition all its known nodes may have
+// been replaced, and then no node of this domain could ever reach it again.
 func (g *Gossiper) requestContacts(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
 	if !o.silent || now < o.nextContactRequest {
@@ -285,7 +288,7 @@
 	}
 	t := g.tableOf(m.Domain)
 	if t == nil {
-		// This node is no relay, or knows nothing of that domain: an empty answer only tells who is.
+		// This node is no relay or has no table of that domain: it only answers with its domain's relays.
 		return append(effects, g.send(from, ProbeAnswer{Domain: g.self.Domain, Relays: g.ownRelays()}))
 	}
 	effects = append(effects, g.send(from, ProbeAnswer{Domain: m.Domain, Relays: g.ownRelays()}))
--- a/internal/gossiper/repairer.go
+++ b/internal/gossiper/repairer.go
@@ -1,9 +1,9 @@
-// Gossip is a matter of chance, so now and then a change misses a member. Every ping therefore carries a hash
-// of the sender's table; where it differs and no gossip is under way, the two compare buckets and exchange
-// only the records that differ. Without that a member could route to a server that left long ago.
+// Gossip is probabilistic, so a change can miss a member. Every ping therefore carries a hash of the sender's table; if
+// it differs and the table has settled, the two nodes compare bucket hashes and exchange only the records that differ.
+// Without this anti-entropy a member could keep sending requests to a server that left long ago.
 //
-// Example: n1 never heard that n7 left. The next ping from n2 has another hash; Digest, Summary and Members
-// follow, about 1 kB in a domain of 482.
+// Example: n1 has missed that n7 left. The next ping from n2 has another hash; Digest, Summary and Members follow,
+// about 1 kB in a domain of 482.
 
 package gossiper
 
@@ -15,13 +15,13 @@
 )
 
 const (
-	// repairInterval is the least time between two comparisons that a node starts.
+	// repairInterval is the minimum time between two comparisons that a node starts.
 	repairInterval = 500 * clock.Millisecond
-	// settleTime is how long a table must be unchanged before a difference counts; in a table that never comes
-	// to rest, one difference in unsettledOdds does.
-	settleTime      = 300 * clock.Millisecond
-	unsettledChance = 4
-	// maxMembers bounds the records in one Members.
+	// settleTime is how long a table must be unchanged before a difference starts a comparison. While the table keeps
+	// changing, one difference in unsettledOdds starts one all the same.
+	settleTime    = 300 * clock.Millisecond
+	unsettledOdds = 4
+	// maxMembers is the upper bound of records in one Members message.
 	maxMembers = 64
 )
 
@@ -33,7 +33,7 @@
 	if hash == g.ownTable.hash() || now < g.repairer.next {
 		return nil
 	}
-	if now.Sub(g.ownTable.lastChange) < settleTime && g.options.Rand.IntN(unsettledChance) > 0 {
+	if now.Sub(g.ownTable.lastChange) < settleTime && g.options.Rand.IntN(unsettledOdds) > 0 {
 		return nil
 	}
 	g.repairer.next = now.Add(repairInterval)
@@ -44,7 +44,7 @@
 	return Digest{Domain: t.domain, Buckets: slices.Clone(t.buckets[:])}
 }
 
-// tableOf returns the table of a domain, nil where this node keeps none.
+// tableOf returns this node's table of a domain, nil if it has none.
 func (g *Gossiper) tableOf(d identifier.FailureDomain) *table {
 	if d == g.ownTable.domain {
 		return g.ownTable
@@ -120,8 +120,9 @@
 	return append(effects, g.sendMembers(from, t, m.Wanted, nil)...)
 }
 
-// suspectUnconfirmed makes suspects of members that only another domain says are alive. A domain that died whole is remembered there as
-// it was before, and its first new node would otherwise use the dead until it has pinged them all.
+// suspectUnconfirmed marks members as suspect that only another domain reports as alive. If a whole domain has died,
+// other domains still hold its old records, and the domain's first new node would use the dead members until it has
+// pinged them all.
 func (g *Gossiper) suspectUnconfirmed(from identifier.Node, members []Member) []Member {
 	if g.ownTable.members[from] != nil {
 		return members
--- a/internal/gossiper/seeds_test.go
+++ b/internal/gossiper/seeds_test.go
@@ -8,25 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// The first node of a failure domain that died whole must not use endpoints of the dead because another domain remembers them.
+// If a whole failure domain has died, its first new node must not use dead endpoints from the old records of other
+// domains.
 func TestSeed17267FirstNodeOfDeadDomain(t *testing.T) { replay(t, "17267") }
 
-// A node whose seeds are all dead must find the fleet by the log, or its endpoint stays unknown elsewhere.
+// A node whose seeds are all dead must find the fleet through the log; otherwise its endpoint stays unknown elsewhere.
 func TestSeed29941ServerUnknownElsewhere(t *testing.T) { replay(t, "29941") }
 
-// A node that stood still must not stretch the time after which a member that it suspects counts as dead.
+// A pause of a node must not extend the time after which a member that it suspects counts as dead.
 func TestSeed1224929UsesADeadServer(t *testing.T) { replay(t, "1224929") }
 
-// The same in a failure domain whose only living node stood still while the others came and went.
+// The same in a failure domain whose only living node was paused while other nodes started and stopped.
 func TestSeed442371DomainKeptByAPausedNode(t *testing.T) { replay(t, "442371") }
 
-// A node that stood still must not go on using a server that left meanwhile.
+// A paused node must not keep using an endpoint that left during the pause.
 func TestSeed174998PausedFollower(t *testing.T) { replay(t, "174998") }
 
-// A node that becomes a relay must not use a failure domain again that is silent.
+// A node that becomes a relay must not bring a silent failure domain back into use.
 func TestSeed67631NewRelayUsesASilentDomain(t *testing.T) { replay(t, "67631") }
 
-// The seed under which a node was seen to use a server of its own failure domain that had been gone for 22 s.
+// Guards against a node that uses an endpoint of its own failure domain long after it is gone, which shows under this
+// seed.
 func TestSeed771301WithManyChecks(t *testing.T) {
 	if testing.Short() || raceEnabled {
 		t.Skip("takes minutes with the race detector")
@@ -47,5 +49,5 @@
 	t.Cleanup(func() { assert.NilError(t, f.Value.Set(before)) })
 }
 
-// A server that left must not be used for longer than two seconds.
+// An endpoint that left must not be used for longer than two seconds.
 func TestSeed562969LeavingServerUsed(t *testing.T) { replay(t, "562969") }
--- a/internal/gossiper/spreader.go
+++ b/internal/gossiper/spreader.go
@@ -1,9 +1,9 @@
-// A change is passed on to random members a limited number of times by each node that hears it for the first
-// time; that reaches all of n members in about log n rounds, and costs each node about 3 log n copies. What a
-// lossy network keeps from a member nevertheless, the comparison of hashes finds.
+// Each node that first receives a change sends it to random members a limited number of times. That reaches all n
+// members in about log n rounds, and costs each node about 3 log n copies. The comparison of table hashes finds the
+// changes that a member still misses because of message loss.
 //
-// Example: with 482 members a change goes out 19 times from each node, three at a tick, and has reached all
-// of them after five or six ticks.
+// Example: with 482 members each node sends a change 19 times, three copies per tick, and all members have it after
+// five or six ticks.
 
 package gossiper
 
@@ -17,12 +17,12 @@
 )
 
 const (
-	// gossipFanout is how many members get a gossip per tick.
+	// gossipFanout is how many members get a Gossip message per tick.
 	gossipFanout = 3
-	// maxUpdates and maxUpdateBytes bound the records in one message.
+	// maxUpdates and maxUpdateBytes limit the records in one message.
 	maxUpdates     = 16
 	maxUpdateBytes = 1200
-	// maxRumors bounds the changes under way; when a whole domain boots at once, most of it is left to the
+	// maxRumors limits the changes being spread; when a whole domain starts at once, most records are left to the
 	// comparison of tables.
 	maxRumors = 64
 	// minTransmits keeps a change from being lost in a domain of two or three members.
@@ -39,7 +39,8 @@
 	nextGossip clock.Time
 }
 
-// startSpreading starts the spreading of a member's newest record, from zero if it was already under way.
+// startSpreading starts to spread a member's newest record, and restarts its count of copies if it is already being
+// spread.
 func (s *spreader) startSpreading(n identifier.Node) {
 	s.rumors = slices.DeleteFunc(s.rumors, func(r rumor) bool { return r.node == n })
 	s.rumors = append(s.rumors, rumor{node: n})
@@ -48,7 +49,7 @@
 	}
 }
 
-// dropMostSent ends the spreading of the record that was sent most often.
+// dropMostSent stops spreading the record with the most copies sent.
 func (s *spreader) dropMostSent() {
 	mostSent := 0
 	for i, r := range s.rumors {
@@ -63,7 +64,7 @@
 	return max(minTransmits, int(math.Ceil(3*math.Log(float64(len(g.ownTable.up)+1)))))
 }
 
-// nextUpdates returns the records spread least so far, and counts them as sent to that many members.
+// nextUpdates returns the records with the fewest copies sent, and adds copies to their counts.
 func (g *Gossiper) nextUpdates(copies int) []Member {
 	s := &g.spreader
 	if len(s.rumors) == 0 {
@@ -122,10 +123,10 @@
 	return Send{To: to, Address: address, Message: message}
 }
 
-// randomPeers draws distinct members of the own domain other than this node and the one excepted.
+// randomPeers draws distinct members of the own domain, without this node and the excepted one.
 //
-// The last node of a domain is no longer among the members once it has left itself; a draw from nobody would end the
-// process in the middle of its planned stop, with uploads under way.
+// The member list is empty once the last node of a domain has left; drawing from it would panic during the planned stop
+// and cut off uploads in progress.
 func (g *Gossiper) randomPeers(count int, except identifier.Node) []identifier.Node {
 	if len(g.ownTable.up) == 0 {
 		return nil
--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -1,8 +1,8 @@
-// A table holds the newest record of each member of one domain, and hashes of it that change with each
-// record, so that two nodes find out by a few bytes whether they know the same.
+// A table holds the newest record of each member of one domain, and hashes over the records, so that two nodes can
+// compare their tables with a few bytes.
 //
-// Example: two tables that differ in one member differ in one of 16 buckets, and only about a sixteenth of
-// the versions is exchanged. Dead members are in no hash, since nodes forget them at different times.
+// Example: two tables that differ in one member differ in one of 16 buckets, and only about a sixteenth of the versions
+// is exchanged. Dead members are in no hash, since nodes evict them at different times.
 
 package gossiper
 
@@ -19,14 +19,14 @@
 
 type entry struct {
 	Member
-	// changedAt is when this record was taken in.
+	// changedAt is when this record was stored.
 	changedAt clock.Time
 	// deadline is when a suspect member counts as dead; zero in tables of other domains.
 	deadline clock.Time
-	// confirming tells that this node pings the suspect member itself, next at nextPing.
+	// confirming means that this node pings the suspect member itself, next at nextPing.
 	confirming bool
 	nextPing   clock.Time
-	// unverified tells that the member was suspect when it was first heard of, so that its endpoints are not used yet.
+	// unverified means that the member was suspect in its first record here, so its endpoints are not used yet.
 	unverified bool
 	status     ReceivedStatus
 }
@@ -34,7 +34,7 @@
 type table struct {
 	domain  identifier.FailureDomain
 	members map[identifier.Node]*entry
-	// up lists the members that are alive or suspect, by name.
+	// up lists the members that are alive or suspect, sorted; down lists the dead ones.
 	up         []identifier.Node
 	down       []identifier.Node
 	buckets    [bucketCount]uint64
@@ -49,7 +49,7 @@
 	return int(xxh3.HashString(string(n)) % bucketCount)
 }
 
-// versionHash leaves suspicion out: it passes within seconds and would start exchanges for nothing.
+// versionHash leaves out suspicion: it is over within seconds, and hashing it would start needless exchanges.
 func versionHash(n identifier.Node, i Incarnation) uint64 {
 	return xxh3.HashStringSeed(string(n), uint64(i)+1)
 }
@@ -62,7 +62,7 @@
 	return h
 }
 
-// put takes a record in if it is newer, and returns the one it replaces.
+// put stores a record if it is newer, and returns the record it replaces.
 func (t *table) put(m Member, now clock.Time) (old Member, ok bool) {
 	e := t.members[m.Node]
 	if e != nil {
@@ -104,7 +104,7 @@
 
 func withPresence(list []identifier.Node, n identifier.Node, present bool) []identifier.Node {
 	i, found := slices.BinarySearch(list, n)
-	// The old list may be in use by the caller of Members, so it isn't changed in place.
+	// The caller of Members may still hold the old slice, so it isn't changed in place.
 	switch {
 	case present && !found:
 		return slices.Insert(slices.Clone(list), i, n)
@@ -114,7 +114,7 @@
 	return list
 }
 
-// clearPending drops the records of members that are down for longer than the term.
+// evictDown evicts the records of members that have been down for longer than the term.
 func (t *table) evictDown(now clock.Time, term clock.Duration) {
 	for n, e := range t.members {
 		if !e.up() && now.Sub(e.changedAt) > term {
@@ -124,7 +124,7 @@
 	}
 }
 
-// sortedNames returns the names of all members in the buckets of mask.
+// namesInBuckets returns the names of all members in the buckets of mask, sorted.
 func (t *table) namesInBuckets(mask uint32) []identifier.Node {
 	var names []identifier.Node
 	for n := range t.members {
--- a/internal/gossiper/types.go
+++ b/internal/gossiper/types.go
@@ -1,7 +1,8 @@
-// A member's record is written by the member alone and numbered by its incarnation; others may only add the
-// opinion that it is suspect, dead or gone. So of two records of one member the newer one is always known.
+// Only the member itself writes its record and numbers it with an incarnation; other nodes may only change the state to
+// suspect, dead or left. That makes it always decidable which of two records of a member is newer.
 //
-// Example: {n1, incarnation 4, Suspect} beats {n1, 4, Alive}; n1 answers with {n1, 5, Alive}, which beats both.
+// Example: {n1, incarnation 4, Suspect} supersedes {n1, 4, Alive}; n1 refutes with {n1, 5, Alive}, which supersedes
+// both.
 
 package gossiper
 
@@ -26,7 +27,7 @@
 
 var memberStateNames = [...]string{Alive: "alive", Suspect: "suspect", Dead: "dead", Left: "left"}
 
-// String names the state for the dump.
+// String returns the name that the dump prints.
 func (s MemberState) String() string {
 	if s > 0 && int(s) < len(memberStateNames) {
 		return memberStateNames[s]
@@ -46,7 +47,7 @@
 
 var endpointStateNames = [...]string{Cold: "cold", Ready: "ready", Leaving: "leaving"}
 
-// String names the state for the dump.
+// String returns the name that the dump prints.
 func (s EndpointState) String() string {
 	if s > 0 && int(s) < len(endpointStateNames) {
 		return endpointStateNames[s]
@@ -54,7 +55,7 @@
 	return "unknown"
 }
 
-// Endpoint is one backend server as it was announced to its node.
+// Endpoint is one backend server as announced to its node.
 type Endpoint struct {
 	ID              identifier.Endpoint
 	Service         identifier.Service
@@ -63,7 +64,7 @@
 	State           EndpointState
 }
 
-// Member is one node with the endpoints behind it.
+// Member is one node with its endpoints.
 type Member struct {
 	Node         identifier.Node
 	Domain       identifier.FailureDomain
@@ -78,7 +79,7 @@
 	return m.State == Alive || m.State == Suspect
 }
 
-// supersedes tells whether record a of a member takes the place of record b.
+// supersedes reports whether record a of a member replaces record b.
 func supersedes(a, b Member) bool {
 	if b.State == Left {
 		return false
@@ -89,69 +90,71 @@
 	return a.State > b.State
 }
 
-// PlacedEndpoint is an endpoint together with where it is.
+// PlacedEndpoint is an endpoint together with its node and failure domain.
 type PlacedEndpoint struct {
 	Endpoint
 	Node   identifier.Node
 	Domain identifier.FailureDomain
 }
 
-// Contact is how to reach a node.
+// Contact is a node and the address to reach it at.
 type Contact struct {
 	Node    identifier.Node
 	Domain  identifier.FailureDomain
 	Address string
 }
 
-// Status is what pings tell about the sender's configuration.
+// Status is the state of the sender's configuration, carried by pings and their acks.
 type Status struct {
 	Offset  identifier.Offset
 	Version identifier.Version
 	InForce identifier.Preset
-	// Reader, Stamp and Age are the newest contact with the log that the sender knows of.
+	// Reader is the node with the most recent contact with the log that the sender knows of, Stamp the time of that
+	// contact by the reader's clock, and Age the time since then.
 	Reader identifier.Node
 	Stamp  clock.Time
 	Age    clock.Duration
 }
 
-// ReceivedStatus is the last news from one node.
+// ReceivedStatus is the last status received from a node, and when.
 type ReceivedStatus struct {
 	Status
 	At clock.Time
 }
 
-// Effect is something that the caller has to do.
+// Effect is an action that the caller has to perform.
 type Effect interface{ effect() }
 
-// Send passes a message to a node at an address; it may get lost. Node is empty where only the address is known.
+// Send sends a message to a node at an address, without a delivery guarantee. To is empty when only the address is
+// known.
 type Send struct {
 	To      identifier.Node
 	Address string
 	Message any
 }
 
-// Append puts a record on the log; the caller repeats it until it is there.
+// Append appends a record to the log; the caller retries until the log holds it.
 type Append struct {
 	Record any
 }
 
-// EndpointChanged tells of a new or changed endpoint.
+// EndpointChanged reports a new or changed endpoint.
 type EndpointChanged struct {
 	Endpoint PlacedEndpoint
 }
 
-// EndpointGone tells that an endpoint must get no new work.
+// EndpointGone reports that an endpoint must get no new requests.
 type EndpointGone struct {
 	ID   identifier.Endpoint
 	Node identifier.Node
 }
 
-// MembersChanged tells that Members, or Contacts, of a domain gives a new answer.
+// MembersChanged reports that the result of Members, for the own domain, or of Contacts, for another one, has changed.
 type MembersChanged struct {
 	Domain identifier.FailureDomain
 }
 
-// StatusReceived passes on what a ping told.
+// StatusReceived passes on a status that a ping or an ack carried.
 type StatusReceived struct {
 	Node   identifier.Node
 	Status Status
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -1,6 +1,6 @@
-// The view is what the node would route to: all endpoints of the own domain, and of other domains those of
-// the services that it calls. Records reach it from the own domain's table, from a relay's tables and from
-// subscriptions; the incarnation decides, whichever way a record came.
+// The view holds the endpoints that the node can route to: all endpoints of the own domain, and of other domains those
+// of the services that it calls. Records come from the own domain's table, from a relay's tables and from
+// subscriptions; the incarnation decides which record is newer, whatever its source.
 //
 // Example: n9's endpoint "ice-3" becomes Leaving: the record of incarnation 6 replaces that of 5 and one
 // EndpointChanged results, however often the record arrives.
@@ -17,9 +17,9 @@
 
 type viewEntry struct {
 	Member
-	// confirmed is when a relay last told that it holds the same.
+	// confirmed is when the member's record was last received or confirmed by a relay.
 	confirmed clock.Time
-	// hidden tells that the member's domain is silent.
+	// hidden means that the member's domain is silent.
 	hidden bool
 }
 
@@ -32,7 +32,7 @@
 	return view{members: map[identifier.Node]*viewEntry{}, byService: map[identifier.Service][]PlacedEndpoint{}}
 }
 
-// apply takes a record in and tells what changed for the endpoints.
+// apply stores a record if it is newer, and returns the changes of the endpoints.
 func (v *view) apply(m Member, now clock.Time) []Effect {
 	s := v.members[m.Node]
 	if s == nil {
@@ -46,7 +46,7 @@
 	old := s.Member
 	switch {
 	case m.Incarnation == old.Incarnation && m.up() && old.up():
-		// Records of one incarnation differ only by which services were asked for.
+		// Records of one incarnation differ only in the services that they were filtered by.
 		m.Endpoints = union(old.Endpoints, m.Endpoints)
 	case old.State != 0 && !supersedes(m, old):
 		return nil
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// updateService replaces the list of a service, as callers may still hold the old one.
+// updateService replaces the list of a service instead of changing it, as callers may still hold the old one.
 func (v *view) updateService(e Endpoint, m Member, present bool) {
 	list := slices.DeleteFunc(slices.Clone(v.byService[e.Service]), func(p PlacedEndpoint) bool {
 		return p.ID == e.ID && p.Node == m.Node
@@ -112,7 +112,7 @@
 	v.byService[e.Service] = list
 }
 
-// drop removes a member that nobody confirms any more.
+// drop removes a member that no relay confirms any more.
 func (v *view) drop(n identifier.Node) []Effect {
 	s := v.members[n]
 	delete(v.members, n)
@@ -124,7 +124,7 @@
 	return v.diffEndpoints(s.Member, gone)
 }
 
-// setHidden takes the endpoints of a silent domain out of use, and back when it is heard again.
+// setHidden takes the endpoints of a silent domain out of use, or back into use when the domain is reachable again.
 func (v *view) setHidden(domain identifier.FailureDomain, hidden bool) []Effect {
 	var effects []Effect
 	for _, n := range v.sortedNames() {
--- a/internal/gossiper/world_test.go
+++ b/internal/gossiper/world_test.go
@@ -1,7 +1,7 @@
 package gossiper_test
 
-// A fleet of nodes in several failure domains, joined by messages that get lost. The world knows who lives and
-// what was announced when; a node's view may lag behind by the promised time and no more.
+// The world simulates a fleet of nodes in several failure domains, connected by a lossy network. It records which nodes
+// live and when each endpoint was announced or ended; a node's view may lag behind by the specified limits and no more.
 
 import (
 	"flag"
@@ -17,13 +17,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// CI must give the same verdict each time; -rapid.seed still draws anew.
+// TestMain fixes the seed so that CI gives the same result on each run; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "20261203")
 	}
-	// Each sequence runs minutes of a fleet's life.
+	// Each sequence simulates minutes of a fleet's life, so only a few are run by default.
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		_ = flag.Set("rapid.checks", "30")
 	}
@@ -35,7 +35,8 @@
 	leavingLimit                      = 2 * clock.Second
 	deadLimit                         = 5 * clock.Second
 	discoveryLimit                    = 10 * clock.Second
-	// recoveryTime is what the domains need to meet again after a cut or a pause, before the times above count.
+	// recoveryTime is what the domains need to exchange records again after a partition or a pause, before the limits
+	// above count.
 	recoveryTime = 3 * clock.Second
 )
 
@@ -46,20 +47,20 @@
 	g           *gossiper.Gossiper
 	startedAt   clock.Time
 	pausedUntil clock.Time
-	// effectView is the view that the effects alone give.
+	// effectView is the view that results from the effects alone.
 	effectView map[identifier.Endpoint]gossiper.PlacedEndpoint
 	seeds      []string
-	// logPosition is up to where the node has read the log.
+	// logPosition is the number of log records that the node has read.
 	logPosition int
 	tickOffset  clock.Time
 	messages    int
 	bytes       int
 }
 
-// joinRecorded is the truth about one endpoint.
+// endpointTruth is the true state of one endpoint.
 type endpointTruth struct {
 	node *machine
-	// readyAt and gone are when it came and when it left or died; zero where it hasn't.
+	// readyAt is when the endpoint was announced, goneAt when it left or died; zero if it hasn't.
 	readyAt, goneAt clock.Time
 	useLimit        clock.Duration
 }
@@ -79,12 +80,12 @@
 	log           []any
 	lossRate      float64
 	countsTraffic bool
-	// isolatedDomain names a domain that can't reach the others.
+	// isolatedDomain is the domain that is partitioned from the others.
 	isolatedDomain identifier.FailureDomain
-	// disturbedUntil is the last moment of a disturbance that voids the promised times.
+	// disturbedUntil is the end of the last partition or pause; the limits count from then.
 	disturbedUntil clock.Time
-	// lastCrash is the last crash in a domain. After two in a row all its relays may be dead until that is
-	// noticed, and what passes between it and other domains waits for restless to end.
+	// lastCrash is the time of the last crash in a domain. After two in close succession all its relays may be dead
+	// until that is detected, so the limits between it and other domains only count from unsettledUntil.
 	lastCrash      map[identifier.FailureDomain]clock.Time
 	unsettledUntil map[identifier.FailureDomain]clock.Time
 	startCount     int
@@ -109,7 +110,8 @@
 
 func (w *world) start(domain identifier.FailureDomain) *machine {
 	if !w.hasMachines(domain) {
-		// A domain that comes back is in use again at once; its newcomer has to find out who of it is dead.
+		// A domain that died whole is in use again as soon as a node starts in it, and that node has to detect which of
+		// the old members are dead.
 		w.unsettledUntil[domain] = w.now.Add(deadLimit)
 	}
 	w.startCount++
@@ -150,7 +152,7 @@
 	}
 }
 
-// remove ends a node: at once, or after it told that it leaves.
+// remove ends a node, after announcing that it leaves if the limit is leavingLimit, otherwise by a crash.
 func (w *world) remove(m *machine, useLimit clock.Duration) {
 	for id, a := range w.endpointTruths {
 		if a.node == m {
@@ -172,8 +174,9 @@
 	delete(w.byAddress, m.address)
 }
 
-// extendUnheardLeaving gives an endpoint that began to leave just before its node crashed the time of a crash, if no living node
-// has heard that it leaves: nobody is left who could tell, and no call can reach it through a dead node.
+// extendUnheardLeaving allows the time of a crash for endpoints that started to leave just before their node crashed,
+// if no living node has received that they leave: no node is left to report it, and no call can reach them through a
+// dead node.
 func (w *world) extendUnheardLeaving(crashed *machine) {
 	for id, a := range w.endpointTruths {
 		if a.node != crashed || a.goneAt == 0 || a.useLimit != leavingLimit || w.now.Sub(a.goneAt) > leavingLimit || w.isLeavingKnown(id, crashed) {
@@ -271,7 +274,7 @@
 	return slices.ContainsFunc(w.machines, func(m *machine) bool { return m.domain == d })
 }
 
-// findFault returns what a node's view has wrong that it should have right by now.
+// findFault describes an endpoint that some node's view still has wrong after its time limit, or returns "".
 func (w *world) findFault() string {
 	for _, m := range w.machines {
 		if w.now < m.pausedUntil {
@@ -285,14 +288,15 @@
 			}
 		}
 		if len(view) != len(m.effectView) {
-			return fmt.Sprintf("%s: %d endpoints in view, %d by effects", m.id, len(view), len(m.effectView))
+			return fmt.Sprintf("%s: view holds %d endpoints, expected %d by its effects", m.id, len(view), len(m.effectView))
 		}
 		for id, a := range w.endpointTruths {
 			p, known := view[id]
 			used := known && p.State != gossiper.Leaving
 			useLimit := a.useLimit
 			if !w.hasMachines(a.node.domain) {
-				// Nobody is left to tell; its silence must speak, to relays that may have just changed.
+				// No node of the domain is left to report it, so relays must detect its silence, and they may have just
+				// been elected.
 				useLimit = deadLimit + 4*clock.Second
 			}
 			since := max(a.readyAt, a.goneAt, m.startedAt, w.disturbedUntil.Add(recoveryTime))
@@ -300,10 +304,10 @@
 				since = max(since, w.unsettledUntil[m.domain], w.unsettledUntil[a.node.domain])
 			}
 			if used && a.goneAt > 0 && w.now > since.Add(useLimit) {
-				return fmt.Sprintf("%s of %s uses %s of %s, gone for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(a.goneAt))
+				return fmt.Sprintf("%s of %s still uses endpoint %s of %s, gone for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(a.goneAt))
 			}
 			if !used && a.goneAt == 0 && w.now > since.Add(discoveryLimit) {
-				return fmt.Sprintf("%s of %s lacks %s of %s, there for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(since))
+				return fmt.Sprintf("%s of %s lacks endpoint %s of %s, expected to be known for %d ms", m.id, m.domain, id, a.node.domain, w.now.Sub(since))
 			}
 		}
 	}
