--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -224,7 +224,7 @@
 	case Ticked:
 		c.tick(now)
 	case VMResumed:
-		c.table.Elapse(e.After)
+		c.table.AddElapsed(e.After)
 	case BoundsChanged:
 		c.options.Bounds = e.Bounds
 	case StopRequested:
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -143,15 +143,15 @@
 	c.exchangeFailed = true
 	c.detector.Suspect(e.Node, now)
 	if !e.Sought {
-		c.table.Failed(e.Node, now)
+		c.table.RecordFailure(e.Node, now)
 	}
 }
 
 func (c *Conductor) peerAnswered(e PeerAnswered, now clock.Time) {
-	c.table.Answered(e.Node)
+	c.table.RecordAnswer(e.Node)
 	c.lastExchangeAt, c.exchangeFailed = now, false
 	c.detector.RecordContact(e.Node, now)
-	c.takeReports(c.table.Hear(e.Node, e.Answer), c.members[e.Node], now)
+	c.takeReports(c.table.AcceptAnswer(e.Node, e.Answer), c.members[e.Node], now)
 }
 
 func (c *Conductor) takeReports(reports []exchanger.Report, from exchanger.Member, now clock.Time) {
@@ -227,8 +227,8 @@
 	asking := q.Report.Member
 	c.detector.RecordContact(asking.Node, now)
 	c.takeReports([]exchanger.Report{q.Report}, asking, now)
-	c.takeReports(q.Passed, asking, now)
-	return c.table.Answer(asking.Node, q.Heard, now)
+	c.takeReports(q.Forwarded, asking, now)
+	return c.table.Answer(asking.Node, q.Since, now)
 }
 
 // CollectsForFleet reports whether this node is, to its knowledge, the fleet's collector, which asks no other node.
@@ -238,7 +238,7 @@
 
 // CollectsForDomain reports whether this node is, to its knowledge, the collector of reports of its failure domain.
 func (c *Conductor) CollectsForDomain(now clock.Time) bool {
-	return c.table.Collects(c.members, now)
+	return c.table.IsCollector(c.members, now)
 }
 
 const (
@@ -279,13 +279,13 @@
 func (c *Conductor) Ask(now clock.Time) (ReportExchange, bool) {
 	own := c.Report(now)
 	if node := c.table.Next(c.members, now); node != c.self.Node {
-		return ReportExchange{Member: c.members[node], Question: c.table.Ask(c.members[node], own, now)}, true
+		return ReportExchange{Member: c.members[node], Question: c.table.QuestionFor(c.members[node], own, now)}, true
 	}
-	node, ok := c.table.Missing(c.members, now)
+	node, ok := c.table.NextMissing(c.members, now)
 	if !ok {
 		return ReportExchange{}, false
 	}
-	return ReportExchange{Member: c.members[node], Question: c.table.Seek(c.members[node], own), Seeks: true}, true
+	return ReportExchange{Member: c.members[node], Question: c.table.QuestionWithoutReports(c.members[node], own), Seeks: true}, true
 }
 
 // reportsTrustedFor is how long after an exchange this node relies on reports to deliver every change of the members:
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -32,16 +32,16 @@
 // sendProbes probes the nodes from which the detector expects an answer.
 func (c *Conductor) sendProbes(now clock.Time) {
 	for _, node := range c.detector.Tick(now) {
-		c.emit(Probe{Node: node, Address: c.members[node].Deliver})
+		c.emit(Probe{Node: node, Address: c.members[node].DeliveryAddress})
 	}
 }
 
 func (c *Conductor) probeEnded(e Probed, now clock.Time) {
 	if e.Reached && c.detector.Lost(e.Node) {
-		c.table.Answered(e.Node)
+		c.table.RecordAnswer(e.Node)
 	}
 	for _, node := range c.detector.Probed(e.Node, e.Reached, now) {
-		c.table.Failed(node, now)
+		c.table.RecordFailure(node, now)
 		if m := c.members[node]; m.Endpoint != "" && m.State != exchanger.Absent {
 			c.putEndpoint(m, now, true)
 		}
--- a/internal/exchanger/codec.go
+++ b/internal/exchanger/codec.go
@@ -1,8 +1,9 @@
 package exchanger
 
-// Reports travel twice a second from every node and back in bundles, so their fields are numbered, not named.
+// Every node sends reports twice a second and gets back those of many others, so fields are encoded with integer keys in
+// place of names to keep messages small.
 //
-// Example: EncodeQuestion(Question{Report: Report{Member: m, Excess: 0.4}}) gives a CBOR map with a map in it.
+// Example: EncodeQuestion(Question{Report: Report{Member: m, Excess: 0.4}}) gives a CBOR map with a nested map.
 
 import (
 	"fmt"
@@ -14,17 +15,17 @@
 )
 
 type wireMember struct {
-	Node        string `cbor:"1,keyasint"`
-	Deliver     string `cbor:"2,keyasint"`
-	Peer        string `cbor:"3,keyasint"`
-	Domain      string `cbor:"4,keyasint"`
-	Service     string `cbor:"5,keyasint"`
-	Endpoint    string `cbor:"6,keyasint,omitempty"`
-	Slots       int    `cbor:"7,keyasint,omitempty"`
-	State       uint8  `cbor:"8,keyasint,omitempty"`
-	ColdLeft    int64  `cbor:"9,keyasint,omitempty"`
-	Incarnation int64  `cbor:"10,keyasint"`
-	Sequence    int64  `cbor:"11,keyasint"`
+	Node            string `cbor:"1,keyasint"`
+	DeliveryAddress string `cbor:"2,keyasint"`
+	PeerAddress     string `cbor:"3,keyasint"`
+	Domain          string `cbor:"4,keyasint"`
+	Service         string `cbor:"5,keyasint"`
+	Endpoint        string `cbor:"6,keyasint,omitempty"`
+	Slots           int    `cbor:"7,keyasint,omitempty"`
+	State           uint8  `cbor:"8,keyasint,omitempty"`
+	ColdLeft        int64  `cbor:"9,keyasint,omitempty"`
+	Incarnation     int64  `cbor:"10,keyasint"`
+	Sequence        int64  `cbor:"11,keyasint"`
 }
 
 type wireReport struct {
@@ -36,20 +37,20 @@
 	Calls  wireCalls          `cbor:"6,keyasint,omitempty"`
 	Nested int64              `cbor:"7,keyasint,omitempty"`
 	Load   float32            `cbor:"8,keyasint,omitempty"`
-	// Node stands in place of a member whose record the other side has.
+	// Node replaces Member when the receiver already has the member's record.
 	Node string `cbor:"9,keyasint,omitempty"`
 	Root int64  `cbor:"10,keyasint,omitempty"`
 	Cold int64  `cbor:"11,keyasint,omitempty"`
 }
 
-// wireCalls holds calls by the run's route and the call's.
+// wireCalls holds the number of calls by the run's route and the call's route.
 type wireCalls map[string]map[string]float32
 
 type wireQuestion struct {
-	Report wireReport   `cbor:"1,keyasint"`
-	Table  uint64       `cbor:"2,keyasint,omitempty"`
-	Change uint64       `cbor:"3,keyasint,omitempty"`
-	Passed []wireReport `cbor:"4,keyasint,omitempty"`
+	Report    wireReport   `cbor:"1,keyasint"`
+	Table     uint64       `cbor:"2,keyasint,omitempty"`
+	Change    uint64       `cbor:"3,keyasint,omitempty"`
+	Forwarded []wireReport `cbor:"4,keyasint,omitempty"`
 }
 
 type wireAnswer struct {
@@ -58,12 +59,12 @@
 	Reports []wireReport `cbor:"3,keyasint"`
 }
 
-// EncodeMember returns a member's record.
+// EncodeMember encodes a member's record.
 func EncodeMember(m Member) ([]byte, error) {
 	return cbor.Marshal(memberToWire(m))
 }
 
-// DecodeMember reads a member's record.
+// DecodeMember decodes a member's record.
 func DecodeMember(data []byte) (Member, error) {
 	var w wireMember
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -72,38 +73,38 @@
 	return memberFromWire(w)
 }
 
-// EncodeQuestion returns the bytes of a question.
+// EncodeQuestion encodes a question.
 func EncodeQuestion(q Question) ([]byte, error) {
-	w := wireQuestion{Report: reportToWire(q.Report), Table: q.Heard.Table, Change: q.Heard.Change}
-	for _, r := range q.Passed {
-		w.Passed = append(w.Passed, reportToWire(r))
+	w := wireQuestion{Report: reportToWire(q.Report), Table: q.Since.Table, Change: q.Since.Change}
+	for _, r := range q.Forwarded {
+		w.Forwarded = append(w.Forwarded, reportToWire(r))
 	}
 	return cbor.Marshal(w)
 }
 
-// DecodeQuestion reads a question.
+// DecodeQuestion decodes a question; its reports must hold full member records.
 func DecodeQuestion(data []byte) (Question, error) {
 	var w wireQuestion
 	if err := cbor.Unmarshal(data, &w); err != nil {
 		return Question{}, fmt.Errorf("decode question: %w", err)
 	}
-	q := Question{Heard: Cursor{Table: w.Table, Change: w.Change}}
+	q := Question{Since: Cursor{Table: w.Table, Change: w.Change}}
 	var err error
-	if q.Report, err = wholeReportFromWire(w.Report); err != nil {
+	if q.Report, err = fullReportFromWire(w.Report); err != nil {
 		return Question{}, err
 	}
-	for _, wire := range w.Passed {
-		r, err := wholeReportFromWire(wire)
+	for _, wire := range w.Forwarded {
+		r, err := fullReportFromWire(wire)
 		if err != nil {
 			return Question{}, err
 		}
-		q.Passed = append(q.Passed, r)
+		q.Forwarded = append(q.Forwarded, r)
 	}
 	return q, nil
 }
 
-// wholeReportFromWire reads a report that has to hold the member's record.
-func wholeReportFromWire(w wireReport) (Report, error) {
+// fullReportFromWire decodes a report that must hold the member's record.
+func fullReportFromWire(w wireReport) (Report, error) {
 	r, err := reportFromWire(w)
 	if err == nil && r.Compact {
 		err = fmt.Errorf("decode question of %q: the member is missing", r.Member.Node)
@@ -111,7 +112,7 @@
 	return r, err
 }
 
-// EncodeAnswer returns the bytes of an answer.
+// EncodeAnswer encodes an answer.
 func EncodeAnswer(a Answer) ([]byte, error) {
 	w := wireAnswer{Table: a.Cursor.Table, Change: a.Cursor.Change, Reports: make([]wireReport, 0, len(a.Reports))}
 	for _, r := range a.Reports {
@@ -120,7 +121,7 @@
 	return cbor.Marshal(w)
 }
 
-// DecodeAnswer reads an answer; a report that is faulty fails all of it.
+// DecodeAnswer decodes an answer; one invalid report makes it reject the whole answer.
 func DecodeAnswer(data []byte) (Answer, error) {
 	var w wireAnswer
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -186,39 +187,39 @@
 
 func memberToWire(m Member) wireMember {
 	return wireMember{
-		Node:        string(m.Node),
-		Deliver:     m.Deliver,
-		Peer:        m.Peer,
-		Domain:      string(m.Domain),
-		Service:     string(m.Service),
-		Endpoint:    string(m.Endpoint),
-		Slots:       m.Slots,
-		State:       uint8(m.State),
-		ColdLeft:    int64(m.ColdLeft),
-		Incarnation: m.Incarnation,
-		Sequence:    m.Sequence,
+		Node:            string(m.Node),
+		DeliveryAddress: m.DeliveryAddress,
+		PeerAddress:     m.PeerAddress,
+		Domain:          string(m.Domain),
+		Service:         string(m.Service),
+		Endpoint:        string(m.Endpoint),
+		Slots:           m.Slots,
+		State:           uint8(m.State),
+		ColdLeft:        int64(m.ColdLeft),
+		Incarnation:     m.Incarnation,
+		Sequence:        m.Sequence,
 	}
 }
 
 func memberFromWire(w wireMember) (Member, error) {
-	if w.Node == "" || w.Deliver == "" || w.Peer == "" {
+	if w.Node == "" || w.DeliveryAddress == "" || w.PeerAddress == "" {
 		return Member{}, fmt.Errorf("decode member %q: a name or an address is missing", w.Node)
 	}
 	if w.State > uint8(Stopping) {
 		return Member{}, fmt.Errorf("decode member %q: unknown state %d", w.Node, w.State)
 	}
 	return Member{
-		Node:        identifier.Node(w.Node),
-		Deliver:     w.Deliver,
-		Peer:        w.Peer,
-		Domain:      identifier.FailureDomain(w.Domain),
-		Service:     identifier.Service(w.Service),
-		Endpoint:    identifier.Endpoint(w.Endpoint),
-		Slots:       max(0, w.Slots),
-		State:       State(w.State),
-		ColdLeft:    clock.Duration(max(0, w.ColdLeft)),
-		Incarnation: w.Incarnation,
-		Sequence:    w.Sequence,
+		Node:            identifier.Node(w.Node),
+		DeliveryAddress: w.DeliveryAddress,
+		PeerAddress:     w.PeerAddress,
+		Domain:          identifier.FailureDomain(w.Domain),
+		Service:         identifier.Service(w.Service),
+		Endpoint:        identifier.Endpoint(w.Endpoint),
+		Slots:           max(0, w.Slots),
+		State:           State(w.State),
+		ColdLeft:        clock.Duration(max(0, w.ColdLeft)),
+		Incarnation:     w.Incarnation,
+		Sequence:        w.Sequence,
 	}, nil
 }
 
@@ -233,7 +234,7 @@
 func fromFloats[K ~string](from map[string]float32) map[K]float64 {
 	to := make(map[K]float64, len(from))
 	for key, value := range from {
-		// A figure that is no number would spread into every sum it takes part in.
+		// The comparison drops NaN too, which would otherwise turn every sum that includes it into NaN.
 		if value >= 0 {
 			to[K(key)] = float64(value)
 		}
--- a/internal/gossiper/contacts.go
+++ b/internal/gossiper/contacts.go
@@ -1,8 +1,8 @@
-// A few members of each failure domain are its relays, chosen by the same rule at every node, and a few nodes of each other
-// domain are known as contacts. Both lists are short, so that what passes between domains does not grow with the fleet.
+// Every node selects the same few members of its failure domain as relays, by one rule, and keeps a few contacts in
+// each other domain. Both lists are short, so that the traffic between domains doesn't grow with the fleet.
 //
-// Example: of 482 members the three with the highest hash are relays; contacts of a domain whose relays all died are
-// asked for from the others.
+// Example: of 482 members the three with the highest hashes of their names are relays; if all known relays of a domain
+// have died, other domains are asked for contacts in it.
 
 package gossiper
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Contacts returns a few nodes of each other domain, by domain.
+// Contacts returns a few nodes of each other domain, ordered by domain.
 func (g *Gossiper) Contacts() []Contact {
 	var all []Contact
 	for _, d := range g.relayer.domains() {
@@ -25,15 +25,15 @@
 	return all
 }
 
-// Relays tells whether this node is a relay of its domain.
-func (g *Gossiper) Relays() bool {
-	return g.relayer.active
+// IsRelay reports whether this node is a relay of its domain.
+func (g *Gossiper) IsRelay() bool {
+	return g.relayer.isRelay
 }
 
-// elect chooses the members with the highest hashes of their names.
-func (g *Gossiper) elect() {
+// electRelays selects the members with the highest hashes of their names as relays.
+func (g *Gossiper) electRelays() {
 	var best []candidate
-	for _, n := range g.own.up {
+	for _, n := range g.ownTable.up {
 		c := candidate{node: n, hash: xxh3.HashString(string(n))}
 		i, _ := slices.BinarySearchFunc(best, c, candidate.compare)
 		if i < relayCount {
@@ -49,18 +49,19 @@
 		return
 	}
 	g.relayer.relays = relays
-	// A new relay knows no subscribers, and one that is none any more hears nothing from other domains.
-	g.follower.next = 0
+	// A new relay has no subscribers yet, and a former relay no longer gets records of other domains, so the
+	// subscription must be renewed at once.
+	g.follower.nextRenewal = 0
 	g.follower.answered = false
-	active := slices.Contains(g.relayer.relays, g.self.Node)
-	g.relayer.listening = g.relayer.listening && active
-	if g.relayer.active && !active {
+	isRelay := slices.Contains(g.relayer.relays, g.self.Node)
+	g.relayer.tracksSilence = g.relayer.tracksSilence && isRelay
+	if g.relayer.isRelay && !isRelay {
 		clear(g.relayer.tables)
 		clear(g.relayer.subscribers)
-		g.relayer.own = nil
-		g.relayer.pushes = nil
+		g.relayer.ownPushes = nil
+		g.relayer.remotePushes = nil
 	}
-	g.relayer.active = active
+	g.relayer.isRelay = isRelay
 }
 
 type candidate struct {
@@ -75,7 +76,7 @@
 func (g *Gossiper) ownRelays() []Contact {
 	contacts := make([]Contact, 0, relayCount)
 	for _, n := range g.relayer.relays {
-		contacts = append(contacts, contactOf(g.own.members[n].Member))
+		contacts = append(contacts, contactOf(g.ownTable.members[n].Member))
 	}
 	return contacts
 }
@@ -84,16 +85,16 @@
 	return Contact{Node: m.Node, Domain: m.Domain, Address: m.Address}
 }
 
-func (g *Gossiper) remoteOf(d identifier.FailureDomain, now clock.Time) *remote {
+func (g *Gossiper) remoteOf(d identifier.FailureDomain, now clock.Time) *remoteDomain {
 	r := g.relayer.remotes[d]
 	if r == nil {
-		r = &remote{heard: now}
+		r = &remoteDomain{lastContact: now}
 		g.relayer.remotes[d] = r
 	}
 	return r
 }
 
-// setContacts takes what a domain itself says about its relays.
+// setContacts replaces the contacts of other domains with the relays that a domain itself has reported.
 func (g *Gossiper) setContacts(contacts []Contact, now clock.Time) []Effect {
 	byDomain := map[identifier.FailureDomain][]Contact{}
 	for _, c := range contacts {
@@ -104,7 +105,7 @@
 	var effects []Effect
 	for d, list := range byDomain {
 		r := g.remoteOf(d, now)
-		r.named = true
+		r.selfReported = true
 		list = list[:min(len(list), maxContacts)]
 		if !slices.Equal(r.contacts, list) {
 			r.contacts = list
@@ -117,11 +118,12 @@
 	return effects
 }
 
-// addContact remembers a node that was only heard of, behind those that the domain itself named.
+// addContact adds a contact learned from another source, unless the domain has reported its own relays or the list is
+// full. For a silent domain it is added in any case, and replaces the oldest contact if the list is full.
 func (g *Gossiper) addContact(c Contact, now clock.Time) []Effect {
 	r := g.remoteOf(c.Domain, now)
 	known := slices.ContainsFunc(r.contacts, func(o Contact) bool { return o.Node == c.Node })
-	if known || (len(r.contacts) >= maxContacts && !r.silent) || (r.named && !r.silent) {
+	if known || (len(r.contacts) >= maxContacts && !r.silent) || (r.selfReported && !r.silent) {
 		return nil
 	}
 	if len(r.contacts) >= maxContacts {
--- a/internal/gossiper/pause_test.go
+++ b/internal/gossiper/pause_test.go
@@ -17,7 +17,7 @@
 	})
 	g.Tick(100)
 	for _, n := range members {
-		g.learn([]Member{testMember(n, Alive)}, 100)
+		g.applyUpdates([]Member{testMember(n, Alive)}, 100)
 	}
 	return g
 }
@@ -29,7 +29,8 @@
 	}
 }
 
-// A suspicion that arrives right after a pause must not be prolonged by that pause, or a dead server is used for as long.
+// A suspicion received right after a pause must not be extended by the length of the pause; a dead endpoint would be
+// used for that much longer.
 func TestPauseDoesNotProlongNewSuspicion(t *testing.T) {
 	const woken = clock.Time(20_000)
 	g := newTestGossiper("other")
@@ -42,18 +43,20 @@
 	assert.Equal(t, m.State, Dead)
 }
 
-// A message taken in right after a pause must not move a domain's last word into the future, or its silence goes unnoticed.
-func TestPauseDoesNotMoveAWordIntoTheFuture(t *testing.T) {
+// A message received right after a pause must not move a domain's last contact time into the future; the domain's
+// silence would be detected too late.
+func TestPauseDoesNotMoveLastContactIntoTheFuture(t *testing.T) {
 	const woken = clock.Time(20_000)
 	g := newTestGossiper()
-	g.hearDomain("east", 50)
-	g.hearDomain("east", woken)
+	g.recordContact("east", 50)
+	g.recordContact("east", woken)
 	g.Tick(woken)
-	assert.Assert(t, g.relayer.remotes["east"].heard <= woken)
+	assert.Assert(t, g.relayer.remotes["east"].lastContact <= woken)
 }
 
-// Another domain's word that a member of the own one lives must not bring endpoints into use that may be long gone.
-func TestMemberRememberedElsewhereIsUsedOnceItAnswers(t *testing.T) {
+// When only another domain reports a member of the own domain as alive, its endpoints must stay unused until it refutes
+// the suspicion itself: they may be long gone.
+func TestMemberReportedByOtherDomainIsUsedOnceItRefutes(t *testing.T) {
 	g := newTestGossiper()
 	g.Receive("relayOfEast", Members{Domain: "west", Members: []Member{testMember("n", Alive)}}, 200)
 	m, ok := g.Member("n")
@@ -67,46 +70,47 @@
 }
 
 // A node that becomes a relay must not drop living members of other domains before its own tables are filled.
-func TestNewRelayKeepsWhatItWasTold(t *testing.T) {
+func TestNewRelayKeepsSubscribedMembers(t *testing.T) {
 	const chosen = clock.Time(20_000)
 	g := newTestGossiper()
 	g.AddInterest("ice", 100)
 	remote := testMember("n", Alive)
 	remote.Domain = "east"
-	g.seeRemote(remote, chosen.Add(-relayTerm))
+	g.applyRemoteRecord(remote, chosen.Add(-relayConfirmTerm))
 	g.remoteOf("east", 100)
-	g.relayer.listening = false
-	for now := chosen; now < chosen.Add(unknownLimit); now = now.Add(TickInterval) {
+	g.relayer.tracksSilence = false
+	for now := chosen; now < chosen.Add(newRelaySilenceLimit); now = now.Add(TickInterval) {
 		g.Tick(now)
 	}
 	assert.Equal(t, len(g.Endpoints("ice")), 1)
 }
 
-// A node that becomes a relay must not use a domain that was silent before it was chosen.
+// A node that becomes a relay must not use a domain that was already silent before.
 func TestNewRelayKeepsASilentDomainHidden(t *testing.T) {
 	const chosen = clock.Time(20_000)
 	g := newTestGossiper()
 	g.AddInterest("ice", 100)
 	remote := testMember("n", Alive)
 	remote.Domain = "east"
-	g.seeRemote(remote, chosen)
+	g.applyRemoteRecord(remote, chosen)
 	east := g.remoteOf("east", 100)
-	east.silent, east.heard = true, 100-clock.Time(2*silenceLimit)
-	g.view.hide("east", true)
-	g.relayer.listening = false
-	for now := chosen; now < chosen.Add(unknownLimit); now = now.Add(TickInterval) {
+	east.silent, east.lastContact = true, 100-clock.Time(2*silenceLimit)
+	g.view.setHidden("east", true)
+	g.relayer.tracksSilence = false
+	for now := chosen; now < chosen.Add(newRelaySilenceLimit); now = now.Add(TickInterval) {
 		g.Tick(now)
 		assert.Equal(t, len(g.Endpoints("ice")), 0)
 	}
 }
 
-// A node that stood still must ask at once what it missed, or it uses servers that left meanwhile for seconds.
-func TestPausedFollowerAsksAtOnce(t *testing.T) {
+// A paused node must renew its subscription at once when it resumes; otherwise it uses endpoints that left during the
+// pause for some seconds more.
+func TestPausedFollowerRenewsAtOnce(t *testing.T) {
 	g := newTestGossiper("r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8")
-	assert.Assert(t, !g.relayer.active)
+	assert.Assert(t, !g.relayer.isRelay)
 	g.Tick(200)
 	g.follower.answered = true
-	g.follower.next = 30_000
+	g.follower.nextRenewal = 30_000
 	asked := 0
 	for _, e := range g.Tick(20_000) {
 		if s, ok := e.(Send); ok {
--- a/internal/gossiper/repairer.go
+++ b/internal/gossiper/repairer.go
@@ -1,9 +1,9 @@
-// Gossip is a matter of chance, so now and then a change misses a member. Every ping therefore carries a hash
-// of the sender's table; where it differs and no gossip is under way, the two compare buckets and exchange
-// only the records that differ. Without that a member could route to a server that left long ago.
+// Gossip is probabilistic, so a change can miss a member. Every ping therefore carries a hash of the sender's table; if
+// it differs and the table has settled, the two nodes compare bucket hashes and exchange only the records that differ.
+// Without this anti-entropy a member could keep sending requests to a server that left long ago.
 //
-// Example: n1 never heard that n7 left. The next ping from n2 has another hash; Digest, Summary and Members
-// follow, about 1 kB in a domain of 482.
+// Example: n1 has missed that n7 left. The next ping from n2 has another hash; Digest, Summary and Members follow,
+// about 1 kB in a domain of 482.
 
 package gossiper
 
@@ -15,13 +15,13 @@
 )
 
 const (
-	// repairInterval is the least time between two comparisons that a node starts.
+	// repairInterval is the minimum time between two comparisons that a node starts.
 	repairInterval = 500 * clock.Millisecond
-	// settleTime is how long a table must be unchanged before a difference counts; in a table that never comes
-	// to rest, one difference in unsettledOdds does.
+	// settleTime is how long a table must be unchanged before a difference starts a comparison. While the table keeps
+	// changing, one difference in unsettledOdds starts one all the same.
 	settleTime    = 300 * clock.Millisecond
 	unsettledOdds = 4
-	// maxMembers bounds the records in one Members.
+	// maxMembers is the upper bound of records in one Members message.
 	maxMembers = 64
 )
 
@@ -29,25 +29,25 @@
 	next clock.Time
 }
 
-func (g *Gossiper) compare(with identifier.Node, hash uint64, now clock.Time) []Effect {
-	if hash == g.own.hash() || now < g.repairer.next {
+func (g *Gossiper) startComparison(with identifier.Node, hash uint64, now clock.Time) []Effect {
+	if hash == g.ownTable.hash() || now < g.repairer.next {
 		return nil
 	}
-	if now.Sub(g.own.changed) < settleTime && g.options.Rand.IntN(unsettledOdds) > 0 {
+	if now.Sub(g.ownTable.lastChange) < settleTime && g.options.Rand.IntN(unsettledOdds) > 0 {
 		return nil
 	}
 	g.repairer.next = now.Add(repairInterval)
-	return []Effect{g.send(with, digestOf(g.own))}
+	return []Effect{g.send(with, digestOf(g.ownTable))}
 }
 
 func digestOf(t *table) Digest {
 	return Digest{Domain: t.domain, Buckets: slices.Clone(t.buckets[:])}
 }
 
-// tableOf returns the table of a domain, nil where this node keeps none.
+// tableOf returns this node's table of a domain, nil if it has none.
 func (g *Gossiper) tableOf(d identifier.FailureDomain) *table {
-	if d == g.own.domain {
-		return g.own
+	if d == g.ownTable.domain {
+		return g.ownTable
 	}
 	return g.relayer.tables[d]
 }
@@ -67,10 +67,10 @@
 		return nil
 	}
 	if o := g.relayer.remotes[m.Domain]; o != nil {
-		o.repeats = max(o.repeats, 1)
+		o.remainingProbes = max(o.remainingProbes, 1)
 	}
 	s := Summary{Domain: m.Domain, Mask: mask}
-	for _, n := range t.sorted(mask) {
+	for _, n := range t.namesInBuckets(mask) {
 		e := t.members[n]
 		s.Entries = append(s.Entries, Entry{Node: n, Incarnation: e.Incarnation, State: e.State})
 	}
@@ -82,36 +82,36 @@
 	if t == nil {
 		return nil
 	}
-	theirs := make(map[identifier.Node]Entry, len(m.Entries))
+	remoteEntries := make(map[identifier.Node]Entry, len(m.Entries))
 	var wanted []identifier.Node
 	for _, e := range m.Entries {
-		theirs[e.Node] = e
+		remoteEntries[e.Node] = e
 		o := t.members[e.Node]
 		record := Member{Incarnation: e.Incarnation, State: e.State}
-		if (o == nil && record.up()) || (o != nil && newer(record, o.Member)) {
+		if (o == nil && record.up()) || (o != nil && supersedes(record, o.Member)) {
 			wanted = append(wanted, e.Node)
 		}
 	}
-	var newerHere []identifier.Node
-	for _, n := range t.sorted(m.Mask) {
+	var newerLocally []identifier.Node
+	for _, n := range t.namesInBuckets(m.Mask) {
 		own := t.members[n].Member
-		e, known := theirs[n]
-		if (!known && own.up()) || (known && newer(own, Member{Incarnation: e.Incarnation, State: e.State})) {
-			newerHere = append(newerHere, n)
+		e, known := remoteEntries[n]
+		if (!known && own.up()) || (known && supersedes(own, Member{Incarnation: e.Incarnation, State: e.State})) {
+			newerLocally = append(newerLocally, n)
 		}
 	}
-	if len(wanted)+len(newerHere) == 0 {
+	if len(wanted)+len(newerLocally) == 0 {
 		return nil
 	}
-	return g.sendMembers(from, t, newerHere, wanted)
+	return g.sendMembers(from, t, newerLocally, wanted)
 }
 
 func (g *Gossiper) receiveMembers(from identifier.Node, m Members, now clock.Time) []Effect {
 	var effects []Effect
-	if m.Domain == g.own.domain {
-		effects = g.learn(g.doubted(from, m.Members), now)
+	if m.Domain == g.ownTable.domain {
+		effects = g.applyUpdates(g.suspectUnconfirmed(from, m.Members), now)
 	} else {
-		effects = g.learnRemote(m, now)
+		effects = g.applyRemoteMembers(m, now)
 	}
 	t := g.tableOf(m.Domain)
 	if t == nil || len(m.Wanted) == 0 {
@@ -120,20 +120,21 @@
 	return append(effects, g.sendMembers(from, t, m.Wanted, nil)...)
 }
 
-// doubted makes suspects of members that only another domain says are alive. A domain that died whole is remembered there as
-// it was before, and its first new node would otherwise use the dead until it has pinged them all.
-func (g *Gossiper) doubted(from identifier.Node, members []Member) []Member {
-	if g.own.members[from] != nil {
+// suspectUnconfirmed marks members as suspect that only another domain reports as alive. If a whole domain has died,
+// other domains still hold its old records, and the domain's first new node would use the dead members until it has
+// pinged them all.
+func (g *Gossiper) suspectUnconfirmed(from identifier.Node, members []Member) []Member {
+	if g.ownTable.members[from] != nil {
 		return members
 	}
-	doubted := slices.Clone(members)
-	for i, m := range doubted {
-		e := g.own.members[m.Node]
+	suspected := slices.Clone(members)
+	for i, m := range suspected {
+		e := g.ownTable.members[m.Node]
 		if m.State == Alive && m.Node != from && m.Node != g.self.Node && (e == nil || !e.up()) {
-			doubted[i].State = Suspect
+			suspected[i].State = Suspect
 		}
 	}
-	return doubted
+	return suspected
 }
 
 func (g *Gossiper) sendMembers(to identifier.Node, t *table, names, wanted []identifier.Node) []Effect {
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -197,9 +197,9 @@
 			s.router.Remove(e.ID)
 		case gossiper.MembersChanged:
 			s.membersChanged()
-		case gossiper.NewsHeard:
-			contact := configurer.Contact{Reader: e.News.Reader, Stamp: e.News.Stamp, Age: e.News.Age}
-			s.applyConfiguration(s.configurer.PeerNews(e.Node, e.News.Offset, contact, s.now))
+		case gossiper.StatusReceived:
+			contact := configurer.Contact{Reader: e.Status.Reader, Stamp: e.Status.Stamp, Age: e.Status.Age}
+			s.applyConfiguration(s.configurer.PeerNews(e.Node, e.Status.Offset, contact, s.now))
 		}
 	}
 }
@@ -281,7 +281,7 @@
 	}
 	s.lastSlowTick = s.now
 	s.assumeAlone()
-	s.gossiper.SetNews(s.news())
+	s.gossiper.SetStatus(s.news())
 	s.applyGossip(s.gossiper.Tick(s.now))
 	s.applyConfiguration(s.configurer.Tick(s.now, s.wall))
 	s.applyClaims(s.claimer.SetLog(s.configurer.Freshness(s.now) <= maxLogAge, s.logStart, s.now))
@@ -290,9 +290,9 @@
 	s.tickLeaving()
 }
 
-func (s *State) news() gossiper.News {
+func (s *State) news() gossiper.Status {
 	contact := s.configurer.Contact(s.now)
-	n := gossiper.News{
+	n := gossiper.Status{
 		Offset:  s.configurer.Offset(),
 		Version: s.configurer.Version(),
 		Reader:  contact.Reader,
