--- a/internal/recorder/doc.go
+++ b/internal/recorder/doc.go
@@ -1,2 +1,2 @@
-// Package recorder writes one JSON line for each decision, within a bound, and never makes a request wait for it.
+// Package recorder writes rate-limited JSON log lines and metrics of a node's decisions without blocking requests.
 package recorder
--- a/internal/recorder/metrics.go
+++ b/internal/recorder/metrics.go
@@ -1,7 +1,7 @@
 package recorder
 
-// Counters and histograms are served as text for scrapers. Their labels are reasons and outcomes, of which the product
-// has a fixed few: a label for each team, route or id would grow with what callers send.
+// Counters and histograms are served as text for scrapers. Labels are reasons and outcomes, which are small fixed sets:
+// a label per team, route or id would make the number of time series grow with the traffic that callers send.
 //
 // Example: jackdawtide_refused_total{reason="overRate"} 17
 
@@ -20,7 +20,7 @@
 type meters struct {
 	set *metrics.Set
 	mu  sync.Mutex
-	// counters and histograms by label, so that a request makes no name anew.
+	// counters and histograms are cached by label values, so that a request does not format a metric name again.
 	counters   map[string]*metrics.Counter
 	histograms map[string]*metrics.Histogram
 }
@@ -37,7 +37,7 @@
 	m.add(name, 1, label, value)
 }
 
-// add adds to a counter with labels, which are given as names and values in turn.
+// add adds n to a counter; labels alternate between name and value.
 func (m *meters) add(name string, n int64, labels ...string) {
 	key := counterKey(name, labels)
 	m.mu.Lock()
@@ -50,7 +50,7 @@
 	c.AddInt64(n)
 }
 
-// counterKey holds the labels' values, which tell counters of one name apart.
+// counterKey returns the cache key of a counter: its name and its label values.
 func counterKey(name string, labels []string) string {
 	key := name + "{"
 	for i := 1; i < len(labels); i += 2 {
@@ -78,7 +78,7 @@
 	h.Update(float64(d) / float64(clock.Second))
 }
 
-// counts returns the values of a counter by its labels' values.
+// counts returns the values of all counters of one name, keyed by their label values.
 func (m *meters) counts(name string) map[string]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,12 +91,12 @@
 	return counts
 }
 
-// Gauge adds a figure that is read when metrics are.
+// Gauge registers a gauge whose value is read whenever metrics are written.
 func (r *Recorder) Gauge(name string, read func() float64) {
 	r.meters.set.GetOrCreateGauge("jackdawtide_"+name, read)
 }
 
-// WriteMetrics writes all metrics as text for scrapers, those of the process included.
+// WriteMetrics writes all metrics, including those of the process, in the text format of Prometheus.
 func (r *Recorder) WriteMetrics(w io.Writer) {
 	r.meters.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,8 +1,9 @@
 package recorder
 
-// Logs are what an on-call engineer has after the fact, but a node that waits for its output, or writes thousands of
-// lines a second under overload, fails the callers that it should explain. So lines go through a queue that drops
-// when it is full, and each kind of line has a number of lines a second; what was left out is counted and said.
+// On-call engineers depend on the log after an incident, but a node that blocks on its output, or writes thousands of
+// lines a second under overload, would fail the very requests that the log should explain. Lines therefore pass through
+// a bounded queue that drops lines when it is full, and each kind of line is limited to a number of lines a second. The
+// next line of the kind that is written carries the number of lines that the limit left out.
 //
 // Example: 900 refusals for pressure in a second: 20 lines, and then one with "leftOut": 880.
 
@@ -19,16 +20,16 @@
 )
 
 const (
-	// linesPerSecond of one kind are written: enough to find a pattern, and with some ten kinds at most a few per
-	// cent of a node's processor time at about 15 microseconds a line.
+	// linesPerSecond limits each kind of line. It is enough to find a pattern; with about ten kinds, at about
+	// 15 microseconds a line, it takes at most a few per cent of a node's processor time.
 	linesPerSecond = 20
-	// successesPerSecond is less, since what went well is rarely asked for.
+	// successesPerSecond limits the lines of successful attempts; it is lower because they are rarely looked up.
 	successesPerSecond = 1
 	// queued lines wait for the output; at 300 bytes each they hold 150 kB.
 	queued = 512
 )
 
-// Refusal is a request that got an answer of this node's own.
+// Refusal is a request that this node answered itself instead of an endpoint.
 type Refusal struct {
 	Request string
 	Status  int
@@ -51,7 +52,7 @@
 	Took     clock.Duration
 }
 
-// Recorder writes lines; it is safe for concurrent use.
+// Recorder writes log lines and keeps metrics; it is safe for concurrent use.
 type Recorder struct {
 	logger *log.Logger
 	now    func() clock.Time
@@ -66,7 +67,7 @@
 	leftOut int
 }
 
-// New returns a recorder that writes to out through a queue.
+// New returns a recorder that writes to out through a bounded queue.
 func New(out io.Writer, node string, now func() clock.Time) *Recorder {
 	logger := log.NewWithOptions(newQueue(out), log.Options{
 		Formatter:       log.JSONFormatter,
@@ -76,7 +77,8 @@
 	return &Recorder{logger: logger, now: now, kinds: map[string]*kind{}, meters: newMeters()}
 }
 
-// allow tells whether one more line of a kind may be written now, and how many were left out before it.
+// allow reports whether another line of a kind may be written in this second, and how many lines were left out since the
+// last one that was written.
 func (r *Recorder) allow(name string, most int) (bool, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +102,7 @@
 	return true, leftOut
 }
 
-// Refused records a request that got an answer of this node's own.
+// Refused records a request that this node answered itself.
 func (r *Recorder) Refused(e Refusal) {
 	r.meters.count("refused", "reason", e.Reason)
 	r.meters.time("refused", "reason", e.Reason, e.After)
@@ -112,7 +114,7 @@
 		"afterMs", int64(e.After), "leftOut", leftOut)
 }
 
-// Attempted records an attempt.
+// Attempted records an attempt that has ended.
 func (r *Recorder) Attempted(e Attempt) {
 	r.meters.count("attempts", "outcome", e.Outcome)
 	if e.Repeat {
@@ -132,9 +134,9 @@
 		"outcome", e.Outcome, "status", e.Status, "tookMs", int64(e.Took), "leftOut", leftOut)
 }
 
-// Crossing is one exchange with a node of another failure domain.
+// Crossing is one message exchange with a node of another failure domain.
 type Crossing struct {
-	// Cause is what the bytes are for, Reason why they leave the domain.
+	// Cause is the purpose of the bytes, Reason why they leave the failure domain.
 	Cause, Reason  string
 	Sent, Received int64
 }
@@ -153,7 +155,7 @@
 	}
 }
 
-// StoreCalled counts a call to the platform's store, by topic and kind of call.
+// StoreCalled counts a call to the platform's store, by topic and operation.
 func (r *Recorder) StoreCalled(topic, call string) {
 	r.meters.add("store_calls", 1, "topic", topic, "call", call)
 }
@@ -170,7 +172,7 @@
 	r.meters.time("tokens", "outcome", outcome, took)
 }
 
-// Dependency records trouble with something that this node depends on.
+// Dependency records a failure of something that this node depends on.
 func (r *Recorder) Dependency(name string, err error) {
 	r.meters.count("dependency_failures", "dependency", kindOf(name))
 	ok, leftOut := r.allow("dependency "+name, 1)
@@ -186,7 +188,7 @@
 	return kind
 }
 
-// Event records a change of what this node is or believes.
+// Event records a change of this node's state or of its view of the fleet.
 func (r *Recorder) Event(message string, pairs ...any) {
 	ok, leftOut := r.allow("event "+message, linesPerSecond)
 	if !ok {
@@ -195,7 +197,7 @@
 	r.logger.Info(message, append(pairs, "leftOut", leftOut)...)
 }
 
-// queue hands lines to a goroutine that writes them, and drops them while that one is behind.
+// queue passes lines to a goroutine that writes them, and drops lines while its buffer is full.
 type queue struct {
 	lines chan []byte
 }
@@ -204,14 +206,14 @@
 	q := &queue{lines: make(chan []byte, queued)}
 	go func() {
 		for line := range q.lines {
-			// An output that is closed is no reason to stop serving.
+			// A closed output must not stop the node from serving.
 			_, _ = out.Write(line)
 		}
 	}()
 	return q
 }
 
-// Write takes a line or drops it; it never waits.
+// Write queues a line or drops it; it never blocks.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// output gathers lines; it can be made to hang, as a pipe does whose reader is stuck.
+// output collects lines; with blocked set it blocks each write, as a pipe does whose reader has stopped reading.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -40,8 +40,8 @@
 
 func at(now *clock.Time) func() clock.Time { return func() clock.Time { return *now } }
 
-// A service is pressed and refuses a thousand requests a second. Written one by one they would cost more than serving;
-// the engineer gets some of them and the number of the rest.
+// An overloaded service refuses a thousand requests a second, and writing a line for each would cost more than serving.
+// The log must hold a limited number of lines and the number of lines left out.
 func TestVolumeIsBounded(t *testing.T) {
 	o := &output{}
 	now := clock.Time(5000)
@@ -60,7 +60,7 @@
 	assert.Equal(t, last["request"], "next")
 }
 
-// Whoever reads the output is stuck. A node that waited for it would stop serving.
+// The reader of the output has stopped reading. A node that blocked on its output would stop serving.
 func TestStuckOutputHoldsNothingUp(t *testing.T) {
 	o := &output{hang: make(chan struct{})}
 	defer close(o.hang)
@@ -77,11 +77,11 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the recorder waits for its output")
+		t.Fatal("Event did not return within 5 s while the output was blocked")
 	}
 }
 
-// schema names the fields that docs/OPERATIONS.md promises for each message.
+// schema holds the fields that docs/OPERATIONS.md documents for each message.
 var schema = map[string][]string{
 	"request refused":   {"request", "status", "reason", "path", "afterMs", "leftOut"},
 	"attempt ended":     {"request", "route", "version", "endpoint", "at", "nested", "repeat", "outcome", "status", "tookMs", "leftOut"},
@@ -113,7 +113,7 @@
 	}
 }
 
-// Labels that grow with what callers send fill a scraper's memory; only the product's own few words are labels.
+// Labels that take values from callers' requests would fill a scraper's memory, so only fixed sets of values are labels.
 func TestLabelsAreBounded(t *testing.T) {
 	now := clock.Time(0)
 	r := New(io.Discard, "n", at(&now))
@@ -128,8 +128,8 @@
 	assert.Assert(t, strings.Count(b.String(), "\n") < 40, b.String())
 }
 
-// Bytes between failure domains have become the largest cost of a fleet, and nobody can say what they are. The
-// engineer finds each by its cause and its reason, in the metrics and in the log.
+// Traffic between failure domains can become the largest cost of a fleet. The metrics and the log must both attribute
+// its bytes to a cause and a reason.
 func TestCrossingsAreToldByCauseAndReason(t *testing.T) {
 	o := &output{}
 	now := clock.Time(5000)
