--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -144,8 +144,8 @@
 			n.logLoad()
 		}
 		if count%ticksPerTotals == 0 {
-			n.recorder.Crossings()
-			n.recorder.StoreCalls()
+			n.recorder.LogCrossings()
+			n.recorder.LogStoreCalls()
 		}
 	}
 }
--- a/internal/recorder/metrics.go
+++ b/internal/recorder/metrics.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func (m *meters) count(name, label, value string) {
+func (m *meters) increment(name, label, value string) {
 	m.add(name, 1, label, value)
 }
 
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("jackdawtide_%s_total{%s}", name, strings.Join(pairs, ","))
 }
 
-func (m *meters) time(name, label, value string, d clock.Duration) {
+func (m *meters) observeDuration(name, label, value string, d clock.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := m.histograms[name+value]
@@ -78,8 +78,8 @@
 	h.Update(float64(d) / float64(clock.Second))
 }
 
-// counts returns the values of all counters of one name, keyed by their label values.
-func (m *meters) counts(name string) map[string]uint64 {
+// counterValues returns the values of all counters of one name, keyed by their label values.
+func (m *meters) counterValues(name string) map[string]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	counts := map[string]uint64{}
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -25,8 +25,8 @@
 	linesPerSecond = 20
 	// successesPerSecond limits the lines of successful attempts; it is lower because they are rarely looked up.
 	successesPerSecond = 1
-	// queued lines wait for the output; at 300 bytes each they hold 150 kB.
-	queued = 512
+	// queueCapacityLines lines wait for the output; at 300 bytes each they hold 150 kB.
+	queueCapacityLines = 512
 )
 
 // Refusal is a request that this node answered itself instead of an endpoint.
@@ -57,11 +57,11 @@
 	logger *log.Logger
 	now    func() clock.Time
 	mu     sync.Mutex
-	kinds  map[string]*kind
+	lineCounters  map[string]*lineCounter
 	meters *meters
 }
 
-type kind struct {
+type lineCounter struct {
 	second  clock.Time
 	lines   int
 	leftOut int
@@ -74,25 +74,25 @@
 		ReportTimestamp: true,
 		TimeFormat:      time.RFC3339Nano,
 	}).With("node", node)
-	return &Recorder{logger: logger, now: now, kinds: map[string]*kind{}, meters: newMeters()}
+	return &Recorder{logger: logger, now: now, lineCounters: map[string]*lineCounter{}, meters: newMeters()}
 }
 
 // allow reports whether another line of a kind may be written in this second, and how many lines were left out since the
 // last one that was written.
-func (r *Recorder) allow(name string, most int) (bool, int) {
+func (r *Recorder) allow(kindName string, maxPerSecond int) (bool, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, ok := r.kinds[name]
+	k, ok := r.lineCounters[kindName]
 	if !ok {
-		k = &kind{}
-		r.kinds[name] = k
+		k = &lineCounter{}
+		r.lineCounters[kindName] = k
 	}
 	second := r.now() / clock.Time(clock.Second)
 	if second != k.second {
 		k.second = second
 		k.lines = 0
 	}
-	if k.lines >= most {
+	if k.lines >= maxPerSecond {
 		k.leftOut++
 		return false, 0
 	}
@@ -104,8 +104,8 @@
 
 // Refused records a request that this node answered itself.
 func (r *Recorder) Refused(e Refusal) {
-	r.meters.count("refused", "reason", e.Reason)
-	r.meters.time("refused", "reason", e.Reason, e.After)
+	r.meters.increment("refused", "reason", e.Reason)
+	r.meters.observeDuration("refused", "reason", e.Reason, e.After)
 	ok, leftOut := r.allow("refused "+e.Reason, linesPerSecond)
 	if !ok {
 		return
@@ -116,16 +116,16 @@
 
 // Attempted records an attempt that has ended.
 func (r *Recorder) Attempted(e Attempt) {
-	r.meters.count("attempts", "outcome", e.Outcome)
+	r.meters.increment("attempts", "outcome", e.Outcome)
 	if e.Repeat {
-		r.meters.count("repeats", "outcome", e.Outcome)
+		r.meters.increment("repeats", "outcome", e.Outcome)
 	}
-	r.meters.time("request", "outcome", e.Outcome, e.Took)
-	most := linesPerSecond
+	r.meters.observeDuration("request", "outcome", e.Outcome, e.Took)
+	maxPerSecond := linesPerSecond
 	if e.Outcome == "answered" && e.Status < 500 {
-		most = successesPerSecond
+		maxPerSecond = successesPerSecond
 	}
-	ok, leftOut := r.allow("attempt "+e.Outcome, most)
+	ok, leftOut := r.allow("attempt "+e.Outcome, maxPerSecond)
 	if !ok {
 		return
 	}
@@ -148,10 +148,10 @@
 	r.meters.add("crossing_bytes", e.Received, "cause", e.Cause, "reason", e.Reason, "direction", "received")
 }
 
-// Crossings logs what has crossed so far: how often, and how many bytes, by cause and reason.
-func (r *Recorder) Crossings() {
-	if times := r.meters.counts("crossings"); len(times) > 0 {
-		r.Event("crossings", "times", times, "bytes", r.meters.counts("crossing_bytes"))
+// LogCrossings logs what has crossed so far: how often, and how many bytes, by cause and reason.
+func (r *Recorder) LogCrossings() {
+	if times := r.meters.counterValues("crossings"); len(times) > 0 {
+		r.Event("crossings", "times", times, "bytes", r.meters.counterValues("crossing_bytes"))
 	}
 }
 
@@ -160,21 +160,21 @@
 	r.meters.add("store_calls", 1, "topic", topic, "call", call)
 }
 
-// StoreCalls logs how many calls to the platform's store were made so far.
-func (r *Recorder) StoreCalls() {
-	if calls := r.meters.counts("store_calls"); len(calls) > 0 {
+// LogStoreCalls logs how many calls to the platform's store were made so far.
+func (r *Recorder) LogStoreCalls() {
+	if calls := r.meters.counterValues("store_calls"); len(calls) > 0 {
 		r.Event("store calls", "calls", calls)
 	}
 }
 
-// Drawn counts a token that another node was asked for, by how that ended.
-func (r *Recorder) Drawn(outcome string, took clock.Duration) {
-	r.meters.time("tokens", "outcome", outcome, took)
+// TokenRequested counts a token that another node was asked for, by how that ended.
+func (r *Recorder) TokenRequested(outcome string, took clock.Duration) {
+	r.meters.observeDuration("tokens", "outcome", outcome, took)
 }
 
 // Dependency records a failure of something that this node depends on.
 func (r *Recorder) Dependency(name string, err error) {
-	r.meters.count("dependency_failures", "dependency", kindOf(name))
+	r.meters.increment("dependency_failures", "dependency", dependencyKind(name))
 	ok, leftOut := r.allow("dependency "+name, 1)
 	if !ok {
 		return
@@ -182,8 +182,8 @@
 	r.logger.Warn("dependency failed", "dependency", name, "error", err.Error(), "leftOut", leftOut)
 }
 
-// kindOf is the first word of a dependency's name: "node a-7" counts as a node.
-func kindOf(name string) string {
+// dependencyKind is the first word of a dependency's name: "node a-7" counts as a node.
+func dependencyKind(name string) string {
 	kind, _, _ := strings.Cut(name, " ")
 	return kind
 }
@@ -203,7 +203,7 @@
 }
 
 func newQueue(out io.Writer) *queue {
-	q := &queue{lines: make(chan []byte, queued)}
+	q := &queue{lines: make(chan []byte, queueCapacityLines)}
 	go func() {
 		for line := range q.lines {
 			// A closed output must not stop the node from serving.
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -20,12 +20,12 @@
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	hang chan struct{}
+	blocked chan struct{}
 }
 
 func (o *output) Write(p []byte) (int, error) {
-	if o.hang != nil {
-		<-o.hang
+	if o.blocked != nil {
+		<-o.blocked
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,14 +38,14 @@
 	return strings.Split(strings.TrimSpace(o.text.String()), "\n")
 }
 
-func at(now *clock.Time) func() clock.Time { return func() clock.Time { return *now } }
+func clockOf(now *clock.Time) func() clock.Time { return func() clock.Time { return *now } }
 
 // An overloaded service refuses a thousand requests a second, and writing a line for each would cost more than serving.
 // The log must hold a limited number of lines and the number of lines left out.
-func TestVolumeIsBounded(t *testing.T) {
+func TestLinesPerSecondAreLimited(t *testing.T) {
 	o := &output{}
 	now := clock.Time(5000)
-	r := New(o, "n", at(&now))
+	r := New(o, "n", clockOf(&now))
 	for i := range 1000 {
 		r.Refused(Refusal{Request: fmt.Sprint(i), Status: 503, Reason: "pressure"})
 	}
@@ -61,11 +61,11 @@
 }
 
 // The reader of the output has stopped reading. A node that blocked on its output would stop serving.
-func TestStuckOutputHoldsNothingUp(t *testing.T) {
-	o := &output{hang: make(chan struct{})}
-	defer close(o.hang)
+func TestBlockedOutputDoesNotBlockRecorder(t *testing.T) {
+	o := &output{blocked: make(chan struct{})}
+	defer close(o.blocked)
 	now := clock.Time(0)
-	r := New(o, "n", at(&now))
+	r := New(o, "n", clockOf(&now))
 	done := make(chan struct{})
 	go func() {
 		for i := range 5000 {
@@ -93,7 +93,7 @@
 func TestLinesKeepTheirSchema(t *testing.T) {
 	o := &output{}
 	now := clock.Time(0)
-	r := New(o, "n", at(&now))
+	r := New(o, "n", clockOf(&now))
 	r.Refused(Refusal{Request: "1", Status: 503, Reason: "noRoom", Path: "/x", After: 3})
 	r.Attempted(Attempt{Request: "1", Route: "r", Outcome: "answered", Status: 200})
 	r.Dependency("store", errors.New("gone"))
@@ -116,7 +116,7 @@
 // Labels that take values from callers' requests would fill a scraper's memory, so only fixed sets of values are labels.
 func TestLabelsAreBounded(t *testing.T) {
 	now := clock.Time(0)
-	r := New(io.Discard, "n", at(&now))
+	r := New(io.Discard, "n", clockOf(&now))
 	for i := range 1000 {
 		r.Refused(Refusal{Request: fmt.Sprint(i), Reason: "noRoom", Path: fmt.Sprintf("/%d", i)})
 		r.Attempted(Attempt{Request: fmt.Sprint(i), Route: fmt.Sprint(i), Outcome: "answered"})
@@ -130,10 +130,10 @@
 
 // Traffic between failure domains can become the largest cost of a fleet. The metrics and the log must both attribute
 // its bytes to a cause and a reason.
-func TestCrossingsAreToldByCauseAndReason(t *testing.T) {
+func TestCrossingsAreCountedByCauseAndReason(t *testing.T) {
 	o := &output{}
 	now := clock.Time(5000)
-	r := New(o, "n", at(&now))
+	r := New(o, "n", clockOf(&now))
 	r.Crossed(Crossing{Cause: "nested", Reason: "nearFull", Sent: 410, Received: 690})
 	r.Crossed(Crossing{Cause: "nested", Reason: "nearFull", Sent: 400, Received: 600})
 	r.Crossed(Crossing{Cause: "report", Reason: "asked", Sent: 80, Received: 900})
@@ -146,7 +146,7 @@
 	} {
 		assert.Assert(t, strings.Contains(metrics.String(), line), line)
 	}
-	r.Crossings()
+	r.LogCrossings()
 	time.Sleep(100 * time.Millisecond)
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal([]byte(o.lines()[0]), &line))
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -27,7 +27,7 @@
 func (r *Relayer) draw(ctx context.Context, d conductor.Draw) conductor.Effect {
 	asked := r.options.Clock.Now()
 	grant, err := r.askToken(ctx, d)
-	r.options.Recorder.Drawn(drawOutcome(grant, err), r.options.Clock.Now().Sub(asked))
+	r.options.Recorder.TokenRequested(drawOutcome(grant, err), r.options.Clock.Now().Sub(asked))
 	if err != nil && ctx.Err() == nil {
 		r.options.Recorder.Dependency("tokens of node "+string(d.Node), err)
 	}
--- a/internal/tracer/reader.go
+++ b/internal/tracer/reader.go
@@ -41,14 +41,14 @@
 	LeftOut    int                `json:"leftOut"`
 }
 
-// longestLine bounds one line: a load line names every service, at some 30 bytes each.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line: a load line names every service, at some 30 bytes each.
+const maxLineBytes = 1 << 20
 
 // Read returns the nodes' lines in a log.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		brace := bytes.IndexByte(s.Bytes(), '{')
 		if brace < 0 {
--- a/internal/tracer/tracer.go
+++ b/internal/tracer/tracer.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// around is how far from the request other events of its nodes are shown: the store's loss is noticed after some
+	// eventWindow is how far from the request other events of its nodes are shown: the store's loss is noticed after some
 	// seconds at most.
-	around = 3 * time.Second
-	// skew is by how much the nodes' clocks may differ for a nested call to be taken for one that was made meanwhile.
-	skew = 50 * time.Millisecond
-	// mostNested bounds the nested calls that are shown.
-	mostNested = 10
+	eventWindow = 3 * time.Second
+	// maxClockSkew is by how much the nodes' clocks may differ for a nested call to be taken for one that was made meanwhile.
+	maxClockSkew = 50 * time.Millisecond
+	// maxNestedCalls bounds the nested calls that are shown.
+	maxNestedCalls = 10
 )
 
 // Find tells what the lines say of a request.
@@ -68,14 +68,14 @@
 	if !ok || !a.failed() {
 		return
 	}
-	from, to := a.Time.Add(-a.Took-skew), a.Time.Add(skew)
+	from, to := a.Time.Add(-a.Took-maxClockSkew), a.Time.Add(maxClockSkew)
 	for _, l := range lines {
 		if l.Node == a.At && l.Nested && l.failed() && l.Time.After(from) && l.Time.Before(to) {
 			t.Nested = append(t.Nested, l)
 		}
 	}
 	slices.SortStableFunc(t.Nested, byTime)
-	t.Nested = t.Nested[max(0, len(t.Nested)-mostNested):]
+	t.Nested = t.Nested[max(0, len(t.Nested)-maxNestedCalls):]
 }
 
 // nodes are those that took part: the request's own, and those that it or its nested calls were sent to.
@@ -105,22 +105,22 @@
 	}
 }
 
-// quiet are messages that are shown elsewhere, or tell of single requests.
-var quiet = []string{"load", "attempt ended", "request refused"}
+// excludedMessages are messages that are shown elsewhere, or tell of single requests.
+var excludedMessages = []string{"load", "attempt ended", "request refused"}
 
 func (t *Trace) addEvents(lines []Line) {
 	nodes := t.nodes()
 	for _, l := range lines {
-		near := l.Time.Sub(t.last().Time).Abs() <= around
-		if near && slices.Contains(nodes, l.Node) && !slices.Contains(quiet, l.Message) {
+		near := l.Time.Sub(t.last().Time).Abs() <= eventWindow
+		if near && slices.Contains(nodes, l.Node) && !slices.Contains(excludedMessages, l.Message) {
 			t.Events = append(t.Events, l)
 		}
 	}
 	slices.SortStableFunc(t.Events, byTime)
 }
 
-// reasons say in words why a node gave an answer of its own.
-var reasons = map[string]string{
+// reasonTexts say in words why a node gave an answer of its own.
+var reasonTexts = map[string]string{
 	"noConfiguration": "the node had read no configuration yet",
 	"noRoute":         "no route of the version in force matched",
 	"unknownKey":      "no team of the version in force held the key",
@@ -144,14 +144,14 @@
 		return t.refusalCause(last)
 	case !last.failed():
 		return fmt.Sprintf("answered with %d by endpoint %s beside %s in %s", last.Status, last.Endpoint, last.At, last.Took)
-	case last.Outcome == answered && len(t.Nested) == 0:
+	case last.Outcome == outcomeAnswered && len(t.Nested) == 0:
 		return fmt.Sprintf("endpoint %s beside %s answered %d, and the logs show no failed nested call: it is the endpoint's own",
 			last.Endpoint, last.At, last.Status)
-	case last.Outcome == answered:
+	case last.Outcome == outcomeAnswered:
 		return fmt.Sprintf("endpoint %s beside %s answered %d%s", last.Endpoint, last.At, last.Status, t.nestedCause())
 	default:
 		return fmt.Sprintf("the last attempt, at endpoint %s beside %s, ended as %s after %s%s%s",
-			last.Endpoint, last.At, last.Outcome, last.Took, t.queueAt(last.At), t.nestedCause())
+			last.Endpoint, last.At, last.Outcome, last.Took, t.queueText(last.At), t.nestedCause())
 	}
 }
 
@@ -166,46 +166,46 @@
 			nearest = l
 		}
 	}
-	return "; while it ran, nested calls at that node failed, the one before its end " + ending(nearest)
+	return "; while it ran, nested calls at that node failed, the one before its end " + outcomeText(nearest)
 }
 
 func (t *Trace) refusalCause(last Line) string {
-	words, ok := reasons[last.Reason]
+	text, ok := reasonTexts[last.Reason]
 	if !ok {
-		words = last.Reason
+		text = last.Reason
 	}
-	cause := fmt.Sprintf("%s answered %d after %s: %s", last.Node, last.Status, last.After, words)
+	cause := fmt.Sprintf("%s answered %d after %s: %s", last.Node, last.Status, last.After, text)
 	if last.Reason == "pressure" {
-		cause += t.pressed(last.Node)
+		cause += t.overloadText(last.Node)
 	}
 	if len(t.Lines) > 1 {
-		cause += fmt.Sprintf("; the attempt before it %s", ending(t.Lines[len(t.Lines)-2]))
+		cause += fmt.Sprintf("; the attempt before it %s", outcomeText(t.Lines[len(t.Lines)-2]))
 	}
 	return cause + t.nestedCause()
 }
 
-func ending(l Line) string {
+func outcomeText(l Line) string {
 	if l.Reason != "" {
-		return fmt.Sprintf("was refused: %s", reasons[l.Reason])
+		return fmt.Sprintf("was refused: %s", reasonTexts[l.Reason])
 	}
-	if l.Outcome == answered {
+	if l.Outcome == outcomeAnswered {
 		return fmt.Sprintf("got %d from endpoint %s beside %s after %s", l.Status, l.Endpoint, l.At, l.Took)
 	}
 	return fmt.Sprintf("ended as %s at endpoint %s beside %s after %s", l.Outcome, l.Endpoint, l.At, l.Took)
 }
 
-// pressed names the services with too much load, as the node saw them.
-func (t *Trace) pressed(node string) string {
+// overloadedServices names the services with too much load, as the node saw them.
+func (t *Trace) overloadText(node string) string {
 	for _, l := range t.Loads {
-		if pressed := l.pressed(); l.Node == node && pressed != "" {
-			return fmt.Sprintf(" (part too much: %s)", pressed)
+		if overloaded := l.overloadedServices(); l.Node == node && overloaded != "" {
+			return fmt.Sprintf(" (part too much: %s)", overloaded)
 		}
 	}
 	return ""
 }
 
-// queueAt tells whether calls queued at a node.
-func (t *Trace) queueAt(node string) string {
+// queueText tells whether calls queued at a node.
+func (t *Trace) queueText(node string) string {
 	for _, l := range t.Loads {
 		if l.Node == node && l.Queued > 0 {
 			return fmt.Sprintf("; %d calls were queued there, for %s", l.Queued, l.QueueDelay)
--- a/internal/tracer/tracer_test.go
+++ b/internal/tracer/tracer_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/golden"
 )
 
-func logs(t *testing.T) []Line {
+func readTestLog(t *testing.T) []Line {
 	t.Helper()
 	f, err := os.Open("testdata/nodes.log")
 	assert.NilError(t, err)
@@ -21,7 +21,7 @@
 	return lines
 }
 
-func show(t Trace) string {
+func formatTrace(t Trace) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", t.Cause)
 	for _, part := range [][]Line{t.Lines, t.Nested, t.Loads, t.Events} {
@@ -43,17 +43,17 @@
 		"late":         "ffde8f1529d95216",
 	} {
 		t.Run(name, func(t *testing.T) {
-			trace, err := Find(logs(t), request)
+			trace, err := Find(readTestLog(t), request)
 			assert.NilError(t, err)
-			golden.Assert(t, show(trace), name+".golden")
+			golden.Assert(t, formatTrace(trace), name+".golden")
 		})
 	}
 }
 
-func TestFindTellsWhatIsMissing(t *testing.T) {
+func TestFindReportsMissingLines(t *testing.T) {
 	_, err := Find(nil, "1")
 	assert.Assert(t, errors.Is(err, ErrNoLines))
-	_, err = Find(logs(t), "nobody")
+	_, err = Find(readTestLog(t), "nobody")
 	var unknown UnknownRequestError
 	assert.Assert(t, errors.As(err, &unknown))
 	assert.Equal(t, unknown.Request, "nobody")
--- a/internal/tracer/types.go
+++ b/internal/tracer/types.go
@@ -57,8 +57,8 @@
 			kind, l.Endpoint, l.At, l.Outcome, l.Status, l.Took)
 	case "load":
 		load := fmt.Sprintf("%d of %d running, %d queued for %s", l.Running, l.Limit, l.Queued, l.QueueDelay)
-		if pressed := l.pressed(); pressed != "" {
-			load += ", part too much: " + pressed
+		if overloaded := l.overloadedServices(); overloaded != "" {
+			load += ", part too much: " + overloaded
 		}
 		return load
 	case "":
@@ -70,8 +70,8 @@
 	return l.Message + ": " + l.Detail
 }
 
-// pressed names the services with too much load, as the node saw them.
-func (l Line) pressed() string {
+// overloadedServices names the services with too much load, as the node saw them.
+func (l Line) overloadedServices() string {
 	var names []string
 	for service, excess := range l.Excesses {
 		if excess > 0 {
@@ -84,13 +84,13 @@
 
 // failed tells whether the line is of a request or an attempt that did not go well.
 func (l Line) failed() bool {
-	return l.Reason != "" || l.Outcome != "" && (l.Outcome != answered || l.Status >= firstFailure)
+	return l.Reason != "" || l.Outcome != "" && (l.Outcome != outcomeAnswered || l.Status >= firstServerErrorStatus)
 }
 
 const (
-	answered = "answered"
-	// firstFailure is the first status that tells of a server's failure.
-	firstFailure = 500
+	outcomeAnswered = "answered"
+	// firstServerErrorStatus is the first status that tells of a server's failure.
+	firstServerErrorStatus = 500
 )
 
 // Trace is what the logs tell of one request.
