--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -25,7 +25,7 @@
 	linesPerSecond = 20
 	// successesPerSecond limits the lines of successful attempts; it is lower because they are rarely looked up.
 	successesPerSecond = 1
-	// queueCapacityLines lines wait for the output; at 300 bytes each they hold 150 kB.
+	// queueCapacityLines bounds the lines that wait for the output; at 300 bytes each they take 150 kB.
 	queueCapacityLines = 512
 )
 
@@ -54,13 +54,14 @@
 
 // Recorder writes log lines and keeps metrics; it is safe for concurrent use.
 type Recorder struct {
-	logger *log.Logger
-	now    func() clock.Time
-	mu     sync.Mutex
-	lineCounters  map[string]*lineCounter
-	meters *meters
+	logger       *log.Logger
+	now          func() clock.Time
+	mu           sync.Mutex
+	lineCounters map[string]*lineCounter
+	meters       *meters
 }
 
+// lineCounter counts the lines of one kind within the current second, and the lines left out since the last written one.
 type lineCounter struct {
 	second  clock.Time
 	lines   int
@@ -148,7 +149,7 @@
 	r.meters.add("crossing_bytes", e.Received, "cause", e.Cause, "reason", e.Reason, "direction", "received")
 }
 
-// LogCrossings logs what has crossed so far: how often, and how many bytes, by cause and reason.
+// LogCrossings logs the number of exchanges with other failure domains so far and their bytes, by cause and reason.
 func (r *Recorder) LogCrossings() {
 	if times := r.meters.counterValues("crossings"); len(times) > 0 {
 		r.Event("crossings", "times", times, "bytes", r.meters.counterValues("crossing_bytes"))
@@ -160,14 +161,14 @@
 	r.meters.add("store_calls", 1, "topic", topic, "call", call)
 }
 
-// LogStoreCalls logs how many calls to the platform's store were made so far.
+// LogStoreCalls logs the number of calls to the platform's store so far, by topic and operation.
 func (r *Recorder) LogStoreCalls() {
 	if calls := r.meters.counterValues("store_calls"); len(calls) > 0 {
 		r.Event("store calls", "calls", calls)
 	}
 }
 
-// TokenRequested counts a token that another node was asked for, by how that ended.
+// TokenRequested records a request for a token from another node: its outcome and how long it took.
 func (r *Recorder) TokenRequested(outcome string, took clock.Duration) {
 	r.meters.observeDuration("tokens", "outcome", outcome, took)
 }
@@ -182,7 +183,7 @@
 	r.logger.Warn("dependency failed", "dependency", name, "error", err.Error(), "leftOut", leftOut)
 }
 
-// dependencyKind is the first word of a dependency's name: "node a-7" counts as a node.
+// dependencyKind returns the first word of a dependency's name as its metric label: "node" for "node a-7".
 func dependencyKind(name string) string {
 	kind, _, _ := strings.Cut(name, " ")
 	return kind
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -18,8 +18,8 @@
 
 // output collects lines; with blocked set it blocks each write, as a pipe does whose reader has stopped reading.
 type output struct {
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu      sync.Mutex
+	text    bytes.Buffer
 	blocked chan struct{}
 }
 
--- a/internal/tracer/reader.go
+++ b/internal/tracer/reader.go
@@ -1,7 +1,7 @@
 package tracer
 
-// Collectors put a time or a host's name before each line, and other programs' lines between them. So a line counts from
-// its first brace, and one that is no line of a node is passed over.
+// Log collectors put a time or a host name before each line and mix in lines of other programs. A line is therefore
+// parsed from its first brace on, and lines that no node wrote are skipped.
 //
 // Example: "10.2 node-b {"msg":"attempt ended",...}" is read as the object alone.
 
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// wireLine has the names that nodes write.
+// wireLine is a log line with the field names that nodes write.
 type wireLine struct {
 	Time       time.Time          `json:"time"`
 	Node       string             `json:"node"`
@@ -41,10 +41,10 @@
 	LeftOut    int                `json:"leftOut"`
 }
 
-// maxLineBytes bounds one line: a load line names every service, at some 30 bytes each.
+// maxLineBytes is the upper bound of one line: a load line names every service, at about 30 bytes each.
 const maxLineBytes = 1 << 20
 
-// Read returns the nodes' lines in a log.
+// Read returns the lines that nodes wrote to a log.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	s := bufio.NewScanner(r)
--- a/internal/tracer/tracer.go
+++ b/internal/tracer/tracer.go
@@ -1,9 +1,10 @@
 package tracer
 
-// The walk goes as an engineer would: from the request's last line to the node that decided, from a failed run to the
-// nested calls that failed while it lasted, and from each node to its load and what befell it.
+// The search follows the steps of an engineer: from the request's last line to the node that decided, from a failed
+// attempt to the nested calls that failed while it ran, and from each node to its load and its events at that time.
 //
-// Example: Find(lines, "9c41") ends in "the endpoint i-7 beside b answered 500; while it ran, 2 of its nested calls failed".
+// Example: Find(lines, "9c41") has the cause "endpoint i-7 beside b answered 500; while it ran, nested calls at that node
+// failed, the one before its end was refused: ...".
 
 import (
 	"fmt"
@@ -12,16 +13,16 @@
 )
 
 const (
-	// eventWindow is how far from the request other events of its nodes are shown: the store's loss is noticed after some
-	// seconds at most.
+	// eventWindow is the maximum time between the request's end and the events of its nodes that are shown: a node detects
+	// the loss of the store within a few seconds.
 	eventWindow = 3 * time.Second
-	// maxClockSkew is by how much the nodes' clocks may differ for a nested call to be taken for one that was made meanwhile.
+	// maxClockSkew extends the time in which nested calls are matched to an attempt, since the nodes' clocks differ.
 	maxClockSkew = 50 * time.Millisecond
-	// maxNestedCalls bounds the nested calls that are shown.
+	// maxNestedCalls limits the nested calls that are shown.
 	maxNestedCalls = 10
 )
 
-// Find tells what the lines say of a request.
+// Find returns the trace of a request: its lines, related lines and the cause of its outcome.
 func Find(lines []Line, request string) (Trace, error) {
 	if len(lines) == 0 {
 		return Trace{}, ErrNoLines
@@ -61,8 +62,8 @@
 	return Line{}, false
 }
 
-// addNested finds calls that failed at the node beside the endpoint while the endpoint ran the request. A nested call has
-// an id of its own, so only place and time connect them.
+// addNested finds nested calls that failed at the node beside the endpoint while the endpoint ran the request. A nested
+// call has a request id of its own, so only its node and its time relate it to the request.
 func (t *Trace) addNested(lines []Line) {
 	a, ok := t.lastAttempt()
 	if !ok || !a.failed() {
@@ -78,7 +79,8 @@
 	t.Nested = t.Nested[max(0, len(t.Nested)-maxNestedCalls):]
 }
 
-// nodes are those that took part: the request's own, and those that it or its nested calls were sent to.
+// nodes returns the nodes that took part: those that logged the request or its failed nested calls, and those that
+// attempts were sent to.
 func (t *Trace) nodes() []string {
 	var nodes []string
 	for _, l := range append(slices.Clone(t.Lines), t.Nested...) {
@@ -91,6 +93,7 @@
 	return nodes
 }
 
+// addLoads finds the newest load line of each node, up to one second after the request's last line.
 func (t *Trace) addLoads(lines []Line) {
 	for _, node := range t.nodes() {
 		var newest Line
@@ -105,7 +108,7 @@
 	}
 }
 
-// excludedMessages are messages that are shown elsewhere, or tell of single requests.
+// excludedMessages are messages that the trace shows elsewhere or that concern single requests; they are not events.
 var excludedMessages = []string{"load", "attempt ended", "request refused"}
 
 func (t *Trace) addEvents(lines []Line) {
@@ -119,7 +122,7 @@
 	slices.SortStableFunc(t.Events, byTime)
 }
 
-// reasonTexts say in words why a node gave an answer of its own.
+// reasonTexts explain the reasons with which a node answers a request itself.
 var reasonTexts = map[string]string{
 	"noConfiguration": "the node had read no configuration yet",
 	"noRoute":         "no route of the version in force matched",
@@ -155,7 +158,7 @@
 	}
 }
 
-// nestedCause tells of the failed nested call that ended next before the request did.
+// nestedCause describes the last nested call that failed before the request ended.
 func (t *Trace) nestedCause() string {
 	if len(t.Nested) == 0 {
 		return ""
@@ -184,6 +187,7 @@
 	return cause + t.nestedCause()
 }
 
+// outcomeText describes how a request was refused or an attempt ended.
 func outcomeText(l Line) string {
 	if l.Reason != "" {
 		return fmt.Sprintf("was refused: %s", reasonTexts[l.Reason])
@@ -194,7 +198,7 @@
 	return fmt.Sprintf("ended as %s at endpoint %s beside %s after %s", l.Outcome, l.Endpoint, l.At, l.Took)
 }
 
-// overloadedServices names the services with too much load, as the node saw them.
+// overloadText lists the services that the node considers overloaded, with their excess load.
 func (t *Trace) overloadText(node string) string {
 	for _, l := range t.Loads {
 		if overloaded := l.overloadedServices(); l.Node == node && overloaded != "" {
@@ -204,7 +208,7 @@
 	return ""
 }
 
-// queueText tells whether calls queued at a node.
+// queueText describes the queue of a node's local endpoint; it is empty without queued calls.
 func (t *Trace) queueText(node string) string {
 	for _, l := range t.Loads {
 		if l.Node == node && l.Queued > 0 {
--- a/internal/tracer/tracer_test.go
+++ b/internal/tracer/tracer_test.go
@@ -33,9 +33,9 @@
 	return b.String()
 }
 
-// The logs are of a real run in which one endpoint of the deepest service had become slow: a request was refused for it
-// at the entry, one failed with its nested calls, and one ran out of time. An engineer who has only an id must get to
-// the same place each time.
+// The logs come from a run in which one endpoint of the deepest service became slow: one request was refused at the
+// entry node, one failed because its nested calls failed, and one exceeded its deadline. Find must lead from each
+// request's id to that service.
 func TestFind(t *testing.T) {
 	for name, request := range map[string]string{
 		"refused":      "6a305a0aa4128433",
@@ -97,7 +97,8 @@
 	}
 }
 
-// Collected logs hold other programs' lines, half lines and bytes that are no text; none of it may end the walk.
+// Collected logs hold lines of other programs, truncated lines and bytes that are not text; none of them may make Read or
+// Find fail or panic.
 func FuzzRead(f *testing.F) {
 	f.Add(`10.2 node-b {"msg":"load","node":"b","running":3}`)
 	f.Add("{")
--- a/internal/tracer/types.go
+++ b/internal/tracer/types.go
@@ -1,9 +1,9 @@
 package tracer
 
-// A request is known by the lines that carry its id. What explains them stands in lines that do not: the load of the node
-// that turned it away, the nested calls that failed while it ran, the store that was lost a second before.
+// A request's own lines carry its id, but the lines that explain its outcome do not: the load of the node that refused
+// it, the nested calls that failed while it ran, or the loss of the store a second before.
 //
-// Example: a line "attempt ended" with status 500 at node b, and at b in that time a nested call that was "full".
+// Example: a line "attempt ended" with status 500 at node b, and a nested call at b in that time with outcome "full".
 
 import (
 	"errors"
@@ -20,30 +20,30 @@
 	Message string
 	Request string
 
-	// Status, Reason and After tell of a refusal.
+	// Status, Reason and After are set on a refusal.
 	Status int
 	Reason string
 	After  time.Duration
 
-	// Endpoint, At, Nested, Outcome and Took tell of an attempt; At is the node beside the endpoint.
+	// Endpoint, At, Nested, Outcome and Took are set on an attempt; At is the node beside the endpoint.
 	Endpoint string
 	At       string
 	Nested   bool
 	Outcome  string
 	Took     time.Duration
 
-	// Running, Queued, Limit and QueueDelay tell of the local endpoint's load, Excesses of all services'.
+	// Running, Queued, Limit and QueueDelay are the local endpoint's load; Excesses holds the excess load of each service.
 	Running, Queued, Limit int
 	QueueDelay             time.Duration
 	Excesses               map[string]float64
 
-	// Detail is the rest that is worth showing, such as the name of a dependency and its error.
+	// Detail is further text to show, such as the name of a dependency and its error.
 	Detail string
-	// LeftOut is how many lines of the kind the node left out before this one.
+	// LeftOut is the number of lines of the same kind that the node left out before this one.
 	LeftOut int
 }
 
-// String says in words what the line tells, without its time and node.
+// String describes the line in words, without its time and node.
 func (l Line) String() string {
 	switch l.Message {
 	case "request refused":
@@ -70,7 +70,7 @@
 	return l.Message + ": " + l.Detail
 }
 
-// overloadedServices names the services with too much load, as the node saw them.
+// overloadedServices lists the services that the node considers overloaded, with their excess load.
 func (l Line) overloadedServices() string {
 	var names []string
 	for service, excess := range l.Excesses {
@@ -82,42 +82,42 @@
 	return strings.Join(names, ", ")
 }
 
-// failed tells whether the line is of a request or an attempt that did not go well.
+// failed reports whether the line is a refusal or a failed attempt.
 func (l Line) failed() bool {
 	return l.Reason != "" || l.Outcome != "" && (l.Outcome != outcomeAnswered || l.Status >= firstServerErrorStatus)
 }
 
 const (
 	outcomeAnswered = "answered"
-	// firstServerErrorStatus is the first status that tells of a server's failure.
+	// firstServerErrorStatus is the lowest HTTP status of a server error.
 	firstServerErrorStatus = 500
 )
 
-// Trace is what the logs tell of one request.
+// Trace is the lines of the logs that relate to one request, and the cause derived from them.
 type Trace struct {
 	Request string
-	// Lines are the request's own, in order of time.
+	// Lines are the request's own lines in order of time.
 	Lines []Line
-	// Nested are failed calls of the endpoint that ran the request, made while it ran.
+	// Nested are failed nested calls at the node of the last attempt's endpoint, made while it ran the request.
 	Nested []Line
-	// Loads are the load lines next before the request's end, of its own node and of those that it was sent to.
+	// Loads are the newest load lines at the request's end, one for each node that took part.
 	Loads []Line
-	// Events are what else happened at these nodes within a few seconds.
+	// Events are the other lines of these nodes within a few seconds of the request's end.
 	Events []Line
-	// Cause is one sentence.
+	// Cause is one sentence that explains the outcome.
 	Cause string
 }
 
-// ErrNoLines tells that the logs were read and hold no line at all.
+// ErrNoLines reports that the logs hold no line of a node.
 var ErrNoLines = errors.New("the logs hold no line of a node")
 
-// UnknownRequestError tells that no line carries the id.
+// UnknownRequestError reports that no line carries the request's id.
 type UnknownRequestError struct {
 	Request string
 	Lines   int
 }
 
-// Error says why a request may be missing.
+// Error explains why a request may be missing from the logs.
 func (e UnknownRequestError) Error() string {
 	return fmt.Sprintf("request %q: none of %d lines carries it; a node writes at most 20 failures of a kind and one "+
 		"success a second", e.Request, e.Lines)
