--- a/internal/commander/cert.go
+++ b/internal/commander/cert.go
@@ -19,12 +19,12 @@
 
 const (
 	authorityName    = "authority"
-	certificateFile  = ".pem"
-	keyFile          = ".key"
+	certificateSuffix  = ".pem"
+	keySuffix          = ".key"
 	secretFileMode   = 0o600
 	directoryMode    = 0o700
 	defaultValidity  = "2160h"
-	defaultAuthority = "87600h"
+	defaultAuthorityValidity = "87600h"
 )
 
 type writtenFiles struct {
@@ -53,18 +53,18 @@
 }
 
 func addCert(c *cli) {
-	all := c.app.Command("cert", "Make a CA and the certificates of nodes and operators.")
-	addCertAuthority(c, all)
-	addCertIssue(c, all, certifier.Node, "Make the certificate of a node, signed by the CA in the same directory.",
+	group := c.app.Command("cert", "Make a CA and the certificates of nodes and operators.")
+	addCertAuthority(c, group)
+	addCertIssue(c, group, certifier.Node, "Make the certificate of a node, signed by the CA in the same directory.",
 		"jackdawtide cert node --directory certs portal-1")
-	addCertIssue(c, all, certifier.Operator, "Make the certificate of an operator, signed by the CA in the same directory.",
+	addCertIssue(c, group, certifier.Operator, "Make the certificate of an operator, signed by the CA in the same directory.",
 		"jackdawtide cert operator --directory certs eva")
 }
 
-func addCertAuthority(c *cli, all *kingpin.CmdClause) {
-	clause := c.add(all, authorityName, "Make a CA, meant for tests; keep its key off the VMs.",
+func addCertAuthority(c *cli, group *kingpin.CmdClause) {
+	clause := c.add(group, authorityName, "Make a CA, meant for tests; keep its key off the VMs.",
 		"jackdawtide cert authority --directory certs", nil)
-	flags := bindCert(clause, defaultAuthority)
+	flags := bindCert(clause, defaultAuthorityValidity)
 	c.runs[clause.FullCommand()] = func(context.Context) error {
 		a, err := certifier.NewAuthority(c.Now(), flags.valid)
 		if err != nil {
@@ -74,9 +74,9 @@
 	}
 }
 
-func addCertIssue(c *cli, all *kingpin.CmdClause, role certifier.Role, help, example string) {
+func addCertIssue(c *cli, group *kingpin.CmdClause, role certifier.Role, help, example string) {
 	var name string
-	clause := c.add(all, string(role), help, example, nil)
+	clause := c.add(group, string(role), help, example, nil)
 	flags := bindCert(clause, defaultValidity)
 	clause.Arg("name", "Name in the certificate.").Required().StringVar(&name)
 	c.runs[clause.FullCommand()] = func(context.Context) error {
@@ -98,11 +98,11 @@
 
 func readAuthority(directory string) (certifier.Authority, error) {
 	base := filepath.Join(directory, authorityName)
-	certificate, err := os.ReadFile(base + certificateFile)
+	certificate, err := os.ReadFile(base + certificateSuffix)
 	if err != nil {
 		return certifier.Authority{}, InputError{Cause: err}
 	}
-	key, err := os.ReadFile(base + keyFile)
+	key, err := os.ReadFile(base + keySuffix)
 	if err != nil {
 		return certifier.Authority{}, InputError{Cause: err}
 	}
@@ -114,16 +114,16 @@
 		return InputError{Cause: err}
 	}
 	base := filepath.Join(f.directory, name)
-	if err := writeNew(base+keyFile, p.Key); err != nil {
+	if err := writeNew(base+keySuffix, p.Key); err != nil {
 		return err
 	}
-	if err := writeNew(base+certificateFile, p.Certificate); err != nil {
+	if err := writeNew(base+certificateSuffix, p.Certificate); err != nil {
 		return err
 	}
 	return c.print(writtenFiles{
 		Identity:    identity,
-		Certificate: base + certificateFile,
-		Key:         base + keyFile,
+		Certificate: base + certificateSuffix,
+		Key:         base + keySuffix,
 		Until:       c.Now().Add(f.valid).UTC().Format(time.RFC3339),
 	})
 }
--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -25,7 +25,7 @@
 
 // Operators switch at the same moment, each from their own desk, and the log loses some of their answers. If two were
 // told that theirs is in force, or none, they would act on a preset that no node runs.
-func TestOneWinnerOfARace(t *testing.T) {
+func TestConcurrentSwitchesHaveOneWinner(t *testing.T) {
 	const operators = 8
 	for round := range 5 {
 		s := newSession(t)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestHooksGetWhatWasAsked(t *testing.T) {
+func TestHooksReceiveParsedOptions(t *testing.T) {
 	var got []string
 	h := Hooks{
 		Backend: func(_ context.Context, _ Process, o BackendOptions) error {
@@ -131,7 +131,7 @@
 
 // The log takes a new key and goes down before its answer. Shown now, the key might never become valid, and a team
 // would be given a key that is refused; so nothing is shown, and the operator is told which hash to look for.
-func TestKeyInDoubtIsNotShown(t *testing.T) {
+func TestKeyWithUnknownOutcomeIsNotShown(t *testing.T) {
 	s := newSession(t)
 	for _, line := range []string{"preset publish testdata/ordinary.toml", "preset switch ordinary"} {
 		_, errOut, code := s.run(strings.Fields(line), "")
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// errNothingToAsk tells that neither a node nor a log was named.
-var errNothingToAsk = errors.New("required flag --admin or --log not provided")
+// errNoSource tells that neither a node nor a log was named.
+var errNoSource = errors.New("required flag --admin or --log not provided")
 
 func addExplain(c *cli) {
 	var request string
@@ -96,7 +96,7 @@
 			return c.explainLogs(*logs, request)
 		}
 		if len(*addresses) == 0 {
-			return UsageError{Cause: errNothingToAsk}
+			return UsageError{Cause: errNoSource}
 		}
 		found, err := c.collectExplanations(ctx, *addresses, flags, request)
 		if err != nil {
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
 	var found explanations
-	var last error
+	var lastErr error
 	for _, a := range addresses {
 		client, err := c.inspect(a, f)
 		if err != nil {
@@ -122,13 +122,13 @@
 		}
 		data, err := client.Explain(ctx, request)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		found = append(found, nodeExplanation{Admin: a, Explanation: data})
 	}
 	if len(found) == 0 {
-		return nil, last
+		return nil, lastErr
 	}
 	return found, nil
 }
--- a/internal/commander/explain_log.go
+++ b/internal/commander/explain_log.go
@@ -11,8 +11,8 @@
 // `explain --log` does what an engineer would do with grep over the logs of many nodes: the request's own lines, the nested
 // calls that failed while it ran, the load of the nodes that took part, and what befell them at that time.
 
-// traced is a trace as it is printed.
-type traced struct {
+// tracedRequest is a trace as it is printed.
+type tracedRequest struct {
 	Request string       `json:"request"`
 	Cause   string       `json:"cause"`
 	Lines   []tracedLine `json:"lines"`
@@ -29,7 +29,7 @@
 
 const traceTime = "15:04:05.000"
 
-func (r traced) writeText(w io.Writer) error {
+func (r tracedRequest) writeText(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "request: %s\ncause: %s\n", r.Request, r.Cause); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return InputError{Cause: err}
 	}
-	return c.print(traced{
+	return c.print(tracedRequest{
 		Request: trace.Request,
 		Cause:   trace.Cause,
 		Lines:   tracedLines(trace.Lines),
--- a/internal/commander/key.go
+++ b/internal/commander/key.go
@@ -13,10 +13,10 @@
 )
 
 func addKey(c *cli) {
-	all := c.app.Command("key", "Issue and withdraw the keys of teams.")
-	addKeyIssue(c, all)
-	addKeyWithdraw(c, all)
-	addKeyList(c, all)
+	group := c.app.Command("key", "Issue and withdraw the keys of teams.")
+	addKeyIssue(c, group)
+	addKeyWithdraw(c, group)
+	addKeyList(c, group)
 }
 
 type keyRow struct {
@@ -32,14 +32,14 @@
 	Keys []keyRow `json:"keys"`
 }
 
-// shownHash is how much of a hash a table shows; it names one key among millions.
-const shownHash = 16
+// shownHashLength is how much of a hash a table shows; it names one key among millions.
+const shownHashLength = 16
 
 func (r keyList) writeText(w io.Writer) error {
 	rows := [][]string{{"HASH", "TEAM", "LABEL", "ISSUED", "VERSION", "STATE"}}
 	for _, k := range r.Keys {
 		rows = append(rows, []string{
-			k.Hash[:min(len(k.Hash), shownHash)], k.Team, orDash(k.Label), k.Issued,
+			k.Hash[:min(len(k.Hash), shownHashLength)], k.Team, orDash(k.Label), k.Issued,
 			strconv.FormatInt(k.Version, 10), k.State,
 		})
 	}
--- a/internal/commander/key_issue.go
+++ b/internal/commander/key_issue.go
@@ -29,9 +29,9 @@
 	return err
 }
 
-func addKeyIssue(c *cli, all *kingpin.CmdClause) {
+func addKeyIssue(c *cli, group *kingpin.CmdClause) {
 	var team, label string
-	clause := c.add(all, "issue", "Make a key for a team, and show it once.",
+	clause := c.add(group, "issue", "Make a key for a team, and show it once.",
 		"jackdawtide key issue --log http://10.9.0.1:7000 --label 'port office' harbourMasters", nil)
 	flags := bindChange(clause)
 	clause.Flag("label", "Note that is listed with the key.").PlaceHolder("TEXT").StringVar(&label)
--- a/internal/commander/key_list.go
+++ b/internal/commander/key_list.go
@@ -11,9 +11,9 @@
 
 // `key list` keeps withdrawn keys in the list, so that "was it ever ours?" has an answer.
 
-func addKeyList(c *cli, all *kingpin.CmdClause) {
+func addKeyList(c *cli, group *kingpin.CmdClause) {
 	var team string
-	clause := c.add(all, "list", "List the keys that were issued, by hash; keys themselves are stored nowhere.",
+	clause := c.add(group, "list", "List the keys that were issued, by hash; keys themselves are stored nowhere.",
 		"jackdawtide key list --log http://10.9.0.1:7000 --team harbourMasters", nil)
 	flags := bindLog(clause)
 	clause.Flag("team", "Only the keys of this team.").PlaceHolder("NAME").StringVar(&team)
--- a/internal/commander/key_withdraw.go
+++ b/internal/commander/key_withdraw.go
@@ -27,9 +27,9 @@
 	return err
 }
 
-func addKeyWithdraw(c *cli, all *kingpin.CmdClause) {
+func addKeyWithdraw(c *cli, group *kingpin.CmdClause) {
 	var hash string
-	clause := c.add(all, "withdraw", "Withdraw a key for good; it stops working within seconds.",
+	clause := c.add(group, "withdraw", "Withdraw a key for good; it stops working within seconds.",
 		"jackdawtide key withdraw --log http://10.9.0.1:7000 3f1a9c0b", nil)
 	flags := bindChange(clause)
 	clause.Arg("hash", "Hash of the key, or its beginning; - reads the key itself from standard input.").
@@ -66,7 +66,7 @@
 		}
 		return argument, nil
 	}
-	line, err := bufio.NewReader(io.LimitReader(c.In, maxKeyLine)).ReadString('\n')
+	line, err := bufio.NewReader(io.LimitReader(c.In, maxKeyLineBytes)).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
 		return "", fmt.Errorf("read the key: %w", err)
 	}
@@ -77,4 +77,4 @@
 	return string(publisher.HashOf(key)), nil
 }
 
-const maxKeyLine = 1 << 10
+const maxKeyLineBytes = 1 << 10
--- a/internal/commander/log.go
+++ b/internal/commander/log.go
@@ -19,11 +19,11 @@
 
 // Bounds of the stand-in's listener.
 const (
-	logMaxHeader      = 16 << 10
+	logMaxHeaderBytes      = 16 << 10
 	logHeaderTimeout  = 5 * time.Second
 	logIdleTimeout    = 2 * time.Minute
-	logFinishTimeout  = 2 * time.Second
-	logDefaultAddress = "127.0.0.1:7000"
+	logShutdownTimeout  = 2 * time.Second
+	defaultLogAddress = "127.0.0.1:7000"
 )
 
 type logOptions struct {
@@ -42,7 +42,7 @@
 		"jackdawtide log --listen 127.0.0.1:7000",
 		func(ctx context.Context) error { return c.runLog(ctx, o) })
 	clause.Flag("listen", "Address to listen on; port 0 takes any free port.").
-		Default(logDefaultAddress).StringVar(&o.listen)
+		Default(defaultLogAddress).StringVar(&o.listen)
 	clause.Flag("outage", "Start with every request refused.").BoolVar(&o.outage)
 	clause.Flag("delay", "Time before each answer.").Default("0s").DurationVar(&o.delay)
 	clause.Flag("lost-answers", "How many of the first appends lose their answer; -1 for all.").
@@ -68,7 +68,7 @@
 	logger.Info("log stand-in for tests, nothing is kept on disk", "url", "http://"+l.Addr().String())
 	s := &http.Server{
 		Handler:           k.Handler(),
-		MaxHeaderBytes:    logMaxHeader,
+		MaxHeaderBytes:    logMaxHeaderBytes,
 		ReadHeaderTimeout: logHeaderTimeout,
 		IdleTimeout:       logIdleTimeout,
 	}
@@ -81,7 +81,7 @@
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		finish, cancel := context.WithTimeout(context.Background(), logFinishTimeout)
+		finish, cancel := context.WithTimeout(context.Background(), logShutdownTimeout)
 		defer cancel()
 		err := s.Shutdown(finish)
 		if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/commander/logflags.go
+++ b/internal/commander/logflags.go
@@ -27,8 +27,8 @@
 const (
 	defaultTimeout = "30s"
 	retryPause     = 200 * clock.Millisecond
-	// triesPerTimeout leaves time for reading back after a request to a log that hangs.
-	triesPerTimeout = 3
+	// attemptsPerTimeout leaves time for reading back after a request to a log that hangs.
+	attemptsPerTimeout = 3
 )
 
 type logFlags struct {
@@ -84,7 +84,7 @@
 		Operator:   operator,
 		Wall:       func() clock.Wall { return clock.Wall(c.Now().UnixMilli()) },
 		Random:     c.Random,
-		TryTimeout: clock.FromStd(f.timeout / triesPerTimeout),
+		TryTimeout: clock.FromStd(f.timeout / attemptsPerTimeout),
 		RetryPause: retryPause,
 	})
 	v, err := p.Load(ctx)
--- a/internal/commander/measure.go
+++ b/internal/commander/measure.go
@@ -8,9 +8,9 @@
 	if len(c.hooks.Measures) == 0 {
 		return
 	}
-	all := c.app.Command("measure", "Measure one matter on this machine, with stand-ins.")
+	group := c.app.Command("measure", "Measure one matter on this machine, with stand-ins.")
 	for _, m := range c.hooks.Measures {
-		clause := c.add(all, m.Name, m.Help, m.Example, func(ctx context.Context) error {
+		clause := c.add(group, m.Name, m.Help, m.Example, func(ctx context.Context) error {
 			return m.Run(ctx, c.Process, c.format)
 		})
 		if m.Bind != nil {
--- a/internal/commander/preset.go
+++ b/internal/commander/preset.go
@@ -16,19 +16,19 @@
 )
 
 func addPreset(c *cli) {
-	all := c.app.Command("preset", "Publish presets, put one in force, and see which is.")
-	addPresetCheck(c, all)
-	addPresetPublish(c, all)
-	addPresetSwitch(c, all)
-	addPresetList(c, all)
-	addPresetShow(c, all)
-	addPresetStatus(c, all)
+	group := c.app.Command("preset", "Publish presets, put one in force, and see which is.")
+	addPresetCheck(c, group)
+	addPresetPublish(c, group)
+	addPresetSwitch(c, group)
+	addPresetList(c, group)
+	addPresetShow(c, group)
+	addPresetStatus(c, group)
 }
 
 const (
 	standardInput = "<standard input>"
-	// maxPresetFile bounds what is read: the log takes no larger record.
-	maxPresetFile = 1 << 20
+	// maxPresetBytes bounds what is read: the log takes no larger record.
+	maxPresetBytes = 1 << 20
 )
 
 func (c *cli) readPreset(file string) (definer.Preset, error) {
@@ -49,26 +49,26 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	data, err := io.ReadAll(io.LimitReader(in, maxPresetFile+1))
+	data, err := io.ReadAll(io.LimitReader(in, maxPresetBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", file, err)
 	}
-	if len(data) > maxPresetFile {
-		return nil, fmt.Errorf("read %s: more than %d bytes", file, maxPresetFile)
+	if len(data) > maxPresetBytes {
+		return nil, fmt.Errorf("read %s: more than %d bytes", file, maxPresetBytes)
 	}
 	return data, nil
 }
 
-// asRead as --base takes the version that the log shows when the verb starts.
-const asRead = -1
+// currentBase as --base takes the version that the log shows when the verb starts.
+const currentBase = -1
 
 func bindBase(clause *kingpin.CmdClause) *int64 {
 	return clause.Flag("base", "Version that the change is made against; the default is the current one.").
-		PlaceHolder("VERSION").Default(fmt.Sprint(asRead)).Int64()
+		PlaceHolder("VERSION").Default(fmt.Sprint(currentBase)).Int64()
 }
 
-func baseOr(base int64, current identifier.Version) identifier.Version {
-	if base == asRead {
+func resolveBase(base int64, current identifier.Version) identifier.Version {
+	if base == currentBase {
 		return current
 	}
 	return identifier.Version(base)
--- a/internal/commander/preset_check.go
+++ b/internal/commander/preset_check.go
@@ -21,9 +21,9 @@
 	return err
 }
 
-func addPresetCheck(c *cli, all *kingpin.CmdClause) {
+func addPresetCheck(c *cli, group *kingpin.CmdClause) {
 	var file string
-	clause := c.add(all, "check", "Check a preset file whole, and change nothing.",
+	clause := c.add(group, "check", "Check a preset file whole, and change nothing.",
 		"jackdawtide preset check peak.toml",
 		func(context.Context) error {
 			p, err := c.readPreset(file)
--- a/internal/commander/preset_list.go
+++ b/internal/commander/preset_list.go
@@ -41,8 +41,8 @@
 	return writeTable(w, rows)
 }
 
-func addPresetList(c *cli, all *kingpin.CmdClause) {
-	clause := c.add(all, "list", "List the published presets.",
+func addPresetList(c *cli, group *kingpin.CmdClause) {
+	clause := c.add(group, "list", "List the published presets.",
 		"jackdawtide preset list --log http://10.9.0.1:7000", nil)
 	flags := bindLog(clause)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
--- a/internal/commander/preset_publish.go
+++ b/internal/commander/preset_publish.go
@@ -29,9 +29,9 @@
 	return err
 }
 
-func addPresetPublish(c *cli, all *kingpin.CmdClause) {
+func addPresetPublish(c *cli, group *kingpin.CmdClause) {
 	var file string
-	clause := c.add(all, "publish", "Publish a preset, new or changed.",
+	clause := c.add(group, "publish", "Publish a preset, new or changed.",
 		"jackdawtide preset publish --log http://10.9.0.1:7000 peak.toml", nil)
 	flags, base := bindChange(clause), bindBase(clause)
 	clause.Arg("file", "Preset file; - reads standard input.").Required().StringVar(&file)
@@ -41,7 +41,7 @@
 			return err
 		}
 		return c.withLog(ctx, flags, func(ctx context.Context, p *publisher.Publisher, v *publisher.View) error {
-			against := baseOr(*base, v.Base(publisher.PresetSubject(preset.Name)))
+			against := resolveBase(*base, v.Base(publisher.PresetSubject(preset.Name)))
 			version, err := p.Publish(ctx, v, preset, against)
 			if err != nil {
 				return err
--- a/internal/commander/preset_show.go
+++ b/internal/commander/preset_show.go
@@ -43,9 +43,9 @@
 	return fmt.Sprintf("preset %q was never published", string(e.Preset))
 }
 
-func addPresetShow(c *cli, all *kingpin.CmdClause) {
+func addPresetShow(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(all, "show", "Print a published preset as TOML, ready to be changed and published again.",
+	clause := c.add(group, "show", "Print a published preset as TOML, ready to be changed and published again.",
 		"jackdawtide preset show --log http://10.9.0.1:7000 peak > peak.toml", nil)
 	flags := bindLog(clause)
 	clause.Arg("preset", "Name of the preset; the default is the one in force.").StringVar(&name)
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -22,8 +22,8 @@
 	Newest  int64       `json:"newest"`
 	Lagging int         `json:"lagging"`
 	Nodes   []statusRow `json:"nodes"`
-	// Silent are the admin endpoints that gave no answer.
-	Silent []silentRow `json:"silent"`
+	// Unanswered are the admin endpoints that gave no answer.
+	Unanswered []unansweredRow `json:"silent"`
 }
 
 type statusRow struct {
@@ -31,7 +31,7 @@
 	Lags bool `json:"lags"`
 }
 
-type silentRow struct {
+type unansweredRow struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
@@ -40,13 +40,13 @@
 	rows := [][]string{{"NODE", "FAILURE DOMAIN", "PRESET", "VERSION", "NEWS", "STATE"}}
 	for _, n := range r.Nodes {
 		rows = append(rows, []string{
-			n.Node, n.FailureDomain, orDash(n.Preset), strconv.FormatInt(n.Version, 10), news(n.SilenceMs), n.state(),
+			n.Node, n.FailureDomain, orDash(n.Preset), strconv.FormatInt(n.Version, 10), formatSilence(n.SilenceMs), n.state(),
 		})
 	}
 	if err := writeTable(w, rows); err != nil {
 		return err
 	}
-	for _, s := range r.Silent {
+	for _, s := range r.Unanswered {
 		if _, err := fmt.Fprintf(w, "no answer from %s: %s\n", s.Address, s.Error); err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 	return "current"
 }
 
-func news(silenceMs int64) string {
+func formatSilence(silenceMs int64) string {
 	if silenceMs < 0 {
 		return "never"
 	}
@@ -75,16 +75,16 @@
 // LaggingError reports nodes on which the newest configuration is not yet in force.
 type LaggingError struct {
 	Lagging int
-	Silent  int
+	Unanswered  int
 }
 
 // Error gives the counts.
 func (e LaggingError) Error() string {
-	return fmt.Sprintf("%d nodes lag, %d endpoints gave no answer", e.Lagging, e.Silent)
+	return fmt.Sprintf("%d nodes lag, %d endpoints gave no answer", e.Lagging, e.Unanswered)
 }
 
-func addPresetStatus(c *cli, all *kingpin.CmdClause) {
-	clause := c.add(all, "status", "Show the preset in force on each node, and which nodes lag; exits with 1 if any does.",
+func addPresetStatus(c *cli, group *kingpin.CmdClause) {
+	clause := c.add(group, "status", "Show the preset in force on each node, and which nodes lag; exits with 1 if any does.",
 		"jackdawtide preset status --admin http://127.0.0.1:8082", nil)
 	flags := bindAdmin(clause)
 	addresses := clause.Flag("admin", "URL of a node's admin endpoint; may be repeated.").
@@ -97,8 +97,8 @@
 		if err := c.print(s); err != nil {
 			return err
 		}
-		if s.Lagging > 0 || len(s.Silent) > 0 {
-			return LaggingError{Lagging: s.Lagging, Silent: len(s.Silent)}
+		if s.Lagging > 0 || len(s.Unanswered) > 0 {
+			return LaggingError{Lagging: s.Lagging, Unanswered: len(s.Unanswered)}
 		}
 		return nil
 	}
@@ -107,9 +107,9 @@
 func (c *cli) collectStatus(ctx context.Context, addresses []string, f *adminFlags) (presetStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
-	best := map[string]inspector.NodeStatus{}
-	silent := []silentRow{}
-	var last error
+	newest := map[string]inspector.NodeStatus{}
+	unanswered := []unansweredRow{}
+	var lastErr error
 	for _, a := range addresses {
 		client, err := c.inspect(a, f)
 		if err != nil {
@@ -117,34 +117,34 @@
 		}
 		s, err := client.Status(ctx)
 		if err != nil {
-			silent = append(silent, silentRow{Address: a, Error: err.Error()})
-			last = err
+			unanswered = append(unanswered, unansweredRow{Address: a, Error: err.Error()})
+			lastErr = err
 			continue
 		}
 		for _, n := range append(s.Fleet, s.Self) {
-			merge(best, n)
+			keepNewest(newest, n)
 		}
 	}
-	if len(silent) == len(addresses) {
-		return presetStatus{}, last
+	if len(unanswered) == len(addresses) {
+		return presetStatus{}, lastErr
 	}
-	return judge(best, silent), nil
+	return newPresetStatus(newest, unanswered), nil
 }
 
-// merge keeps the newest that anyone tells of a node.
-func merge(best map[string]inspector.NodeStatus, n inspector.NodeStatus) {
-	known, ok := best[n.Node]
+// keepNewest keeps the newest that anyone tells of a node.
+func keepNewest(newest map[string]inspector.NodeStatus, n inspector.NodeStatus) {
+	known, ok := newest[n.Node]
 	if !ok || n.Version >= known.Version {
-		best[n.Node] = n
+		newest[n.Node] = n
 	}
 }
 
-func judge(best map[string]inspector.NodeStatus, silent []silentRow) presetStatus {
-	r := presetStatus{Nodes: []statusRow{}, Silent: silent}
-	for _, n := range best {
+func newPresetStatus(newest map[string]inspector.NodeStatus, unanswered []unansweredRow) presetStatus {
+	r := presetStatus{Nodes: []statusRow{}, Unanswered: unanswered}
+	for _, n := range newest {
 		r.Newest = max(r.Newest, n.Version)
 	}
-	for _, n := range best {
+	for _, n := range newest {
 		row := statusRow{NodeStatus: n, Lags: n.Version < r.Newest && !n.Leaving}
 		if row.Lags {
 			r.Lagging++
--- a/internal/commander/preset_switch.go
+++ b/internal/commander/preset_switch.go
@@ -25,9 +25,9 @@
 	return err
 }
 
-func addPresetSwitch(c *cli, all *kingpin.CmdClause) {
+func addPresetSwitch(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(all, "switch", "Put a published preset in force; running calls go on.",
+	clause := c.add(group, "switch", "Put a published preset in force; running calls go on.",
 		"jackdawtide preset switch --log http://10.9.0.1:7000 peak", nil)
 	flags, base := bindChange(clause), bindBase(clause)
 	clause.Arg("preset", "Name of the preset.").Required().StringVar(&name)
@@ -37,7 +37,7 @@
 				return UnknownPresetError{Preset: identifier.Preset(name)}
 			}
 			before := inForce(v)
-			against := baseOr(*base, v.Base(publisher.InForce))
+			against := resolveBase(*base, v.Base(publisher.InForce))
 			version, err := p.Switch(ctx, v, identifier.Preset(name), against)
 			if err != nil {
 				return err
--- a/internal/commander/run.go
+++ b/internal/commander/run.go
@@ -31,9 +31,9 @@
 	format Format
 }
 
-// ended is thrown where the library would end the process: it goes on otherwise, and would run the verb after
+// processExit is thrown where the library would end the process: it goes on otherwise, and would run the verb after
 // printing its help.
-type ended struct {
+type processExit struct {
 	code int
 }
 
@@ -59,7 +59,7 @@
 	c.app.UsageTemplate(usageTemplate)
 	c.app.UsageWriter(p.Out)
 	c.app.ErrorWriter(p.Err)
-	c.app.Terminate(func(code int) { panic(ended{code: code}) })
+	c.app.Terminate(func(code int) { panic(processExit{code: code}) })
 	c.app.Flag("format", "How to print: text or json.").
 		Default(string(Text)).
 		EnumVar((*string)(&c.format), string(Text), string(JSON))
@@ -83,7 +83,7 @@
 		if r == nil {
 			return
 		}
-		e, ok := r.(ended)
+		e, ok := r.(processExit)
 		if !ok {
 			panic(r)
 		}
--- a/internal/commander/session_test.go
+++ b/internal/commander/session_test.go
@@ -33,12 +33,12 @@
 	keeper *logkeeper.Keeper
 	random *rand.ChaCha8
 	now    time.Time
-	// replaced are the texts that differ from run to run, each with its stand-in.
-	replaced  []string
+	// replacements are the texts that differ from run to run, each with its stand-in.
+	replacements  []string
 	directory string
 	keys      []string
-	// seen is all output but the lines that show a new key.
-	seen bytes.Buffer
+	// output is all output but the lines that show a new key.
+	output bytes.Buffer
 }
 
 func newSession(t *testing.T) *session {
@@ -57,7 +57,7 @@
 		random:    newSeeded(7, 0),
 		now:       time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC),
 		directory: dir,
-		replaced:  []string{log.URL, "http://log", node.URL, "http://node", dir, "DIRECTORY", runtime.Version(), "GO"},
+		replacements:  []string{log.URL, "http://log", node.URL, "http://node", dir, "DIRECTORY", runtime.Version(), "GO"},
 	}
 }
 
@@ -85,8 +85,8 @@
 	return o.String(), e.String(), code
 }
 
-// happen carries out a "! " line.
-func (s *session) happen(t *testing.T, line string) {
+// applyEvent carries out a "! " line.
+func (s *session) applyEvent(t *testing.T, line string) {
 	t.Helper()
 	word, argument, _ := strings.Cut(line, " ")
 	switches := s.keeper.Switches()
@@ -132,11 +132,11 @@
 			out = strings.Replace(out, k, "", 1)
 		}
 	}
-	s.seen.WriteString(out + errOut)
+	s.output.WriteString(out + errOut)
 }
 
 func (s *session) normalise(text string) string {
-	text = strings.NewReplacer(s.replaced...).Replace(text)
+	text = strings.NewReplacer(s.replacements...).Replace(text)
 	for i, k := range s.keys {
 		text = strings.ReplaceAll(text, k, fmt.Sprintf("KEY%d", i+1))
 	}
@@ -151,7 +151,7 @@
 		switch kind {
 		case "%":
 		case "!":
-			s.happen(t, rest)
+			s.applyEvent(t, rest)
 		case "<":
 			in.WriteString(rest + "\n")
 		case "$":
@@ -190,10 +190,10 @@
 	b, err := s.keeper.Read(context.Background(), 0, 0, 0)
 	if err == nil {
 		for _, r := range b.Records {
-			s.seen.Write(r.Data)
+			s.output.Write(r.Data)
 		}
 	}
 	for _, k := range s.keys {
-		assert.Assert(t, !strings.Contains(s.seen.String(), strings.TrimPrefix(k, "jt_")), "a key was printed or stored")
+		assert.Assert(t, !strings.Contains(s.output.String(), strings.TrimPrefix(k, "jt_")), "a key was printed or stored")
 	}
 }
--- a/internal/commander/settings.go
+++ b/internal/commander/settings.go
@@ -59,8 +59,8 @@
 func addSettings(c *cli) {
 	var file string
 	var sidecar bool
-	all := c.app.Command("settings", "Check a node's settings.")
-	clause := c.add(all, "check", "Check a settings file whole, and name every fault in it.",
+	group := c.app.Command("settings", "Check a node's settings.")
+	clause := c.add(group, "check", "Check a settings file whole, and name every fault in it.",
 		"jackdawtide settings check /etc/jackdawtide/node.toml",
 		func(context.Context) error {
 			if sidecar {
--- a/internal/commander/team.go
+++ b/internal/commander/team.go
@@ -44,14 +44,14 @@
 }
 
 func (t teamRow) cells() []string {
-	return []string{number(t.Rate) + "/s", number(t.Burst), strconv.Itoa(t.Weight)}
+	return []string{formatNumber(t.Rate) + "/s", formatNumber(t.Burst), strconv.Itoa(t.Weight)}
 }
 
-func number(f float64) string {
+func formatNumber(f float64) string {
 	return strconv.FormatFloat(f, 'f', -1, 64)
 }
 
-func rowOf(p identifier.Preset, t definer.Team) teamRow {
+func newTeamRow(p identifier.Preset, t definer.Team) teamRow {
 	return teamRow{
 		Preset: string(p),
 		Rate:   float64(t.Rate) / float64(identifier.TokensPerCall),
@@ -61,14 +61,14 @@
 }
 
 func addTeam(c *cli) {
-	all := c.app.Command("team", "See what teams may send, and their keys.")
-	addTeamList(c, all)
-	addTeamShow(c, all)
+	group := c.app.Command("team", "See what teams may send, and their keys.")
+	addTeamList(c, group)
+	addTeamShow(c, group)
 }
 
-func addTeamList(c *cli, all *kingpin.CmdClause) {
+func addTeamList(c *cli, group *kingpin.CmdClause) {
 	var preset string
-	clause := c.add(all, "list", "List the teams of the preset in force, or of another one.",
+	clause := c.add(group, "list", "List the teams of the preset in force, or of another one.",
 		"jackdawtide team list --log http://10.9.0.1:7000", nil)
 	flags := bindLog(clause)
 	clause.Flag("preset", "Name of the preset; the default is the one in force.").PlaceHolder("NAME").StringVar(&preset)
@@ -98,7 +98,7 @@
 	for _, t := range p.Teams {
 		l.Teams = append(l.Teams, teamWithKey{
 			Team:      string(t.Name),
-			teamRow:   rowOf(p.Name, t),
+			teamRow:   newTeamRow(p.Name, t),
 			ValidKeys: valid[t.Name],
 		})
 	}
@@ -125,9 +125,9 @@
 	return keyList{Keys: r.Keys}.writeText(w)
 }
 
-func addTeamShow(c *cli, all *kingpin.CmdClause) {
+func addTeamShow(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(all, "show", "Show one team in all presets, and its keys.",
+	clause := c.add(group, "show", "Show one team in all presets, and its keys.",
 		"jackdawtide team show --log http://10.9.0.1:7000 harbourMasters", nil)
 	flags := bindLog(clause)
 	clause.Arg("team", "Name of the team.").Required().StringVar(&name)
@@ -147,7 +147,7 @@
 	for _, p := range v.Presets() {
 		for _, t := range p.Preset.Teams {
 			if t.Name == name {
-				s.Presets = append(s.Presets, rowOf(p.Preset.Name, t))
+				s.Presets = append(s.Presets, newTeamRow(p.Preset.Name, t))
 			}
 		}
 	}
