--- a/cmd/jackdawtide/deploy_test.go
+++ b/cmd/jackdawtide/deploy_test.go
@@ -16,17 +16,17 @@
 	"github.com/jackdawtide/jackdawtide/internal/presetter"
 )
 
-const deploy = "../../deploy/"
+const deployDirectory = "../../deploy/"
 
-// shape is what every preset of one deployment has in common.
-type shape struct {
+// deploymentShape is what every preset of one deployment has in common.
+type deploymentShape struct {
 	domains  []identifier.FailureDomain
 	services []identifier.Service
 	teams    int
 	urgent   string
 }
 
-var shapes = map[string]shape{
+var deploymentShapes = map[string]deploymentShape{
 	"concordia": {
 		domains:  []identifier.FailureDomain{"bratislava", "nitra", "trencin", "trnava"},
 		services: []identifier.Service{"orders", "portal", "prayerTimes", "uploads"},
@@ -41,8 +41,8 @@
 	},
 }
 
-func shapeOf(p definer.Preset) shape {
-	s := shape{teams: len(p.Teams)}
+func shapeOf(p definer.Preset) deploymentShape {
+	s := deploymentShape{teams: len(p.Teams)}
 	for _, d := range p.Domains {
 		s.domains = append(s.domains, d.Domain)
 	}
@@ -61,15 +61,15 @@
 
 // The examples are what an operator starts from. One that the program refuses, or that sheds ice bulletins before
 // slot searches, or a unit that kills the node while a manifest is under way, would be copied into service.
-func TestExamplesAreGood(t *testing.T) {
-	unit, err := os.ReadFile(deploy + "jackdawtide.service")
+func TestExamplesAreValid(t *testing.T) {
+	unit, err := os.ReadFile(deployDirectory + "jackdawtide.service")
 	assert.NilError(t, err)
 	found := regexp.MustCompile(`TimeoutStopSec=(\d+)min`).FindStringSubmatch(string(unit))
 	assert.Equal(t, len(found), 2)
 	stop, err := time.ParseDuration(found[1] + "m")
 	assert.NilError(t, err)
-	for name, want := range shapes {
-		presets, err := filepath.Glob(deploy + name + "/*.toml")
+	for name, want := range deploymentShapes {
+		presets, err := filepath.Glob(deployDirectory + name + "/*.toml")
 		assert.NilError(t, err)
 		assert.Equal(t, len(presets), 3)
 		for _, f := range presets {
@@ -84,7 +84,7 @@
 			assert.Equal(t, got.teams, want.teams)
 			assert.Equal(t, got.urgent, want.urgent)
 		}
-		nodes, err := filepath.Glob(deploy + name + "/nodes/*.toml")
+		nodes, err := filepath.Glob(deployDirectory + name + "/nodes/*.toml")
 		assert.NilError(t, err)
 		assert.Equal(t, len(nodes), 4)
 		for _, f := range nodes {
--- a/cmd/jackdawtide/links_test.go
+++ b/cmd/jackdawtide/links_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-var links = regexp.MustCompile(`\]\(([^):#]+)\)`)
+var markdownLinks = regexp.MustCompile(`\]\(([^):#]+)\)`)
 
 // A newcomer follows the first link of the README. A page that was moved or never written ends the visit there.
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinksPointToFiles(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/*.md")
 	assert.NilError(t, err)
 	deeper, err := filepath.Glob("../../docs/*/*.md")
@@ -22,7 +22,7 @@
 	for _, page := range append(append(pages, deeper...), "../../README.md") {
 		text, err := os.ReadFile(page)
 		assert.NilError(t, err)
-		for _, m := range links.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range markdownLinks.FindAllStringSubmatch(string(text), -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), strings.TrimSuffix(m[1], "/")))
 			assert.NilError(t, err, page)
 			checked++
--- a/cmd/jackdawtide/main_test.go
+++ b/cmd/jackdawtide/main_test.go
@@ -13,7 +13,7 @@
 
 // A verb changes and its page does not. An operator then types, in the middle of an incident, what the page says and
 // the program refuses.
-func TestPageOfVerbsIsCurrent(t *testing.T) {
+func TestCommandPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/cli.md")
 	assert.NilError(t, err)
 	var out bytes.Buffer
--- a/cmd/jackdawtide/process_test.go
+++ b/cmd/jackdawtide/process_test.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	processBound = 60 * time.Second
+	processTimeout = 60 * time.Second
 	uploadParts  = 30
-	uploadPart   = 64 << 10
+	uploadPartBytes   = 64 << 10
 )
 
 // program is the built program, and what its runs have in common.
@@ -104,8 +104,8 @@
 	return s.output.String()
 }
 
-// line waits for a line of the log and returns its fields.
-func (s *process) line(t *testing.T, message string) map[string]any {
+// waitForLine waits for a line of the log and returns its fields.
+func (s *process) waitForLine(t *testing.T, message string) map[string]any {
 	t.Helper()
 	var found map[string]any
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -126,8 +126,8 @@
 	assert.NilError(t, s.command.Process.Signal(syscall.SIGTERM))
 }
 
-// ended waits for a clean exit.
-func (s *process) ended(t *testing.T, bound time.Duration) {
+// waitForExit waits for a clean exit.
+func (s *process) waitForExit(t *testing.T, bound time.Duration) {
 	t.Helper()
 	select {
 	case err := <-s.done:
@@ -167,7 +167,7 @@
 	settings := fmt.Sprintf(nodeSettings, name, domain, p.logURL, p.directory)
 	assert.NilError(p.t, os.WriteFile(file, []byte(settings), 0o600))
 	n := runningNode{process: p.start("node", "--settings", file)}
-	l := n.line(p.t, "node started")
+	l := n.waitForLine(p.t, "node started")
 	n.caller = "http://" + fmt.Sprint(l["caller"])
 	n.local = "http://" + fmt.Sprint(l["local"])
 	n.admin = "http://" + fmt.Sprint(l["admin"])
@@ -178,7 +178,7 @@
 	p.t.Helper()
 	args := append([]string{"backend", "--node", n.local, "--service", service, "--service-time", "5ms"}, more...)
 	b := p.start(args...)
-	b.line(p.t, "backend server stand-in announced")
+	b.waitForLine(p.t, "backend server stand-in announced")
 	return b
 }
 
@@ -238,7 +238,7 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(100*time.Millisecond))
 }
 
-type answered struct {
+type uploadResult struct {
 	status int
 	text   string
 	err    error
@@ -251,10 +251,10 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), processBound)
+	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
 	p := build(ctx, t)
-	p.logURL = fmt.Sprint(p.start("log", "--listen", "127.0.0.1:0").line(t, "log stand-in")["url"])
+	p.logURL = fmt.Sprint(p.start("log", "--listen", "127.0.0.1:0").waitForLine(t, "log stand-in")["url"])
 	p.run("cert", "authority", "--directory", p.directory)
 	first := p.startNode("bookings-1", "abashiri")
 	second := p.startNode("slotBoard-1", "abashiri")
@@ -285,7 +285,7 @@
 	}
 	p.awaitCurrent(first, third)
 	ice.terminate(t)
-	ice.ended(t, 5*time.Second)
+	ice.waitForExit(t, 5*time.Second)
 	p.uploadThroughStops(first, third, key)
 	p.awaitStatus(second.caller+"/ice/bulletins", key, http.StatusOK, 5*time.Second)
 	for _, n := range []runningNode{first, second, third} {
@@ -316,18 +316,18 @@
 func (p *program) uploadThroughStops(delivery, entry runningNode, key string) {
 	p.t.Helper()
 	r, w := io.Pipe()
-	result := make(chan answered, 1)
+	result := make(chan uploadResult, 1)
 	go func() {
 		status, text, err := p.call(http.MethodPost, entry.caller+"/manifests/manifests", key, r)
-		result <- answered{status, text, err}
+		result <- uploadResult{status, text, err}
 	}()
-	part := make([]byte, uploadPart)
+	part := make([]byte, uploadPartBytes)
 	for i := range uploadParts {
 		if i == uploadParts/3 {
 			entry.terminate(p.t)
 			delivery.terminate(p.t)
-			entry.line(p.t, "node stopping")
-			delivery.line(p.t, "node stopping")
+			entry.waitForLine(p.t, "node stopping")
+			delivery.waitForLine(p.t, "node stopping")
 		}
 		_, err := w.Write(part)
 		assert.NilError(p.t, err)
@@ -337,8 +337,8 @@
 	a := <-result
 	assert.NilError(p.t, a.err)
 	assert.Equal(p.t, a.status, http.StatusOK, a.text)
-	want := fmt.Sprintf("manifests POST /manifests got %d bytes", uploadParts*uploadPart)
+	want := fmt.Sprintf("manifests POST /manifests got %d bytes", uploadParts*uploadPartBytes)
 	assert.Assert(p.t, strings.HasPrefix(a.text, want), a.text)
-	entry.ended(p.t, 10*time.Second)
-	delivery.ended(p.t, 10*time.Second)
+	entry.waitForExit(p.t, 10*time.Second)
+	delivery.waitForExit(p.t, 10*time.Second)
 }
