--- a/internal/commander/adminflags.go
+++ b/internal/commander/adminflags.go
@@ -1,6 +1,6 @@
 package commander
 
-// A node's admin endpoint listens on loopback, or asks for an operator's certificate; the same flags serve both.
+// A node's admin endpoint listens on loopback or requires an operator's certificate; the same flags serve both cases.
 //
 // Example: --admin https://10.1.0.5:8082 --authority ca.pem --certificate eva.pem --key eva.key
 
@@ -22,11 +22,11 @@
 
 func bindAdmin(clause *kingpin.CmdClause) *adminFlags {
 	f := &adminFlags{}
-	clause.Flag("authority", "Certificate of the CA, for an endpoint with mutual TLS.").
+	clause.Flag("authority", "Certificate of the CA, for an admin endpoint with mutual TLS.").
 		PlaceHolder("FILE").StringVar(&f.files.Authority)
-	clause.Flag("certificate", "Own certificate, with --authority.").
+	clause.Flag("certificate", "The operator's certificate; requires --authority and --key.").
 		PlaceHolder("FILE").StringVar(&f.files.Certificate)
-	clause.Flag("key", "Own private key, with --authority.").
+	clause.Flag("key", "The operator's private key; requires --authority and --certificate.").
 		PlaceHolder("FILE").StringVar(&f.files.Key)
 	clause.Flag("timeout", "How long to wait for an answer.").
 		Default(defaultTimeout).DurationVar(&f.timeout)
@@ -61,7 +61,7 @@
 		return c.HTTP, nil
 	}
 	if given < 3 {
-		return nil, errors.New("--authority, --certificate and --key go together")
+		return nil, errors.New("--authority, --certificate and --key must be given together")
 	}
 	trust, err := certifier.Load(f.files)
 	if err != nil {
--- a/internal/commander/cert.go
+++ b/internal/commander/cert.go
@@ -14,16 +14,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/certifier"
 )
 
-// `cert` never overwrites a file: a CA written over is a fleet whose nodes refuse each other from the next restart
-// on, and nothing would tell why.
+// `cert` never overwrites a file: with an overwritten CA, the nodes of a fleet would refuse each other's certificates
+// from their next restart on, without a visible cause.
 
 const (
-	authorityName    = "authority"
-	certificateSuffix  = ".pem"
-	keySuffix          = ".key"
-	secretFileMode   = 0o600
-	directoryMode    = 0o700
-	defaultValidity  = "2160h"
+	authorityName            = "authority"
+	certificateSuffix        = ".pem"
+	keySuffix                = ".key"
+	secretFileMode           = 0o600
+	directoryMode            = 0o700
+	defaultValidity          = "2160h"
 	defaultAuthorityValidity = "87600h"
 )
 
@@ -46,23 +46,23 @@
 
 func bindCert(clause *kingpin.CmdClause, valid string) *certFlags {
 	f := &certFlags{}
-	clause.Flag("directory", "Directory of the files; it is made if it is missing.").
+	clause.Flag("directory", "Directory of the files; it is created if missing.").
 		Default(".").StringVar(&f.directory)
 	clause.Flag("valid", "How long the certificate is valid.").Default(valid).DurationVar(&f.valid)
 	return f
 }
 
 func addCert(c *cli) {
-	group := c.app.Command("cert", "Make a CA and the certificates of nodes and operators.")
+	group := c.app.Command("cert", "Create a CA and the certificates of nodes and operators.")
 	addCertAuthority(c, group)
-	addCertIssue(c, group, certifier.Node, "Make the certificate of a node, signed by the CA in the same directory.",
+	addCertIssue(c, group, certifier.Node, "Create the certificate of a node, signed by the CA in the same directory.",
 		"jackdawtide cert node --directory certs portal-1")
-	addCertIssue(c, group, certifier.Operator, "Make the certificate of an operator, signed by the CA in the same directory.",
+	addCertIssue(c, group, certifier.Operator, "Create the certificate of an operator, signed by the CA in the same directory.",
 		"jackdawtide cert operator --directory certs eva")
 }
 
 func addCertAuthority(c *cli, group *kingpin.CmdClause) {
-	clause := c.add(group, authorityName, "Make a CA, meant for tests; keep its key off the VMs.",
+	clause := c.add(group, authorityName, "Create a CA for tests; do not store its key on the VMs.",
 		"jackdawtide cert authority --directory certs", nil)
 	flags := bindCert(clause, defaultAuthorityValidity)
 	c.runs[clause.FullCommand()] = func(context.Context) error {
@@ -81,7 +81,7 @@
 	clause.Arg("name", "Name in the certificate.").Required().StringVar(&name)
 	c.runs[clause.FullCommand()] = func(context.Context) error {
 		if name == authorityName || filepath.Base(name) != name {
-			return UsageError{Cause: fmt.Errorf("name %q: want a plain name other than %q", name, authorityName)}
+			return UsageError{Cause: fmt.Errorf("name %q: want a file name without a path, other than %q", name, authorityName)}
 		}
 		a, err := readAuthority(flags.directory)
 		if err != nil {
--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -23,8 +23,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/logkeeper"
 )
 
-// Operators switch at the same moment, each from their own desk, and the log loses some of their answers. If two were
-// told that theirs is in force, or none, they would act on a preset that no node runs.
+// Eight operators switch the preset concurrently, and the log drops some of its answers. If two of them, or none, were
+// told that their switch succeeded, they would act on a preset that is not in force.
 func TestConcurrentSwitchesHaveOneWinner(t *testing.T) {
 	const operators = 8
 	for round := range 5 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// The stand-in of the log is a process of its own; it must say where it listens, and stop on request even while a
-// reader waits for news.
+// The stand-in for the log runs as a separate process: it must print its address, and stop on request even while a read
+// waits for records.
 func TestLogVerb(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -91,7 +91,7 @@
 	case code := <-done:
 		assert.Equal(t, code, Done)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the log did not stop")
+		t.Fatal("the log did not stop within 10 s")
 	}
 }
 
@@ -129,8 +129,8 @@
 	}
 }
 
-// The log takes a new key and goes down before its answer. Shown now, the key might never become valid, and a team
-// would be given a key that is refused; so nothing is shown, and the operator is told which hash to look for.
+// The log goes down after it was sent a new key and before it answers. A key printed now might never become valid, and a
+// team would get a key that is refused. So no key is printed, and the error names the hash to look for.
 func TestKeyWithUnknownOutcomeIsNotShown(t *testing.T) {
 	s := newSession(t)
 	for _, line := range []string{"preset publish testdata/ordinary.toml", "preset switch ordinary"} {
@@ -164,8 +164,8 @@
 	assert.Assert(t, len(hash) == 64 && strings.Contains(out, hash), f.Error)
 }
 
-// An admin endpoint that listens beyond loopback lets in operators' certificates only. Were a node's taken as well,
-// whoever holds one VM could read the state of all.
+// An admin endpoint beyond loopback must accept only operators' certificates. If it accepted a node's certificate, an
+// attacker who controls one VM could read the state of all nodes.
 func TestAdminByMutualTLS(t *testing.T) {
 	s := newSession(t)
 	s.now = time.Now()
--- a/internal/commander/completion.go
+++ b/internal/commander/completion.go
@@ -6,8 +6,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// `completion` prints the library's scripts; at each press of the key they ask this program what may follow, so
-// they need no renewal when verbs change.
+// `completion` prints the library's shell scripts. On each completion they run this program for the candidates, so they
+// stay valid when verbs change.
 
 const (
 	bash = "bash"
--- a/internal/commander/doc.go
+++ b/internal/commander/doc.go
@@ -1,2 +1,2 @@
-// Package commander is the command line: one verb per file, each with an example and documented exit codes.
+// Package commander implements the command line: one verb per file, each with an example and documented exit codes.
 package commander
--- a/internal/commander/documentation.go
+++ b/internal/commander/documentation.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The operators' page of verbs is printed from the verbs themselves, and a test compares the two, so the page can't
-// tell of a flag that is gone.
+// The operators' page of verbs is generated from the verbs, and a test compares the two, so that the page can't
+// document a flag that no longer exists.
 
 type documentation struct {
 	model *kingpin.ApplicationModel
--- a/internal/commander/dump.go
+++ b/internal/commander/dump.go
@@ -8,7 +8,8 @@
 	"io"
 )
 
-// `dump` prints what the node tells and adds nothing, so that a dump taken in an incident is the node's own word.
+// `dump` prints the node's answer unchanged but for indentation, so that a dump taken in an incident shows exactly what
+// the node reported.
 
 type document struct {
 	json.RawMessage
@@ -29,7 +30,7 @@
 	clause := c.add(c.app, "dump", "Print the state of a node as JSON.",
 		"jackdawtide dump --admin http://127.0.0.1:8082", nil)
 	address, flags := bindAdminAddress(clause), bindAdmin(clause)
-	clause.Flag("metrics", "Print the metrics in place of the state.").BoolVar(&metrics)
+	clause.Flag("metrics", "Print the metrics instead of the state.").BoolVar(&metrics)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
 		client, err := c.inspect(*address, flags)
 		if err != nil {
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// `explain` turns the node's answer into a line per fact, in the order in which the node tells them. It knows none
-// of the facts by name, so that a newer node's explanation is printed whole.
+// `explain` prints each field of the node's JSON answer on a line of its own, in the order of the answer. It knows no
+// field by name, so that the explanation of a newer node is printed in full.
 
 type explanation struct {
 	json.RawMessage
@@ -23,7 +23,7 @@
 	return writeFacts(w, d, "")
 }
 
-// writeFacts writes the next value of the decoder, each plain value within it on a line of its own.
+// writeFacts writes the next JSON value of the decoder, with each scalar in it on a line of its own.
 func writeFacts(w io.Writer, d *json.Decoder, path string) error {
 	token, err := d.Token()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// explanations are those of several nodes: each node a call passes through decides for itself, and knows only that.
+// explanations are those of several nodes: each node that a call passes through knows only its own decisions.
 type explanations []nodeExplanation
 
 type nodeExplanation struct {
@@ -77,20 +77,20 @@
 	return nil
 }
 
-// errNoSource tells that neither a node nor a log was named.
+// errNoSource reports that the command line names neither a node nor a log file.
 var errNoSource = errors.New("required flag --admin or --log not provided")
 
 func addExplain(c *cli) {
 	var request string
-	clause := c.add(c.app, "explain", "Tell why a request was answered as it was: who decided, by which rule and version.",
+	clause := c.add(c.app, "explain", "Explain why a request got its answer: which node decided, by which rule and version.",
 		"jackdawtide explain --admin http://127.0.0.1:8082 01990c2e-5b1e-7c3a-9f00-2d1f6a7be001\n"+
 			"jackdawtide explain --log node-1.log --log node-2.log 9c41d07be2a35f68", nil)
 	flags := bindAdmin(clause)
-	addresses := clause.Flag("admin", "URL of a node's admin endpoint; may be repeated, to follow nested calls.").
+	addresses := clause.Flag("admin", "URL of a node's admin endpoint; may be repeated to follow nested calls.").
 		Envar(adminVariable).PlaceHolder("URL").Strings()
-	logs := clause.Flag("log", "File with the collected logs of nodes, - for standard input; may be repeated.").
+	logs := clause.Flag("log", "File with collected logs of nodes, - for standard input; may be repeated.").
 		PlaceHolder("FILE").Strings()
-	clause.Arg("request", "The requestId of the answer.").Required().StringVar(&request)
+	clause.Arg("request", "The requestId of the request's answer.").Required().StringVar(&request)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
 		if len(*logs) > 0 {
 			return c.explainLogs(*logs, request)
@@ -109,7 +109,7 @@
 	}
 }
 
-// collectExplanations asks every node, and fails only if none of them knows the request.
+// collectExplanations requests the explanation from every node, and fails only if none of them returns one.
 func (c *cli) collectExplanations(ctx context.Context, addresses []string, f *adminFlags, request string) (explanations, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
--- a/internal/commander/explain_log.go
+++ b/internal/commander/explain_log.go
@@ -8,10 +8,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/tracer"
 )
 
-// `explain --log` does what an engineer would do with grep over the logs of many nodes: the request's own lines, the nested
-// calls that failed while it ran, the load of the nodes that took part, and what befell them at that time.
+// `explain --log` replaces a manual search through the logs of many nodes: it prints the request's own lines, the nested
+// calls that failed while it ran, and the load and events of the nodes that took part.
 
-// tracedRequest is a trace as it is printed.
+// tracedRequest is the printed form of a trace.
 type tracedRequest struct {
 	Request string       `json:"request"`
 	Cause   string       `json:"cause"`
--- a/internal/commander/failure.go
+++ b/internal/commander/failure.go
@@ -1,7 +1,7 @@
 package commander
 
-// A script decides by the exit code, an operator by the words, a tool by the JSON on standard error: all three are
-// made from the type of the error, in one place.
+// Scripts act on the exit code, operators on the message, and tools on the JSON on standard error. This file derives all
+// three from the type of the error.
 //
 // Example: a Conflict prints "refused: …" and exits with 1; an outage of the log exits with 3.
 
@@ -17,7 +17,7 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// kind names a failure for tools.
+// kind classifies a failure for tools.
 type kind string
 
 const (
@@ -93,7 +93,7 @@
 func (c *cli) printError(err error) {
 	f := failureOf(err)
 	if c.format == JSON {
-		// Standard error is the last place to tell; if it fails too, the exit code still tells.
+		// If standard error can't be written either, the exit code still reports the failure.
 		_ = writeJSON(c.Err, f)
 		return
 	}
@@ -105,7 +105,7 @@
 	case kindConflict:
 		return fmt.Sprintf("refused: %s\n", f.Error)
 	case kindFaults:
-		return fmt.Sprintf("%s: the file is faulty, nothing of it was taken:\n%s\n", program, f.Error)
+		return fmt.Sprintf("%s: the file is invalid and was not applied:\n%s\n", program, f.Error)
 	case kindUsage:
 		return fmt.Sprintf("%s: %s\ntry: %s --help\n", program, f.Error, program)
 	case kindInput, kindInDoubt, kindUnreachable, kindFailed:
--- a/internal/commander/key.go
+++ b/internal/commander/key.go
@@ -1,7 +1,7 @@
 package commander
 
-// The verbs of keys name a key by its hash, of which the beginning is enough. A key itself is never an argument:
-// arguments stand in the shell's history and in every list of processes.
+// The verbs of keys identify a key by its hash or a unique prefix of it. A key itself is never an argument: arguments
+// are visible in the shell's history and in process lists.
 
 import (
 	"io"
@@ -32,7 +32,7 @@
 	Keys []keyRow `json:"keys"`
 }
 
-// shownHashLength is how much of a hash a table shows; it names one key among millions.
+// shownHashLength is the number of hash characters that a table shows; enough to identify one key among millions.
 const shownHashLength = 16
 
 func (r keyList) writeText(w io.Writer) error {
@@ -46,7 +46,7 @@
 	return writeTable(w, rows)
 }
 
-// listKeys lists the keys of a team, or of all teams where none is named.
+// listKeys lists the keys of a team, or of all teams if team is empty.
 func listKeys(v *publisher.View, team identifier.Team) keyList {
 	l := keyList{Keys: []keyRow{}}
 	for _, k := range v.Keys() {
--- a/internal/commander/key_issue.go
+++ b/internal/commander/key_issue.go
@@ -11,11 +11,11 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `key issue` shows the key only once the log has accepted it. If the outcome stays unknown, nobody has the key, and
-// its hash, which the error names, can be withdrawn if it turns up in the list.
+// `key issue` prints the key only after the log has accepted it. If the outcome stays unknown, the key is not printed,
+// so no caller can hold it; the error contains its hash, which can be withdrawn if `key list` shows it.
 
 type issuedKey struct {
-	// Key is here and nowhere else: this is the one time that it is shown.
+	// Key is the key itself; it is printed once and stored nowhere.
 	Key     string `json:"key"`
 	Hash    string `json:"hash"`
 	Team    string `json:"team"`
@@ -31,11 +31,11 @@
 
 func addKeyIssue(c *cli, group *kingpin.CmdClause) {
 	var team, label string
-	clause := c.add(group, "issue", "Make a key for a team, and show it once.",
+	clause := c.add(group, "issue", "Create a key for a team and print it once.",
 		"jackdawtide key issue --log http://10.9.0.1:7000 --label 'port office' harbourMasters", nil)
 	flags := bindChange(clause)
-	clause.Flag("label", "Note that is listed with the key.").PlaceHolder("TEXT").StringVar(&label)
-	clause.Arg("team", "Name of the team; some published preset must define it.").Required().StringVar(&team)
+	clause.Flag("label", "Note that `key list` shows with the key.").PlaceHolder("TEXT").StringVar(&label)
+	clause.Arg("team", "Name of the team; at least one published preset must define it.").Required().StringVar(&team)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
 		return c.withLog(ctx, flags, func(ctx context.Context, p *publisher.Publisher, v *publisher.View) error {
 			k, err := p.Issue(ctx, v, identifier.Team(team), label)
--- a/internal/commander/key_list.go
+++ b/internal/commander/key_list.go
@@ -9,7 +9,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `key list` keeps withdrawn keys in the list, so that "was it ever ours?" has an answer.
+// `key list` also lists withdrawn keys, so that an operator can check whether a key was ever issued.
 
 func addKeyList(c *cli, group *kingpin.CmdClause) {
 	var team string
--- a/internal/commander/key_withdraw.go
+++ b/internal/commander/key_withdraw.go
@@ -13,8 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `key withdraw` works for good: no record can make the key valid again. Whoever finds a leaked key has the key and
-// not its hash, so it may come on standard input.
+// `key withdraw` is permanent: no record can make the key valid again. An operator who finds a leaked key has the key
+// and not its hash, so the key can be passed on standard input.
 
 type withdrawnKey struct {
 	Hash    string `json:"hash"`
@@ -29,10 +29,10 @@
 
 func addKeyWithdraw(c *cli, group *kingpin.CmdClause) {
 	var hash string
-	clause := c.add(group, "withdraw", "Withdraw a key for good; it stops working within seconds.",
+	clause := c.add(group, "withdraw", "Withdraw a key permanently; nodes refuse it within seconds.",
 		"jackdawtide key withdraw --log http://10.9.0.1:7000 3f1a9c0b", nil)
 	flags := bindChange(clause)
-	clause.Arg("hash", "Hash of the key, or its beginning; - reads the key itself from standard input.").
+	clause.Arg("hash", "Hash of the key or a prefix of it; - reads the key itself from standard input.").
 		Required().StringVar(&hash)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
 		wanted, err := c.wantedHash(hash)
@@ -57,12 +57,12 @@
 	}
 }
 
-// wantedHash returns the hash that was given, or that of the key on standard input. A key given in place of its
-// hash is refused without being repeated, as it would land in the logs of whatever ran the command.
+// wantedHash returns the hash that was given, or that of the key on standard input. A key given instead of its hash is
+// refused, and the error does not contain it, since the tool that ran the command may log the error.
 func (c *cli) wantedHash(argument string) (string, error) {
 	if argument != standardInput {
 		if publisher.LooksLikeKey(argument) {
-			return "", errors.New("this is a key, not its hash: withdraw it by \"key withdraw -\" and standard input")
+			return "", errors.New("got a key, want its hash: to withdraw by key, run \"key withdraw -\" and pass the key on standard input")
 		}
 		return argument, nil
 	}
--- a/internal/commander/log.go
+++ b/internal/commander/log.go
@@ -1,7 +1,7 @@
 package commander
 
-// `log` runs the stand-in of the platform's log, so that the real programs can be tried as separate processes. It
-// says in its help and in its first line of output that it is for tests, lest someone trusts it with their keys.
+// `log` runs a stand-in for the platform's log, so that the real programs can be tested as separate processes. Its help
+// and its first line of output say that it is for tests, so that no one relies on it to store keys.
 
 import (
 	"context"
@@ -17,13 +17,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/logkeeper"
 )
 
-// Bounds of the stand-in's listener.
+// Limits of the stand-in's HTTP server.
 const (
-	logMaxHeaderBytes      = 16 << 10
-	logHeaderTimeout  = 5 * time.Second
-	logIdleTimeout    = 2 * time.Minute
-	logShutdownTimeout  = 2 * time.Second
-	defaultLogAddress = "127.0.0.1:7000"
+	logMaxHeaderBytes  = 16 << 10
+	logHeaderTimeout   = 5 * time.Second
+	logIdleTimeout     = 2 * time.Minute
+	logShutdownTimeout = 2 * time.Second
+	defaultLogAddress  = "127.0.0.1:7000"
 )
 
 type logOptions struct {
@@ -38,17 +38,17 @@
 func addLog(c *cli) {
 	o := &logOptions{}
 	clause := c.add(c.app, "log",
-		"Run a stand-in of the platform's log, for tests only: it keeps records in memory and loses them when it stops.",
+		"Run a stand-in for the platform's log, for tests only: it keeps records in memory and loses them when it stops.",
 		"jackdawtide log --listen 127.0.0.1:7000",
 		func(ctx context.Context) error { return c.runLog(ctx, o) })
-	clause.Flag("listen", "Address to listen on; port 0 takes any free port.").
+	clause.Flag("listen", "Address to listen on; port 0 selects any free port.").
 		Default(defaultLogAddress).StringVar(&o.listen)
-	clause.Flag("outage", "Start with every request refused.").BoolVar(&o.outage)
-	clause.Flag("delay", "Time before each answer.").Default("0s").DurationVar(&o.delay)
-	clause.Flag("lost-answers", "How many of the first appends lose their answer; -1 for all.").
+	clause.Flag("outage", "Refuse every request from the start.").BoolVar(&o.outage)
+	clause.Flag("delay", "Delay before each answer.").Default("0s").DurationVar(&o.delay)
+	clause.Flag("lost-answers", "Number of first appends that take effect but whose answers are dropped; -1 for all.").
 		Default("0").IntVar(&o.lostAnswers)
-	clause.Flag("keep-count", "How many records to keep; 0 for all.").Default("0").IntVar(&o.keepCount)
-	clause.Flag("keep-age", "How long to keep a record; 0s for ever.").Default("0s").DurationVar(&o.keepAge)
+	clause.Flag("keep-count", "Number of records to keep; 0 for all.").Default("0").IntVar(&o.keepCount)
+	clause.Flag("keep-age", "How long to keep a record; 0s for no limit.").Default("0s").DurationVar(&o.keepAge)
 }
 
 func (c *cli) runLog(ctx context.Context, o *logOptions) error {
@@ -75,8 +75,8 @@
 	return serveUntilDone(ctx, s, l)
 }
 
-// serveUntilDone serves until ctx ends, and then lets running requests finish; waiting reads would take up to a
-// minute, so they are cut after a short while.
+// serveUntilDone serves until ctx ends and then waits for running requests to finish. Reads that wait for records can
+// take up to a minute, so remaining connections are closed after logShutdownTimeout.
 func serveUntilDone(ctx context.Context, s *http.Server, l net.Listener) error {
 	stopped := make(chan error, 1)
 	go func() {
--- a/internal/commander/logflags.go
+++ b/internal/commander/logflags.go
@@ -1,7 +1,7 @@
 package commander
 
-// The operators' verbs act on the platform's log itself, so they work while every node is down, and need no node's
-// leave. This file is what they have in common: where the log is, who changes, and how long to try.
+// The operators' verbs read and append to the platform's log directly, so they work while every node is down. This file
+// holds their common flags: the log's URL, the operator's name and the timeout.
 //
 // Example: --log http://10.9.0.1:7000 --operator eva --timeout 30s
 
@@ -17,7 +17,7 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that set the defaults of flags.
 const (
 	logVariable      = "JACKDAWTIDE_LOG"
 	operatorVariable = "JACKDAWTIDE_OPERATOR"
@@ -27,7 +27,7 @@
 const (
 	defaultTimeout = "30s"
 	retryPause     = 200 * clock.Millisecond
-	// attemptsPerTimeout leaves time for reading back after a request to a log that hangs.
+	// attemptsPerTimeout divides the timeout, so that time remains to read the log back after an unanswered request.
 	attemptsPerTimeout = 3
 )
 
@@ -44,23 +44,23 @@
 		PlaceHolder("URL").
 		Required().
 		StringVar(&f.url)
-	clause.Flag("timeout", "How long to try while the log gives no answer.").
+	clause.Flag("timeout", "How long to retry while the log does not answer.").
 		Default(defaultTimeout).
 		DurationVar(&f.timeout)
 	return f
 }
 
-// bindChange adds the flags of verbs that change something.
+// bindChange adds the flags of verbs that append a change to the log.
 func bindChange(clause *kingpin.CmdClause) *logFlags {
 	f := bindLog(clause)
-	clause.Flag("operator", "Name that stands in the change; the default is the user's.").
+	clause.Flag("operator", "Operator name that is recorded in the change; the default is the user's name.").
 		Envar(operatorVariable).
 		PlaceHolder("NAME").
 		StringVar(&f.operator)
 	return f
 }
 
-// withLog reads the log and hands the view of it to run.
+// withLog reads the log and calls run with the resulting view.
 func (c *cli) withLog(
 	ctx context.Context,
 	f *logFlags,
@@ -71,7 +71,7 @@
 		return UsageError{Cause: err}
 	}
 	if f.timeout <= 0 {
-		return UsageError{Cause: fmt.Errorf("--timeout %s: want more than none", f.timeout)}
+		return UsageError{Cause: fmt.Errorf("--timeout %s: want a positive duration", f.timeout)}
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
--- a/internal/commander/measure.go
+++ b/internal/commander/measure.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// `measure` has one verb for each figure that the docs give, so that every figure can be had again by one command.
+// `measure` has one verb for each measurement that the docs cite, so that one command reproduces its figures.
 
 func addMeasure(c *cli) {
 	if len(c.hooks.Measures) == 0 {
 		return
 	}
-	group := c.app.Command("measure", "Measure one matter on this machine, with stand-ins.")
+	group := c.app.Command("measure", "Run one measurement on this machine, with stand-ins.")
 	for _, m := range c.hooks.Measures {
 		clause := c.add(group, m.Name, m.Help, m.Example, func(ctx context.Context) error {
 			return m.Run(ctx, c.Process, c.format)
--- a/internal/commander/node.go
+++ b/internal/commander/node.go
@@ -1,7 +1,7 @@
 package commander
 
-// `node` checks the settings whole before anything listens, so that a faulty file stops the process at once
-// instead of leaving half a node on the VM.
+// `node` validates all settings before it listens on any address, so that an invalid file ends the process at once
+// instead of leaving a partly started node on the VM.
 
 import (
 	"context"
--- a/internal/commander/output.go
+++ b/internal/commander/output.go
@@ -1,7 +1,7 @@
 package commander
 
-// Each verb finds a result and prints it in the format asked for, to one place; so no verb can print more in one
-// format than in the other.
+// Each verb returns one result value, and this file prints it as text or JSON, so that both formats come from the same
+// data.
 //
 // Example: c.print(keyList{…}) writes a table, or {"keys":[…]}.
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// result is what a verb found; its exported fields are its JSON form.
+// result is the result of a verb; its exported fields are its JSON form.
 type result interface {
 	writeText(w io.Writer) error
 }
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// writeTable writes rows in columns; the first row is the head.
+// writeTable writes rows as aligned columns; the first row is the table head.
 func writeTable(w io.Writer, rows [][]string) error {
 	const padding = 2
 	t := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
--- a/internal/commander/preset.go
+++ b/internal/commander/preset.go
@@ -1,7 +1,7 @@
 package commander
 
-// The verbs of presets, and what they share: reading a preset from a file or standard input, and naming the version
-// that a change is made against.
+// The group of preset verbs and their common parts: reading a preset from a file or standard input, and the --base flag
+// with the version that a change is made against.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 )
 
 func addPreset(c *cli) {
-	group := c.app.Command("preset", "Publish presets, put one in force, and see which is.")
+	group := c.app.Command("preset", "Publish presets, put one in force, and show which one is in force.")
 	addPresetCheck(c, group)
 	addPresetPublish(c, group)
 	addPresetSwitch(c, group)
@@ -27,7 +27,7 @@
 
 const (
 	standardInput = "<standard input>"
-	// maxPresetBytes bounds what is read: the log takes no larger record.
+	// maxPresetBytes limits a preset file: the log accepts no larger record.
 	maxPresetBytes = 1 << 20
 )
 
@@ -59,7 +59,7 @@
 	return data, nil
 }
 
-// currentBase as --base takes the version that the log shows when the verb starts.
+// currentBase as the value of --base stands for the version that the log holds when the verb starts.
 const currentBase = -1
 
 func bindBase(clause *kingpin.CmdClause) *int64 {
--- a/internal/commander/preset_check.go
+++ b/internal/commander/preset_check.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// `preset check` needs no log, so that a preset can be checked where it is kept, before anyone publishes it.
+// `preset check` needs no log, so that a preset can be checked in its repository before it is published.
 
 type checkedPreset struct {
 	Preset   string `json:"preset"`
@@ -23,7 +23,7 @@
 
 func addPresetCheck(c *cli, group *kingpin.CmdClause) {
 	var file string
-	clause := c.add(group, "check", "Check a preset file whole, and change nothing.",
+	clause := c.add(group, "check", "Check a preset file and report every fault in it, without publishing it.",
 		"jackdawtide preset check peak.toml",
 		func(context.Context) error {
 			p, err := c.readPreset(file)
--- a/internal/commander/preset_list.go
+++ b/internal/commander/preset_list.go
@@ -10,7 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `preset list` also shows the version of the pointer to the preset in force, which --base of a switch names.
+// `preset list` also shows the version of the switch that put the preset in force, to which --base of `preset switch`
+// refers.
 
 type presetList struct {
 	Version        int64       `json:"version"`
--- a/internal/commander/preset_publish.go
+++ b/internal/commander/preset_publish.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `preset publish` changes what a preset says; if that preset is in force, the change is in force everywhere within
-// seconds, so its output says so.
+// `preset publish` changes the content of a preset. If that preset is in force, the change takes effect on all nodes
+// within seconds, so the output says whether it is in force.
 
 type publishedPreset struct {
 	Preset  string `json:"preset"`
@@ -31,7 +31,7 @@
 
 func addPresetPublish(c *cli, group *kingpin.CmdClause) {
 	var file string
-	clause := c.add(group, "publish", "Publish a preset, new or changed.",
+	clause := c.add(group, "publish", "Publish a new or changed preset.",
 		"jackdawtide preset publish --log http://10.9.0.1:7000 peak.toml", nil)
 	flags, base := bindChange(clause), bindBase(clause)
 	clause.Arg("file", "Preset file; - reads standard input.").Required().StringVar(&file)
--- a/internal/commander/preset_show.go
+++ b/internal/commander/preset_show.go
@@ -12,7 +12,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `preset show` prints the form that `preset publish` takes, so that a change is: show, edit, publish.
+// `preset show` prints the format that `preset publish` reads, so that a change is: show, edit, publish.
 
 type shownPreset struct {
 	Preset  string `json:"preset"`
@@ -45,7 +45,7 @@
 
 func addPresetShow(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(group, "show", "Print a published preset as TOML, ready to be changed and published again.",
+	clause := c.add(group, "show", "Print a published preset as TOML, to be edited and published again.",
 		"jackdawtide preset show --log http://10.9.0.1:7000 peak > peak.toml", nil)
 	flags := bindLog(clause)
 	clause.Arg("preset", "Name of the preset; the default is the one in force.").StringVar(&name)
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -14,15 +14,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/inspector"
 )
 
-// `preset status` answers whether a change is in force everywhere. One node knows of the others what it last
-// heard, so one address is enough; several addresses show more where failure domains are cut off from each other.
+// `preset status` shows whether a change is in force on all nodes. Each node holds the last status that it received from
+// the others, so one admin address is enough; several addresses show more during a partition between failure domains.
 
 type presetStatus struct {
-	// Newest is the highest version that any node has; the nodes below it lag.
+	// Newest is the highest version that any node has in force; nodes with a lower version lag.
 	Newest  int64       `json:"newest"`
 	Lagging int         `json:"lagging"`
 	Nodes   []statusRow `json:"nodes"`
-	// Unanswered are the admin endpoints that gave no answer.
+	// Unanswered are the admin endpoints that did not answer.
 	Unanswered []unansweredRow `json:"silent"`
 }
 
@@ -74,8 +74,8 @@
 
 // LaggingError reports nodes on which the newest configuration is not yet in force.
 type LaggingError struct {
-	Lagging int
-	Unanswered  int
+	Lagging    int
+	Unanswered int
 }
 
 // Error gives the counts.
@@ -84,7 +84,7 @@
 }
 
 func addPresetStatus(c *cli, group *kingpin.CmdClause) {
-	clause := c.add(group, "status", "Show the preset in force on each node, and which nodes lag; exits with 1 if any does.",
+	clause := c.add(group, "status", "Show the preset in force on each node and which nodes lag; exits with 1 if any node lags or does not answer.",
 		"jackdawtide preset status --admin http://127.0.0.1:8082", nil)
 	flags := bindAdmin(clause)
 	addresses := clause.Flag("admin", "URL of a node's admin endpoint; may be repeated.").
@@ -131,7 +131,7 @@
 	return newPresetStatus(newest, unanswered), nil
 }
 
-// keepNewest keeps the newest that anyone tells of a node.
+// keepNewest keeps the status with the highest version that any endpoint reported for a node.
 func keepNewest(newest map[string]inspector.NodeStatus, n inspector.NodeStatus) {
 	known, ok := newest[n.Node]
 	if !ok || n.Version >= known.Version {
--- a/internal/commander/preset_switch.go
+++ b/internal/commander/preset_switch.go
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// `preset switch` names what was in force before, which is what an operator wants to know when they must go back.
+// `preset switch` prints the preset that was in force before, which an operator needs to switch back.
 
 type switchedPreset struct {
 	Preset  string `json:"preset"`
@@ -27,7 +27,7 @@
 
 func addPresetSwitch(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(group, "switch", "Put a published preset in force; running calls go on.",
+	clause := c.add(group, "switch", "Put a published preset in force; running calls continue.",
 		"jackdawtide preset switch --log http://10.9.0.1:7000 peak", nil)
 	flags, base := bindChange(clause), bindBase(clause)
 	clause.Arg("preset", "Name of the preset.").Required().StringVar(&name)
--- a/internal/commander/run.go
+++ b/internal/commander/run.go
@@ -1,7 +1,7 @@
 package commander
 
-// The library parses, and ends the process where it prints help; here that end is only noted, since in a test
-// there is no process to end. Verbs are run after parsing, by their full name.
+// The kingpin library exits the process after it prints help. Tests run several command lines in one process, so here
+// the exit is turned into a panic and recovered as an exit code. Verbs run after parsing, looked up by their full name.
 //
 // Example: "preset switch peak" → runs["preset switch"].
 
@@ -18,7 +18,7 @@
 
 type runner func(ctx context.Context) error
 
-// parent is what verbs can be added to.
+// parent is the application or a group to which verbs can be added.
 type parent interface {
 	Command(name, help string) *kingpin.CmdClause
 }
@@ -31,13 +31,13 @@
 	format Format
 }
 
-// processExit is thrown where the library would end the process: it goes on otherwise, and would run the verb after
-// printing its help.
+// processExit is the panic value that replaces the library's exit of the process. If the exit function returned, the
+// library would continue and run the verb after printing its help.
 type processExit struct {
 	code int
 }
 
-// Run runs one command line and returns the exit code.
+// Run executes one command line and returns its exit code.
 func Run(ctx context.Context, p Process, h Hooks) Code {
 	c := newCLI(p, h)
 	name, code, err := c.parse()
@@ -60,7 +60,7 @@
 	c.app.UsageWriter(p.Out)
 	c.app.ErrorWriter(p.Err)
 	c.app.Terminate(func(code int) { panic(processExit{code: code}) })
-	c.app.Flag("format", "How to print: text or json.").
+	c.app.Flag("format", "Output format: text or json.").
 		Default(string(Text)).
 		EnumVar((*string)(&c.format), string(Text), string(JSON))
 	for _, add := range verbs {
@@ -69,7 +69,7 @@
 	return c
 }
 
-// verbs adds the verbs in the order in which the help lists them.
+// verbs holds the functions that add the verbs, in the order of the help.
 var verbs = []func(*cli){
 	addNode, addSidecar, addLog, addBackend, addDemo, addMeasure,
 	addPreset, addTeam, addKey,
@@ -98,7 +98,7 @@
 	return name, nil, nil
 }
 
-// guessFormat looks for the format in a command line that can't be parsed: a tool that asked for JSON must get its
+// guessFormat looks for the format in a command line that can't be parsed: a tool that requested JSON must get the
 // failure as JSON too.
 func (c *cli) guessFormat() {
 	line := strings.Join(c.Args, " ")
@@ -107,15 +107,16 @@
 	}
 }
 
-// add adds a verb; the example is shown at the end of its help.
+// add registers a verb; its example is printed at the end of its help.
 func (c *cli) add(p parent, name, help, example string, run runner) *kingpin.CmdClause {
 	clause := p.Command(name, help).HelpLong(example)
 	c.runs[clause.FullCommand()] = run
 	return clause
 }
 
-// nameStandardInput puts a name in place of "-". The library takes a lone dash for an empty text, which is also what a
-// script passes whose variable is not set; that script would then wait on its terminal for ever.
+// nameStandardInput replaces "-" by a placeholder name. The library parses a lone dash as an empty string, which a
+// script with an unset variable also passes; if an empty string meant standard input, that script would block
+// on its terminal.
 func nameStandardInput(args []string) []string {
 	named := slices.Clone(args)
 	for i, a := range named {
@@ -126,7 +127,7 @@
 	return named
 }
 
-// UsageError reports a command line that can't be used.
+// UsageError reports an invalid command line.
 type UsageError struct {
 	Cause error
 }
@@ -141,7 +142,7 @@
 	return e.Cause
 }
 
-// InputError reports a file or an input that can't be used.
+// InputError reports a file or standard input that can't be read or is invalid.
 type InputError struct {
 	Cause error
 }
@@ -156,7 +157,7 @@
 	return e.Cause
 }
 
-// asError finds an error of a type in a chain.
+// asError returns the first error of type E in the chain of err.
 func asError[E error](err error) (E, bool) {
 	var e E
 	ok := errors.As(err, &e)
--- a/internal/commander/session_test.go
+++ b/internal/commander/session_test.go
@@ -1,8 +1,8 @@
 package commander
 
-// A session file holds what an operator types and what they see. Lines that begin with "$ " are commands, with "< "
-// their standard input, with "! " what happens to the log meanwhile, with "% " remarks; all others are output. The
-// test runs the commands against the log's stand-in and a small fake of a node, and compares the whole.
+// A session file holds an operator's commands and their output. Lines that begin with "$ " are commands, with "< " the
+// next command's standard input, with "! " events of the log, and with "% " remarks; all other lines are output. The
+// test runs the commands against a stand-in for the log and a fake node, and compares the whole output.
 
 import (
 	"bytes"
@@ -33,11 +33,11 @@
 	keeper *logkeeper.Keeper
 	random *rand.ChaCha8
 	now    time.Time
-	// replacements are the texts that differ from run to run, each with its stand-in.
-	replacements  []string
-	directory string
-	keys      []string
-	// output is all output but the lines that show a new key.
+	// replacements are pairs of a text that differs between runs and its placeholder.
+	replacements []string
+	directory    string
+	keys         []string
+	// output is all output except new keys that `key issue` printed.
 	output bytes.Buffer
 }
 
@@ -53,11 +53,11 @@
 	t.Setenv("COLUMNS", "80")
 	dir := t.TempDir()
 	return &session{
-		keeper:    k,
-		random:    newSeeded(7, 0),
-		now:       time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC),
-		directory: dir,
-		replacements:  []string{log.URL, "http://log", node.URL, "http://node", dir, "DIRECTORY", runtime.Version(), "GO"},
+		keeper:       k,
+		random:       newSeeded(7, 0),
+		now:          time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC),
+		directory:    dir,
+		replacements: []string{log.URL, "http://log", node.URL, "http://node", dir, "DIRECTORY", runtime.Version(), "GO"},
 	}
 }
 
@@ -65,7 +65,7 @@
 	return rand.NewChaCha8([32]byte{byte(a), byte(b)})
 }
 
-// serveFakeNode answers as a node's admin endpoint does.
+// serveFakeNode answers like a node's admin endpoint, with files of testdata/node.
 func serveFakeNode(w http.ResponseWriter, r *http.Request) {
 	answer, err := os.ReadFile(filepath.Join("testdata", "node", strings.ReplaceAll(r.URL.Path[1:], "/", "-")+".json"))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return o.String(), e.String(), code
 }
 
-// applyEvent carries out a "! " line.
+// applyEvent applies the event of a "! " line to the log.
 func (s *session) applyEvent(t *testing.T, line string) {
 	t.Helper()
 	word, argument, _ := strings.Cut(line, " ")
@@ -124,7 +124,7 @@
 	return s.normalise(text)
 }
 
-// collect keeps new keys apart from all other output.
+// collect records the keys that `key issue` printed and adds all other output to s.output.
 func (s *session) collect(line, out, errOut string) {
 	if strings.HasPrefix(line, "key issue") {
 		for _, k := range keyPattern.FindAllString(out, -1) {
@@ -166,8 +166,8 @@
 	return transcript.String()
 }
 
-// Operators work through an ordinary day and a bad one: races, lost answers, an outage, a forgetful log, faulty
-// files, a leaked key. What they see must tell them what is in force, and no output but one may hold a key.
+// The sessions cover ordinary work, concurrent changes, lost answers, an outage, a log that has dropped records, invalid
+// files and a leaked key. The output must show what is in force, and only the output of `key issue` may contain a key.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.session")
 	assert.NilError(t, err)
@@ -184,7 +184,7 @@
 	}
 }
 
-// checkNoKey searches everything that was printed, and every record on the log, for each key.
+// checkNoKey fails the test if the collected output or a record of the log contains an issued key.
 func (s *session) checkNoKey(t *testing.T) {
 	t.Helper()
 	b, err := s.keeper.Read(context.Background(), 0, 0, 0)
--- a/internal/commander/settings.go
+++ b/internal/commander/settings.go
@@ -8,8 +8,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/loader"
 )
 
-// `settings check` runs the same check as `node`, or as `sidecar` with --sidecar, so that a file, or what a platform makes of
-// a template, can be tried before it is rolled out.
+// `settings check` runs the same check as `node`, or as `sidecar` with --sidecar, so that a settings file, or the file
+// that a platform generates from a template, can be checked before it is rolled out.
 
 type checkedSettings struct {
 	Node          string `json:"node"`
@@ -18,7 +18,7 @@
 	Local         string `json:"local"`
 	Peer          string `json:"peer"`
 	Admin         string `json:"admin"`
-	// AdminTLS tells that operators must show a certificate at the admin endpoint.
+	// AdminTLS reports whether the admin endpoint requires an operator's certificate.
 	AdminTLS bool   `json:"adminTls"`
 	Log      string `json:"log"`
 }
@@ -43,7 +43,7 @@
 	Store         string `json:"store"`
 	MemoryMB      int    `json:"memoryMb"`
 	Descriptors   int    `json:"descriptors"`
-	// RevokeMs and GraceMs are the bounds that are in force, defaults included.
+	// RevokeMs and GraceMs are the effective bounds, defaults included.
 	RevokeMs int64 `json:"revokeMs"`
 	GraceMs  int64 `json:"graceMs"`
 }
@@ -60,7 +60,7 @@
 	var file string
 	var sidecar bool
 	group := c.app.Command("settings", "Check a node's settings.")
-	clause := c.add(group, "check", "Check a settings file whole, and name every fault in it.",
+	clause := c.add(group, "check", "Check a settings file and report every fault in it.",
 		"jackdawtide settings check /etc/jackdawtide/node.toml",
 		func(context.Context) error {
 			if sidecar {
@@ -77,7 +77,7 @@
 			return c.print(checkedOf(s))
 		})
 	clause.Arg("file", "Settings file.").Required().StringVar(&file)
-	clause.Flag("sidecar", "The file is for the sidecar verb.").BoolVar(&sidecar)
+	clause.Flag("sidecar", "Check the file as settings of the sidecar verb.").BoolVar(&sidecar)
 }
 
 func checkedSidecarOf(s loader.Sidecar) checkedSidecar {
--- a/internal/commander/sidecar.go
+++ b/internal/commander/sidecar.go
@@ -1,7 +1,7 @@
 package commander
 
-// `sidecar` runs the node beside an endpoint on a platform that keeps the store; `node` runs one of a fleet of its
-// own.
+// `sidecar` runs the node beside an endpoint on a platform that provides the store; `node` runs a node of a fleet that
+// uses the platform's log.
 
 import (
 	"context"
--- a/internal/commander/team.go
+++ b/internal/commander/team.go
@@ -13,12 +13,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/publisher"
 )
 
-// A team is no record of its own: presets say what it may send, and keys let its callers in. The verbs of teams put
-// the two together, since the question of an operator is always both.
+// A team has no record of its own in the log: presets set its rate, burst and weight, and keys authenticate its callers.
+// The verbs of teams show both, since operators need them together.
 
 type teamRow struct {
 	Preset string `json:"preset"`
-	// Rate is in calls a second and Burst in calls, summed over all VMs.
+	// Rate is in calls per second and Burst in calls; both are totals over all VMs.
 	Rate   float64 `json:"rate"`
 	Burst  float64 `json:"burst"`
 	Weight int     `json:"weight"`
@@ -61,7 +61,7 @@
 }
 
 func addTeam(c *cli) {
-	group := c.app.Command("team", "See what teams may send, and their keys.")
+	group := c.app.Command("team", "Show the rates and keys of teams.")
 	addTeamList(c, group)
 	addTeamShow(c, group)
 }
@@ -127,7 +127,7 @@
 
 func addTeamShow(c *cli, group *kingpin.CmdClause) {
 	var name string
-	clause := c.add(group, "show", "Show one team in all presets, and its keys.",
+	clause := c.add(group, "show", "Show one team in all presets and its keys.",
 		"jackdawtide team show --log http://10.9.0.1:7000 harbourMasters", nil)
 	flags := bindLog(clause)
 	clause.Arg("team", "Name of the team.").Required().StringVar(&name)
--- a/internal/commander/usage.go
+++ b/internal/commander/usage.go
@@ -1,15 +1,15 @@
 package commander
 
-// The library's own help ends with the flags. Here each verb's help ends with an example, which is what a reader in
-// a hurry copies, and the program's with the exit codes, which scripts rely on.
+// The library's default help ends with the flags. Here each verb's help also has an example to copy and the exit codes,
+// which scripts depend on.
 
-const rootHelp = `An overload control layer for service call graphs: the node, its stand-ins for tests, and the operators' verbs.`
+const rootHelp = `An overload control layer for service call graphs: the node, stand-ins for tests, and the operators' verbs.`
 
 const exitCodes = `Exit codes:
   0  done
-  1  refused, or failed for good
-  2  faulty command line or file; nothing was tried
-  3  the log or a node gave no answer; the outcome may be unknown
+  1  the change was refused, or the verb failed
+  2  invalid command line or file; nothing was changed
+  3  the log or a node did not answer; the outcome may be unknown
 `
 
 const usageTemplate = `{{define "Arguments" -}}
--- a/internal/commander/version.go
+++ b/internal/commander/version.go
@@ -8,7 +8,7 @@
 	"runtime/debug"
 )
 
-// Version is the release that this source belongs to; the revision is added by the build.
+// Version is the release of this source; the build adds the revision.
 const Version = "0.1.0"
 
 type buildVersion struct {
