--- a/cmd/jackdawtide/deploy_test.go
+++ b/cmd/jackdawtide/deploy_test.go
@@ -18,7 +18,7 @@
 
 const deployDirectory = "../../deploy/"
 
-// deploymentShape is what every preset of one deployment has in common.
+// deploymentShape holds the properties that all presets of one deployment must share.
 type deploymentShape struct {
 	domains  []identifier.FailureDomain
 	services []identifier.Service
@@ -59,8 +59,9 @@
 	return s
 }
 
-// The examples are what an operator starts from. One that the program refuses, or that sheds ice bulletins before
-// slot searches, or a unit that kills the node while a manifest is under way, would be copied into service.
+// Operators copy the example presets, node settings and systemd unit into production. The test guards against an example
+// that the program refuses, a preset that sheds urgent ice bulletins before slot searches, and a unit whose stop timeout
+// is shorter than a node's drain timeout, so that a manifest upload is killed half way.
 func TestExamplesAreValid(t *testing.T) {
 	unit, err := os.ReadFile(deployDirectory + "jackdawtide.service")
 	assert.NilError(t, err)
--- a/cmd/jackdawtide/doc.go
+++ b/cmd/jackdawtide/doc.go
@@ -1,2 +1,2 @@
-// Command jackdawtide is the node, its stand-ins and the operators' command line.
+// Command jackdawtide runs the node, stand-ins for tests, and the operators' command line.
 package main
--- a/cmd/jackdawtide/hooks.go
+++ b/cmd/jackdawtide/hooks.go
@@ -1,4 +1,4 @@
-// The verbs whose work lies in other packages than the commander's are put together here.
+// Connects the commander's hooks to the packages that implement the verbs.
 
 package main
 
--- a/cmd/jackdawtide/links_test.go
+++ b/cmd/jackdawtide/links_test.go
@@ -12,7 +12,7 @@
 
 var markdownLinks = regexp.MustCompile(`\]\(([^):#]+)\)`)
 
-// A newcomer follows the first link of the README. A page that was moved or never written ends the visit there.
+// Relative links in the README and the docs must point to existing files; a moved or missing page breaks them.
 func TestLinksPointToFiles(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/*.md")
 	assert.NilError(t, err)
--- a/cmd/jackdawtide/main.go
+++ b/cmd/jackdawtide/main.go
@@ -1,5 +1,5 @@
-// The program only gathers what its verbs may use of the process; all else lies in the packages, where tests can
-// reach it.
+// The program only collects what its verbs may use of the process; everything else is in packages, where it can be
+// tested.
 //
 // Example: go run ./cmd/jackdawtide --help
 
@@ -23,7 +23,7 @@
 	os.Exit(int(run()))
 }
 
-// run exists because os.Exit would skip the deferred call.
+// run is separate from main because os.Exit would skip the deferred call.
 func run() commander.Code {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/jackdawtide/main_test.go
+++ b/cmd/jackdawtide/main_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/commander"
 )
 
-// A verb changes and its page does not. An operator then types, in the middle of an incident, what the page says and
-// the program refuses.
+// The generated page of verbs must match the verbs. An outdated page would show operators commands that the program
+// refuses, possibly during an incident.
 func TestCommandPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/cli.md")
 	assert.NilError(t, err)
--- a/cmd/jackdawtide/process_test.go
+++ b/cmd/jackdawtide/process_test.go
@@ -1,5 +1,5 @@
-// The real program as separate processes: what a test within one process cannot see, such as signals, exit codes,
-// flags and settings files, is seen here.
+// Runs the real program as separate processes, to test what a test within one process can't: signals, exit codes, flags
+// and settings files.
 
 package main
 
@@ -25,12 +25,12 @@
 )
 
 const (
-	processTimeout = 60 * time.Second
-	uploadParts  = 30
-	uploadPartBytes   = 64 << 10
+	processTimeout  = 60 * time.Second
+	uploadParts     = 30
+	uploadPartBytes = 64 << 10
 )
 
-// program is the built program, and what its runs have in common.
+// program is the built program and the context that its runs share.
 type program struct {
 	t         *testing.T
 	ctx       context.Context
@@ -39,7 +39,7 @@
 	logURL    string
 }
 
-// process is one running process; its lines of output are JSON.
+// process is one running process; it writes JSON lines.
 type process struct {
 	command *exec.Cmd
 	done    chan error
@@ -57,7 +57,7 @@
 	return p
 }
 
-// run runs a verb to its end.
+// run runs a verb and waits until it exits.
 func (p *program) run(args ...string) string {
 	p.t.Helper()
 	c := exec.CommandContext(p.ctx, p.file, args...)
@@ -104,7 +104,7 @@
 	return s.output.String()
 }
 
-// waitForLine waits for a line of the log and returns its fields.
+// waitForLine waits for a log line whose message has the given prefix and returns its fields.
 func (s *process) waitForLine(t *testing.T, message string) map[string]any {
 	t.Helper()
 	var found map[string]any
@@ -126,7 +126,7 @@
 	assert.NilError(t, s.command.Process.Signal(syscall.SIGTERM))
 }
 
-// waitForExit waits for a clean exit.
+// waitForExit waits until the process exits, and fails the test on an error.
 func (s *process) waitForExit(t *testing.T, bound time.Duration) {
 	t.Helper()
 	select {
@@ -204,7 +204,7 @@
 	return resp.StatusCode, string(text), err
 }
 
-// awaitStatus calls until the status comes, and fails the test if it does not come within the bound.
+// awaitStatus repeats a call until it returns the wanted status, and fails the test if it does not within the bound.
 func (p *program) awaitStatus(url, key string, want int, bound time.Duration) string {
 	p.t.Helper()
 	var text string
@@ -222,7 +222,7 @@
 	return text
 }
 
-// awaitCurrent waits until every node tells that it has the newest version; the verb exits with 1 while one lags.
+// awaitCurrent waits until all nodes report the newest version; `preset status` exits with 1 while a node lags.
 func (p *program) awaitCurrent(nodes ...runningNode) {
 	p.t.Helper()
 	args := []string{"preset", "status"}
@@ -244,9 +244,9 @@
 	err    error
 }
 
-// An operator replaces two VMs while a captain's manifest is on its way through both: the one that it entered by and
-// the one in front of its backend server. Cut short, the upload would be lost or, sent again, be there twice. The
-// same run sees a leaked key withdrawn, and a backend server leave.
+// An operator stops two nodes while a manifest upload passes through both: its entry node and the node of its backend
+// server. If the stop interrupted the upload, it would be lost or, after a retry, stored twice. The same run also tests
+// the withdrawal of a leaked key and the stop of a backend server.
 func TestProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -295,7 +295,8 @@
 	}
 }
 
-// checkExplained asks all nodes about one request: each service of its chain was decided on by the node that it left by.
+// checkExplained requests the explanation of one request from all nodes: for each service of its call chain exactly one
+// node, the one that sent the call, must report the decision.
 func (p *program) checkExplained(key string, nodes ...runningNode) {
 	p.t.Helper()
 	status, text, err := p.call(http.MethodGet, nodes[0].caller+"/bookings/mine", key, http.NoBody)
--- a/cmd/jackdawtide/sidecar.go
+++ b/cmd/jackdawtide/sidecar.go
@@ -1,6 +1,7 @@
 package main
 
-// The node beside an endpoint gets the platform's words from package platform; nothing else in the product knows them.
+// Package platform holds the platform's names and formats. Only the program passes them to the node beside an endpoint;
+// no package under internal/ imports platform.
 
 import (
 	"context"
@@ -15,7 +16,7 @@
 )
 
 func runSidecar(ctx context.Context, p commander.Process, o commander.SidecarOptions) error {
-	// The signal's default action ends the process; here it only says that the settings file has changed.
+	// SIGHUP ends the process by default; here it requests a reload of the settings file.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
--- a/cmd/soak/doc.go
+++ b/cmd/soak/doc.go
@@ -1,2 +1,2 @@
-// Package main is the fault soak; its verbs are flags.
+// Package main is the fault soak test; it has flags and no verbs.
 package main
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// The soak plays random faults on real processes of the product and judges what callers and backend servers saw. It is a
-// program of its own, so that the product carries none of it.
+// The soak test injects random faults into real processes of the product and checks what callers and backend servers
+// observed. It is a separate program, so that the product does not contain its code.
 //
 // Example: go run ./cmd/soak --program target/jackdawtide --seed 1 --seeds 50 --length 30s
 package main
@@ -18,13 +18,13 @@
 )
 
 func main() {
-	app := kingpin.New("soak", "Play random faults on real processes and judge what callers and backend servers saw.")
-	program := app.Flag("program", "The built program.").Required().ExistingFile()
-	directory := app.Flag("directory", "Where settings and logs go; one folder a seed.").Default("soak-out").String()
+	app := kingpin.New("soak", "Inject random faults into real processes and check what callers and backend servers observed.")
+	program := app.Flag("program", "Path of the built program.").Required().ExistingFile()
+	directory := app.Flag("directory", "Directory for settings and logs; one folder per seed.").Default("soak-out").String()
 	seed := app.Flag("seed", "The first seed.").Default("1").Uint64()
-	seeds := app.Flag("seeds", "How many seeds to play, one after the other.").Default("1").Uint64()
-	length := app.Flag("length", "How long faults come in each.").Default("20s").Duration()
-	nodes := app.Flag("nodes", "How many nodes run.").Default("6").Int()
+	seeds := app.Flag("seeds", "Number of seeds to run, one after the other.").Default("1").Uint64()
+	length := app.Flag("length", "How long faults are injected for each seed.").Default("20s").Duration()
+	nodes := app.Flag("nodes", "Number of nodes.").Default("6").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/deploy/examples.go
+++ b/deploy/examples.go
@@ -1,4 +1,4 @@
-// The demo must run from a clean clone and from a lone binary alike, so the examples travel inside it.
+// The demo must run from a clean clone and from a copied binary alike, so the examples are embedded in the binary.
 //
 // Example: deploy.Preset("kitakaze", "peak") returns the bytes of deploy/kitakaze/peak.toml.
 
--- a/internal/tracer/tracer.go
+++ b/internal/tracer/tracer.go
@@ -3,8 +3,8 @@
 // The search follows the steps of an engineer: from the request's last line to the node that decided, from a failed
 // attempt to the nested calls that failed while it ran, and from each node to its load and its events at that time.
 //
-// Example: Find(lines, "9c41") has the cause "endpoint i-7 beside b answered 500; while it ran, nested calls at that node
-// failed, the one before its end was refused: ...".
+// Example: Find(lines, "9c41") has the cause "endpoint i-7 beside b answered 500; while it ran, nested calls at that
+// node failed, the one before its end was refused: ...".
 
 import (
 	"fmt"
--- a/internal/tracer/tracer_test.go
+++ b/internal/tracer/tracer_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Collected logs hold lines of other programs, truncated lines and bytes that are not text; none of them may make Read or
-// Find fail or panic.
+// Collected logs hold lines of other programs, truncated lines and bytes that are not text; none of them may make Read
+// panic or Find fail.
 func FuzzRead(f *testing.F) {
 	f.Add(`10.2 node-b {"msg":"load","node":"b","running":3}`)
 	f.Add("{")
