--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -28,7 +28,7 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken := 0
+	breaches := 0
 	for s := *seed; s < *seed+*seeds && ctx.Err() == nil; s++ {
 		folder := filepath.Join(*directory, fmt.Sprint("seed-", s))
 		if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -36,10 +36,10 @@
 		}
 		report, err := soaker.Run(ctx, soaker.Options{Program: *program, Directory: folder, Seed: s, Length: *length, Nodes: *nodes})
 		app.FatalIfError(err, "seed %d", s)
-		broken += len(report.Breaches)
+		breaches += len(report.Breaches)
 		report.Print(os.Stdout)
 	}
-	if broken > 0 {
+	if breaches > 0 {
 		os.Exit(1)
 	}
 }
--- a/internal/commander/adminflags.go
+++ b/internal/commander/adminflags.go
@@ -38,7 +38,7 @@
 		Envar(adminVariable).PlaceHolder("URL").Required().String()
 }
 
-func (c *cli) inspect(address string, f *adminFlags) (*inspector.Client, error) {
+func (c *cli) adminClient(address string, f *adminFlags) (*inspector.Client, error) {
 	h, err := c.adminHTTP(f)
 	if err != nil {
 		return nil, UsageError{Cause: err}
--- a/internal/commander/dump.go
+++ b/internal/commander/dump.go
@@ -32,7 +32,7 @@
 	address, flags := bindAdminAddress(clause), bindAdmin(clause)
 	clause.Flag("metrics", "Print the metrics instead of the state.").BoolVar(&metrics)
 	c.runs[clause.FullCommand()] = func(ctx context.Context) error {
-		client, err := c.inspect(*address, flags)
+		client, err := c.adminClient(*address, flags)
 		if err != nil {
 			return err
 		}
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -116,7 +116,7 @@
 	var found explanations
 	var lastErr error
 	for _, a := range addresses {
-		client, err := c.inspect(a, f)
+		client, err := c.adminClient(a, f)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -111,7 +111,7 @@
 	unanswered := []unansweredRow{}
 	var lastErr error
 	for _, a := range addresses {
-		client, err := c.inspect(a, f)
+		client, err := c.adminClient(a, f)
 		if err != nil {
 			return presetStatus{}, err
 		}
--- a/internal/commander/settings.go
+++ b/internal/commander/settings.go
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			return c.print(checkedOf(s))
+			return c.print(checkedSettingsOf(s))
 		})
 	clause.Arg("file", "Settings file.").Required().StringVar(&file)
 	clause.Flag("sidecar", "Check the file as settings of the sidecar verb.").BoolVar(&sidecar)
@@ -96,7 +96,7 @@
 	}
 }
 
-func checkedOf(s loader.Settings) checkedSettings {
+func checkedSettingsOf(s loader.Settings) checkedSettings {
 	return checkedSettings{
 		Node:          string(s.Name),
 		FailureDomain: string(s.Domain),
--- a/internal/commander/team.go
+++ b/internal/commander/team.go
@@ -26,10 +26,10 @@
 
 type teamList struct {
 	Preset string        `json:"preset"`
-	Teams  []teamWithKey `json:"teams"`
+	Teams  []teamListRow `json:"teams"`
 }
 
-type teamWithKey struct {
+type teamListRow struct {
 	Team string `json:"team"`
 	teamRow
 	ValidKeys int `json:"validKeys"`
@@ -51,7 +51,7 @@
 	return strconv.FormatFloat(f, 'f', -1, 64)
 }
 
-func newTeamRow(p identifier.Preset, t definer.Team) teamRow {
+func teamRowOf(p identifier.Preset, t definer.Team) teamRow {
 	return teamRow{
 		Preset: string(p),
 		Rate:   float64(t.Rate) / float64(identifier.TokensPerCall),
@@ -94,11 +94,11 @@
 			valid[k.Key.Team]++
 		}
 	}
-	l := teamList{Preset: string(p.Name), Teams: []teamWithKey{}}
+	l := teamList{Preset: string(p.Name), Teams: []teamListRow{}}
 	for _, t := range p.Teams {
-		l.Teams = append(l.Teams, teamWithKey{
+		l.Teams = append(l.Teams, teamListRow{
 			Team:      string(t.Name),
-			teamRow:   newTeamRow(p.Name, t),
+			teamRow:   teamRowOf(p.Name, t),
 			ValidKeys: valid[t.Name],
 		})
 	}
@@ -147,7 +147,7 @@
 	for _, p := range v.Presets() {
 		for _, t := range p.Preset.Teams {
 			if t.Name == name {
-				s.Presets = append(s.Presets, newTeamRow(p.Preset.Name, t))
+				s.Presets = append(s.Presets, teamRowOf(p.Preset.Name, t))
 			}
 		}
 	}
