--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -141,7 +141,7 @@
 		ClientTLS: o.Trust.Client(nil),
 		Self:      id,
 		Domain:    o.Settings.Domain,
-		Cut:       o.Cut,
+		Partitioned:       o.Cut,
 	}, in)
 	// The node's address is part of its state, and with port 0 it is only known once the socket is open.
 	if err := t.Start(context.Background()); err != nil {
--- a/internal/forwarder/local.go
+++ b/internal/forwarder/local.go
@@ -31,7 +31,7 @@
 	return a.body.Close()
 }
 
-func (a *localAnswer) Tail() (transporter.AnswerTail, bool) { return a.writer.tailOnce() }
+func (a *localAnswer) Tail() (transporter.AnswerTail, bool) { return a.writer.tailIfClosed() }
 
 type localWriter struct {
 	pipe *io.PipeWriter
@@ -59,13 +59,13 @@
 	return w.pipe.Close()
 }
 
-func (w *localWriter) tailOnce() (transporter.AnswerTail, bool) {
+func (w *localWriter) tailIfClosed() (transporter.AnswerTail, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tail, w.closed
 }
 
-func (w *localWriter) finish() {
+func (w *localWriter) abortUnlessClosed() {
 	// This has no effect after Close.
 	_ = w.pipe.CloseWithError(io.ErrUnexpectedEOF)
 	close(w.head)
@@ -76,7 +76,7 @@
 	r, w := io.Pipe()
 	lw := &localWriter{pipe: w, head: make(chan transporter.AnswerHead, 1)}
 	go func() {
-		defer lw.finish()
+		defer lw.abortUnlessClosed()
 		f.local.ServeCall(ctx, f.self, head, body, lw)
 	}()
 	h, ok := <-lw.head
--- a/internal/transporter/call.go
+++ b/internal/transporter/call.go
@@ -70,7 +70,7 @@
 	if err := appendFrame(b, "call head", callToWire(head), t.options.MaxHead); err != nil {
 		return NotSent, err
 	}
-	whole, err := appendSmallBody(b, head, body)
+	bodyIncluded, err := appendSmallBody(b, head, body)
 	if err != nil {
 		return NotSent, err
 	}
@@ -78,7 +78,7 @@
 		return NotSent, err
 	}
 	c.stopWatch = context.AfterFunc(c.ctx, c.abort)
-	if whole {
+	if bodyIncluded {
 		c.uploaded.Store(true)
 		return Sent, nil
 	}
@@ -123,7 +123,7 @@
 			return err
 		}
 		c.link = l
-		c.stream, err = l.takeStream(c.ctx)
+		c.stream, err = l.acquireStream(c.ctx)
 		n := 0
 		if err == nil {
 			n, err = c.stream.Write(first)
@@ -131,11 +131,11 @@
 		if err == nil || n > 0 {
 			return nil
 		}
-		l.done()
+		l.endCall()
 		if attempt > 0 || c.ctx.Err() != nil {
 			return err
 		}
-		t.forget(l)
+		t.detachLink(l)
 	}
 }
 
@@ -207,18 +207,18 @@
 
 func (c *call) readTail() error {
 	limit := c.link.t.options.MaxHead
-	keep := false
+	reusable := false
 	err := readFrame(c.reader, "answer tail", limit, func(b []byte) (err error) {
-		c.tail, keep, err = decodeTail(b)
+		c.tail, reusable, err = decodeTail(b)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	keep = keep && c.uploaded.Load() && c.reader.Buffered() == 0
+	reusable = reusable && c.uploaded.Load() && c.reader.Buffered() == 0
 	c.complete.Store(true)
 	putReader(c.reader)
-	c.finish(keep)
+	c.finish(reusable)
 	return nil
 }
 
@@ -239,7 +239,7 @@
 	if c.ctx.Err() != nil {
 		return Sent, c.ctx.Err()
 	}
-	if notTaken(err) {
+	if reportedNotHandled(err) {
 		return NotSent, err
 	}
 	return Sent, err
@@ -251,27 +251,27 @@
 	c.stream.CancelWrite(streamCancelled)
 }
 
-// finish counts the call as ended, once. It keeps the stream, or resets it, which also stops an upload that nobody
+// sendFinished counts the call as ended, once. It keeps the stream, or resets it, which also stops an upload that nobody
 // wants any more. A reset that the watch over ctx has begun must not hit the stream's next call, so a stream is
 // kept only if the watch was stopped before that.
-func (c *call) finish(keep bool) {
+func (c *call) finish(reusable bool) {
 	if c.ended.Swap(true) {
 		return
 	}
-	if c.stopWatch() && keep {
-		c.link.putStream(c.stream)
+	if c.stopWatch() && reusable {
+		c.link.releaseStream(c.stream)
 	} else {
 		c.abort()
 	}
-	c.link.done()
+	c.link.endCall()
 }
 
-// notTaken tells that the peer said it never handed the call to a handler.
-func notTaken(err error) bool {
+// reportedNotHandled tells that the peer said it never handed the call to a handler.
+func reportedNotHandled(err error) bool {
 	var s *quic.StreamError
 	if errors.As(err, &s) {
-		return s.Remote && s.ErrorCode == streamNotTaken
+		return s.Remote && s.ErrorCode == streamNotHandled
 	}
 	var a *quic.ApplicationError
-	return errors.As(err, &a) && a.Remote && a.ErrorCode == codeNotTaken
+	return errors.As(err, &a) && a.Remote && a.ErrorCode == codeNotHandled
 }
--- a/internal/transporter/codec.go
+++ b/internal/transporter/codec.go
@@ -59,8 +59,8 @@
 	Headroom   uint8
 	RetryRatio uint8
 	Share      uint8
-	// Keep tells that the whole request was read, so that the stream can carry another call.
-	Keep bool
+	// Reusable tells that the whole request was read, so that the stream can carry another call.
+	Reusable bool
 }
 
 type wireHello struct {
@@ -177,15 +177,15 @@
 	return h, nil
 }
 
-func tailToWire(t AnswerTail, keep bool) wireTail {
+func tailToWire(t AnswerTail, reusable bool) wireTail {
 	return wireTail{
 		Allowance: t.Allowance, Threshold: uint16(t.Threshold), Headroom: t.Headroom, RetryRatio: t.RetryRatio,
 		Share: t.Share,
-		Keep:  keep,
+		Reusable:  reusable,
 	}
 }
 
-func decodeTail(b []byte) (_ AnswerTail, keep bool, _ error) {
+func decodeTail(b []byte) (_ AnswerTail, reusable bool, _ error) {
 	var w wireTail
 	if err := decoderMode.Unmarshal(b, &w); err != nil {
 		return AnswerTail{}, false, malformed("answer tail", err)
@@ -193,7 +193,7 @@
 	return AnswerTail{
 		Allowance: w.Allowance, Threshold: identifier.Threshold(w.Threshold), Headroom: w.Headroom,
 		RetryRatio: w.RetryRatio, Share: w.Share,
-	}, w.Keep, nil
+	}, w.Reusable, nil
 }
 
 type hello struct {
@@ -218,5 +218,5 @@
 
 // The decoder reports an empty frame as io.EOF, which a reader of the answer would take for its whole end.
 func malformed(what string, err error) MalformedError {
-	return MalformedError{What: what, Err: noCleanEnd(err)}
+	return MalformedError{What: what, Err: asUnexpectedEOF(err)}
 }
--- a/internal/transporter/codec_test.go
+++ b/internal/transporter/codec_test.go
@@ -16,7 +16,7 @@
 	return append(fields, Field{Name: "X-Latin", Value: string(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))})
 }
 
-func TestHeadsAndTailsComeBackTheSame(t *testing.T) {
+func TestHeadsAndTailsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call, answer := rapid.Make[CallHead]().Draw(t, "call"), rapid.Make[AnswerHead]().Draw(t, "answer")
 		call.Header, answer.Header = drawFields(t), drawFields(t)
@@ -38,8 +38,8 @@
 			return err
 		}))
 		assert.NilError(t, readFrame(r, "tail", 1<<20, func(b []byte) error {
-			got, keep, err := decodeTail(b)
-			assert.Assert(t, keep)
+			got, reusable, err := decodeTail(b)
+			assert.Assert(t, reusable)
 			assert.Equal(t, got, tail)
 			return err
 		}))
@@ -74,13 +74,13 @@
 		body := &bodyReader{r: bufio.NewReader(bytes.NewReader(data))}
 		got, err := io.ReadAll(body)
 		if err == nil {
-			assert.Assert(t, body.whole())
+			assert.Assert(t, body.complete())
 			assert.Assert(t, len(got)+lengthSize <= len(data))
 		}
 	})
 }
 
-func TestEveryCutOfABodyIsAnError(t *testing.T) {
+func TestEveryTruncatedBodyIsAnError(t *testing.T) {
 	b := new(bytes.Buffer)
 	for _, part := range []string{"a", "bcd", ""} {
 		appendChunk(b, []byte(part))
--- a/internal/transporter/control.go
+++ b/internal/transporter/control.go
@@ -30,17 +30,17 @@
 	if len(message) > t.options.MaxMessage {
 		return TooLargeError{What: "control message", Size: len(message), Limit: t.options.MaxMessage}
 	}
-	if t.isCut(to.Node) {
-		return CutError{Node: to.Node}
+	if t.isPartitioned(to.Node) {
+		return PartitionedError{Node: to.Node}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closing {
 		return errClosed
 	}
-	p := t.stateLocked(to)
+	p := t.peerStateLocked(to)
 	if len(p.queue) >= t.options.MaxQueue || p.queueBytes+len(message) > t.options.MaxQueueBytes {
-		t.past.ControlDropped++
+		t.totals.ControlDropped++
 		return OverflowError{Node: to.Node}
 	}
 	p.queue = append(p.queue, message)
@@ -56,18 +56,18 @@
 func (t *Transporter) sendQueue(to Peer, p *peerState) {
 	for {
 		l, err := t.acquire(context.Background(), to)
-		batch := t.takeQueue(p)
+		batch := t.drainQueue(p)
 		if err == nil {
 			err = l.sendBatch(batch)
-			l.done()
+			l.endCall()
 		}
-		if t.queueEnded(p, batch, err) {
+		if t.finishBatch(p, batch, err) {
 			return
 		}
 	}
 }
 
-func (t *Transporter) takeQueue(p *peerState) [][]byte {
+func (t *Transporter) drainQueue(p *peerState) [][]byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	batch := p.queue
@@ -76,16 +76,16 @@
 	return batch
 }
 
-// queueEnded tells whether the sender may end: nothing waits, or the peer can't be reached and what waits is lost.
-func (t *Transporter) queueEnded(p *peerState, taken [][]byte, err error) bool {
+// finishBatch tells whether the sender may end: nothing waits, or the peer can't be reached and what waits is lost.
+func (t *Transporter) finishBatch(p *peerState, taken [][]byte, err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.past.ControlDropped += uint64(len(taken) + len(p.queue))
+		t.totals.ControlDropped += uint64(len(taken) + len(p.queue))
 	} else {
-		t.past.ControlSent += uint64(len(taken))
+		t.totals.ControlSent += uint64(len(taken))
 		for _, m := range taken {
-			t.past.ControlBytes += uint64(len(m))
+			t.totals.ControlBytes += uint64(len(m))
 		}
 	}
 	if err == nil && len(p.queue) > 0 {
@@ -144,23 +144,23 @@
 	for {
 		kind, body, err := readControlFrame(r, l.t.options.MaxMessage)
 		if err != nil {
-			l.shut(controlEndCode(err))
+			l.closeNow(controlEndCode(err))
 			return
 		}
 		switch kind {
 		case frameGoodbye:
-			l.heardGoodbye()
+			l.handleGoodbye()
 		case frameFinished:
-			l.heardFinished()
+			l.handleFinished()
 		case frameMessage:
-			l.takeMessage(body)
+			l.handleMessage(body)
 		}
 	}
 }
 
-func (l *link) takeMessage(body []byte) {
+func (l *link) handleMessage(body []byte) {
 	l.touch()
-	if l.t.isCut(l.node()) {
+	if l.t.isPartitioned(l.node()) {
 		return
 	}
 	l.t.handler.ServeControl(l.node(), body)
@@ -169,7 +169,7 @@
 func readControlFrame(r *bufio.Reader, limit int) (byte, []byte, error) {
 	kind, err := r.ReadByte()
 	if err != nil {
-		return 0, nil, noCleanEnd(err)
+		return 0, nil, asUnexpectedEOF(err)
 	}
 	if kind > frameProbe {
 		return 0, nil, MalformedError{What: "control frame", Err: errLength}
@@ -180,7 +180,7 @@
 	}
 	body := make([]byte, size)
 	_, err = io.ReadFull(r, body)
-	return kind, body, noCleanEnd(err)
+	return kind, body, asUnexpectedEOF(err)
 }
 
 func controlEndCode(err error) (code closeCode) {
--- a/internal/transporter/crossing_test.go
+++ b/internal/transporter/crossing_test.go
@@ -18,7 +18,7 @@
 // Many callers share one connection and its streams; some hang up before the answer, some in the middle of it,
 // some are slow. If a stream were used again too early, a caller would get the rest of a stranger's answer, which
 // it can't tell from its own.
-func TestAnswersNeverCross(t *testing.T) {
+func TestAnswersNeverReachAnotherCaller(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
 	_, to := f.start("b", funcHandler{call: promptEcho}, nil)
@@ -35,41 +35,41 @@
 	assert.Equal(t, a.Stats().Dials, uint64(1))
 }
 
-func exchangeAtRandom(t *testing.T, a *Transporter, to Peer, random *rand.Rand, mark string) {
+func exchangeAtRandom(t *testing.T, a *Transporter, to Peer, random *rand.Rand, marker string) {
 	size := random.IntN(60_000)
-	body := strings.Repeat(mark, size/len(mark)+1)
+	body := strings.Repeat(marker, size/len(marker)+1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	patience := time.Duration(random.IntN(1000)) * time.Microsecond
-	impatient, gaveUp := random.IntN(3) == 0, false
-	if impatient {
-		time.AfterFunc(patience, cancel)
+	callerTimeout := time.Duration(random.IntN(1000)) * time.Microsecond
+	cancels, closesEarly := random.IntN(3) == 0, false
+	if cancels {
+		time.AfterFunc(callerTimeout, cancel)
 	}
 	answer, _, err := a.Call(ctx, to, CallHead{ContentLength: int64(len(body))}, strings.NewReader(body))
 	if err != nil {
-		assert.Check(t, impatient, "%v", err)
+		assert.Check(t, cancels, "%v", err)
 		return
 	}
 	defer answer.Body.Close()
 	want := len(body)
 	if random.IntN(3) == 0 {
-		gaveUp = true
+		closesEarly = true
 		want = random.IntN(len(body))
 	}
 	got, err := io.ReadAll(io.LimitReader(answer.Body, int64(want)))
-	assert.Check(t, strings.HasPrefix(body, string(got)), "%s got another's answer", mark)
-	assert.Check(t, err == nil || impatient, "%v", err)
-	if gaveUp {
+	assert.Check(t, strings.HasPrefix(body, string(got)), "%s got another's answer", marker)
+	assert.Check(t, err == nil || cancels, "%v", err)
+	if closesEarly {
 		return
 	}
 	_, _ = io.ReadAll(answer.Body)
 	_, whole := answer.Tail()
-	assert.Check(t, whole || impatient, "%s: no whole answer", mark)
+	assert.Check(t, whole || cancels, "%s: no whole answer", marker)
 }
 
 // A refused call's body was never read. If its stream carried the next call, the rest of that body would be taken
 // for a call's head, and a caller could write himself a call in another team's name.
-func TestUnreadBodyIsNeverTakenForACall(t *testing.T) {
+func TestUnreadBodyIsNeverParsedAsCall(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
 	_, to := f.start("b", funcHandler{call: func(
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -29,14 +29,14 @@
 	sending    bool
 }
 
-func (t *Transporter) stateLocked(to Peer) *peerState {
+func (t *Transporter) peerStateLocked(to Peer) *peerState {
 	if to.Node == "" {
-		return stateIn(t.unnamed, to.Address)
+		return peerStateIn(t.peersByAddress, to.Address)
 	}
-	return stateIn(t.peers, to.Node)
+	return peerStateIn(t.peers, to.Node)
 }
 
-func stateIn[K comparable](m map[K]*peerState, key K) *peerState {
+func peerStateIn[K comparable](m map[K]*peerState, key K) *peerState {
 	p := m[key]
 	if p == nil {
 		p = &peerState{}
@@ -45,22 +45,22 @@
 	return p
 }
 
-// maxAcquire bounds the tries for one call, since a peer that takes connections only to end them would otherwise
-// keep its callers dialling without end.
-const maxAcquire = 4
+// maxAcquireAttempts bounds the tries for one call, since a peer that takes connections only to end them would otherwise
+// reusable its callers dialling without end.
+const maxAcquireAttempts = 4
 
 // acquire returns a link to the peer on which a call has been begun.
 func (t *Transporter) acquire(ctx context.Context, to Peer) (*link, error) {
-	for range maxAcquire {
+	for range maxAcquireAttempts {
 		l, dialling, err := t.linkOrDial(to)
 		if err != nil {
 			return nil, err
 		}
-		if l != nil && l.begin() {
-			return t.bounded(l)
+		if l != nil && l.beginCall() {
+			return t.limitCalls(l)
 		}
 		if l != nil {
-			t.forget(l)
+			t.detachLink(l)
 			continue
 		}
 		select {
@@ -69,12 +69,12 @@
 			return nil, ctx.Err()
 		}
 	}
-	return nil, errUnsteady
+	return nil, errLinksKeepEnding
 }
 
-func (t *Transporter) bounded(l *link) (*link, error) {
+func (t *Transporter) limitCalls(l *link) (*link, error) {
 	if int(l.calls.Load()) > t.options.MaxCalls {
-		l.done()
+		l.endCall()
 		return nil, errTooManyCalls
 	}
 	return l, nil
@@ -82,12 +82,12 @@
 
 // linkOrDial returns the peer's link, or a channel that is closed when the dial for it has ended.
 func (t *Transporter) linkOrDial(to Peer) (*link, <-chan struct{}, error) {
-	if t.isCut(to.Node) {
-		return nil, nil, CutError{Node: to.Node}
+	if t.isPartitioned(to.Node) {
+		return nil, nil, PartitionedError{Node: to.Node}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.stateLocked(to)
+	p := t.peerStateLocked(to)
 	switch {
 	case t.closing:
 		return nil, nil, errClosed
@@ -109,13 +109,13 @@
 	done := p.dialling
 	p.dialling = nil
 	p.lastErr = err
-	t.past.Dials++
+	t.totals.Dials++
 	if err == nil {
 		p.failures = 0
 		p.link = l
 		t.links[l] = struct{}{}
 	} else {
-		t.past.FailedDials++
+		t.totals.FailedDials++
 		p.failures++
 		p.retryAt = time.Now().Add(t.backOff(p.failures).Std())
 	}
@@ -137,7 +137,7 @@
 func (t *Transporter) dial(to Peer) (_ *link, run func(), _ error) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.options.DialTimeout.Std())
 	defer cancel()
-	if err := t.makeRoom(); err != nil {
+	if err := t.evictIdleLink(); err != nil {
 		return nil, nil, err
 	}
 	address, err := net.ResolveUDPAddr("udp", to.Address)
@@ -149,25 +149,25 @@
 		return nil, nil, err
 	}
 	l := t.newLink(conn, true)
-	if err := l.greet(ctx, to.Node); err != nil {
-		l.shut(codeGoodbye)
+	if err := l.sendHello(ctx, to.Node); err != nil {
+		l.closeNow(codeGoodbye)
 		return nil, nil, err
 	}
 	r, h, err := l.readHello(ctx)
 	if err != nil {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 		return nil, nil, err
 	}
 	if to.Node != "" && h.node != to.Node {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 		return nil, nil, WrongNodeError{Want: to.Node, Got: h.node}
 	}
 	l.peer.Store(&h.node)
 	return l, func() { l.run(conn.Context(), r) }, nil
 }
 
-// makeRoom lets the longest idle dialled link go when there are as many as may be.
-func (t *Transporter) makeRoom() error {
+// evictIdleLink lets the longest idle dialled link go when there are as many as may be.
+func (t *Transporter) evictIdleLink() error {
 	now := time.Now()
 	var oldest *link
 	count := 0
@@ -187,34 +187,34 @@
 	if oldest == nil {
 		return errTooManyLinks
 	}
-	oldest.leave()
+	oldest.startClose()
 	return nil
 }
 
-// adopt makes an accepted link usable in the other direction too.
-func (t *Transporter) adopt(l *link) bool {
+// addAcceptedLink makes an accepted link usable in the other direction too.
+func (t *Transporter) addAcceptedLink(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closing {
 		return false
 	}
 	t.links[l] = struct{}{}
-	p := stateIn(t.peers, l.node())
+	p := peerStateIn(t.peers, l.node())
 	if p.link == nil {
 		p.link = l
 	}
 	return true
 }
 
-// forget takes a link out of use for new calls.
-func (t *Transporter) forget(l *link) {
+// detachLink takes a link out of use for new calls.
+func (t *Transporter) detachLink(l *link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	forgetIn(t.peers, l)
-	forgetIn(t.unnamed, l)
+	detachLinkIn(t.peers, l)
+	detachLinkIn(t.peersByAddress, l)
 }
 
-func forgetIn[K comparable](m map[K]*peerState, l *link) {
+func detachLinkIn[K comparable](m map[K]*peerState, l *link) {
 	for key, p := range m {
 		if p.link != l {
 			continue
@@ -233,7 +233,7 @@
 	return !busy && time.Now().After(p.retryAt)
 }
 
-func pruneIn[K comparable](m map[K]*peerState) {
+func pruneDisposable[K comparable](m map[K]*peerState) {
 	for key, p := range m {
 		if p.disposable() {
 			delete(m, key)
@@ -241,13 +241,13 @@
 	}
 }
 
-// drop removes an ended link.
-func (t *Transporter) drop(l *link) {
-	t.forget(l)
+// removeLink removes an ended link.
+func (t *Transporter) removeLink(l *link) {
+	t.detachLink(l)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, known := t.links[l]; known {
-		t.past.add(l)
+		t.totals.add(l)
 		delete(t.links, l)
 	}
 }
--- a/internal/transporter/errors.go
+++ b/internal/transporter/errors.go
@@ -50,13 +50,13 @@
 	return fmt.Sprintf("control queue to node %s is full", e.Node)
 }
 
-// CutError reports traffic dropped by the test switch Options.Cut.
-type CutError struct {
+// PartitionedError reports traffic dropped by the test switch Options.Cut.
+type PartitionedError struct {
 	Node identifier.Node
 }
 
 // Error names the peer.
-func (e CutError) Error() string {
+func (e PartitionedError) Error() string {
 	return fmt.Sprintf("node %s is cut off", e.Node)
 }
 
@@ -108,7 +108,7 @@
 	errClosed       = errors.New("the transporter is closed")
 	errTooManyCalls = errors.New("too many calls are under way to this peer")
 	errTooManyLinks = errors.New("too many connections are in use")
-	errUnsteady     = errors.New("connections to this peer end as soon as they are made")
+	errLinksKeepEnding     = errors.New("connections to this peer end as soon as they are made")
 	errLength       = errors.New("length out of bounds")
-	errSequence     = errors.New("answer written out of order")
+	errWriteOrder     = errors.New("answer written out of order")
 )
--- a/internal/transporter/failure_test.go
+++ b/internal/transporter/failure_test.go
@@ -30,7 +30,7 @@
 	return len(p), nil
 }
 
-func quick(o *Options) {
+func shortTimeouts(o *Options) {
 	o.PeerTimeout = 300 * clock.Millisecond
 	o.DialTimeout = 300 * clock.Millisecond
 }
@@ -45,7 +45,7 @@
 		_ = w.Flush()
 		<-ctx.Done()
 	}
-	var cut atomic.Bool
+	var partitioned atomic.Bool
 	cases := map[string]struct {
 		call    callFunc
 		prepare func(a, b *Transporter, to *Peer)
@@ -56,13 +56,13 @@
 	}{
 		"dies before the head": {
 			call:   func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, _ AnswerWriter) { <-ctx.Done() },
-			during: kill, want: Sent, ran: true,
+			during: crash, want: Sent, ran: true,
 		},
 		"dies in the middle of the body": {
 			call: func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, w AnswerWriter) {
 				half(ctx, w)
 			},
-			during: kill, want: Answered, ran: true,
+			during: crash, want: Answered, ran: true,
 		},
 		"handler gives up in the middle of the body": {
 			call: func(_ context.Context, _ identifier.Node, _ CallHead, _ io.Reader, w AnswerWriter) {
@@ -77,13 +77,13 @@
 		},
 		"partition during the call": {
 			call:   func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, _ AnswerWriter) { <-ctx.Done() },
-			during: func(*Transporter) { cut.Store(true) }, want: Sent, ran: true,
+			during: func(*Transporter) { partitioned.Store(true) }, want: Sent, ran: true,
 		},
 		"partition before the call": {
-			prepare: func(*Transporter, *Transporter, *Peer) { cut.Store(true) }, want: NotSent,
+			prepare: func(*Transporter, *Transporter, *Peer) { partitioned.Store(true) }, want: NotSent,
 		},
 		"nobody listens": {
-			prepare: func(_, b *Transporter, _ *Peer) { kill(b) }, want: NotSent,
+			prepare: func(_, b *Transporter, _ *Peer) { crash(b) }, want: NotSent,
 		},
 		"another node listens there": {
 			prepare: func(_, _ *Transporter, to *Peer) { to.Node = "forerunner" }, want: NotSent,
@@ -104,18 +104,18 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			cut.Store(false)
+			partitioned.Store(false)
 			f := newFleet(t)
 			entered := make(chan struct{})
 			var ran atomic.Bool
-			ofA, ofB := Options{}, Options{}
+			optionsA, optionsB := Options{}, Options{}
 			if c.options != nil {
-				c.options(&ofA, &ofB)
+				c.options(&optionsA, &optionsB)
 			}
 			a, _ := f.start("a", funcHandler{}, func(o *Options) {
-				quick(o)
-				o.MaxHead = ofA.MaxHead
-				o.Cut = func(identifier.Node) bool { return cut.Load() }
+				shortTimeouts(o)
+				o.MaxHead = optionsA.MaxHead
+				o.Partitioned = func(identifier.Node) bool { return partitioned.Load() }
 			})
 			b, to := f.start("b", funcHandler{call: func(
 				ctx context.Context, n identifier.Node, h CallHead, r io.Reader, w AnswerWriter,
@@ -124,8 +124,8 @@
 				close(entered)
 				c.call(ctx, n, h, r, w)
 			}}, func(o *Options) {
-				quick(o)
-				o.MaxHead = ofB.MaxHead
+				shortTimeouts(o)
+				o.MaxHead = optionsB.MaxHead
 			})
 			if c.prepare != nil {
 				c.prepare(a, b, &to)
@@ -155,7 +155,7 @@
 
 // A caller hangs up, or its deadline passes, while the handler at the other node still works. The handler must
 // notice, or the node works on for nobody; and its late answer must reach no one else.
-func TestCancelledCallEndsItsHandlerAndItsAnswerReachesNobody(t *testing.T) {
+func TestCancelledCallEndsHandlerAndDropsAnswer(t *testing.T) {
 	f := newFleet(t)
 	ended := make(chan struct{})
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -288,19 +288,19 @@
 
 // Somebody in the network presents a certificate of another authority, or none at all. It must neither call nor
 // be called.
-func TestStrangersAreTurnedAway(t *testing.T) {
+func TestUntrustedCertificatesAreRejected(t *testing.T) {
 	own, other := newFleet(t), newFleet(t)
 	called := func(context.Context, identifier.Node, CallHead, io.Reader, AnswerWriter) {
 		t.Error("a stranger's call was served")
 	}
-	_, to := own.start("b", funcHandler{call: called}, quick)
+	_, to := own.start("b", funcHandler{call: called}, shortTimeouts)
 	cases := map[string]*fleet{
 		"stranger calls":         {t: t, server: own.server, client: other.client},
-		"stranger trusts us":     {t: t, server: own.server, client: strangerThatTrusts(own, other)},
+		"stranger trusts us":     {t: t, server: own.server, client: clientOfOtherAuthority(own, other)},
 		"stranger presents none": {t: t, server: own.server, client: withoutCertificate(own)},
 	}
 	for name, f := range cases {
-		a, _ := f.start("a", funcHandler{}, quick)
+		a, _ := f.start("a", funcHandler{}, shortTimeouts)
 		_, phase, err := a.Call(context.Background(), to, CallHead{}, nil)
 		assert.Assert(t, err != nil, name)
 		assert.Equal(t, phase, NotSent, name)
@@ -358,7 +358,7 @@
 }
 
 // Calls come now and then, just when the idle connection between two nodes is let go. None may fail for that.
-func TestIdleLinksGoWithoutHurtingCalls(t *testing.T) {
+func TestClosingIdleLinksFailsNoCall(t *testing.T) {
 	f := newFleet(t)
 	idle := func(o *Options) { o.IdleAfter = 4 * clock.Millisecond }
 	a, toA := f.start("a", funcHandler{call: echo}, idle)
@@ -383,13 +383,13 @@
 
 // A VM's process is restarted while calls are on their way to it. Its peers must learn that at once, and not hold
 // callers for the seconds after which a silent peer counts as dead.
-func TestRestartedPeerIsNoticedAtOnce(t *testing.T) {
+func TestRestartedPeerIsDetectedAtOnce(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, func(o *Options) { o.PeerTimeout = clock.Minute })
 	b, to := f.start("b", funcHandler{call: echo}, nil)
 	_, _, err := callText(context.Background(), a, to, "before")
 	assert.NilError(t, err)
-	kill(b)
+	crash(b)
 	_, again := f.start("b2", funcHandler{call: echo}, func(o *Options) { o.Listen = to.Address })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -403,16 +403,16 @@
 
 // Hundreds of idle connections are a node's normal state. Were each kept alive by probes, these alone would use up
 // what control may cost.
-func TestIdleLinksSendNothingAndSlowCallsLive(t *testing.T) {
+func TestIdleLinksSendNothingAndSlowCallsSurvive(t *testing.T) {
 	f := newFleet(t)
 	release := make(chan struct{})
-	a, _ := f.start("a", funcHandler{}, quick)
+	a, _ := f.start("a", funcHandler{}, shortTimeouts)
 	b, to := f.start("b", funcHandler{call: func(
 		ctx context.Context, n identifier.Node, h CallHead, r io.Reader, w AnswerWriter,
 	) {
 		<-release
 		echo(ctx, n, h, r, w)
-	}}, quick)
+	}}, shortTimeouts)
 	time.AfterFunc(4*a.options.PeerTimeout.Std(), func() { close(release) })
 	got, _, err := callText(context.Background(), a, to, "slow")
 	assert.NilError(t, err)
--- a/internal/transporter/frames.go
+++ b/internal/transporter/frames.go
@@ -79,7 +79,7 @@
 func readLength(r *bufio.Reader, what string, limit int) (int, error) {
 	b, err := r.Peek(lengthSize)
 	if err != nil {
-		return 0, noCleanEnd(err)
+		return 0, asUnexpectedEOF(err)
 	}
 	size := binary.BigEndian.Uint32(b)
 	if uint64(size) > uint64(limit) {
@@ -90,28 +90,28 @@
 }
 
 // readFrame reads a whole frame into memory and hands it to use, which must not keep it.
-func readFrame(r *bufio.Reader, what string, limit int, use func([]byte) error) error {
+func readFrame(r *bufio.Reader, what string, limit int, decode func([]byte) error) error {
 	size, err := readLength(r, what, limit)
 	if err != nil {
 		return err
 	}
 	if size <= r.Size() {
-		return useBuffered(r, size, use)
+		return decodeBuffered(r, size, decode)
 	}
 	b := make([]byte, 0, min(size, maxChunk))
 	buffer := bytes.NewBuffer(b)
 	if _, err := io.CopyN(buffer, r, int64(size)); err != nil {
-		return noCleanEnd(err)
+		return asUnexpectedEOF(err)
 	}
-	return use(buffer.Bytes())
+	return decode(buffer.Bytes())
 }
 
-func useBuffered(r *bufio.Reader, size int, use func([]byte) error) error {
+func decodeBuffered(r *bufio.Reader, size int, decode func([]byte) error) error {
 	b, err := r.Peek(size)
 	if err != nil {
-		return noCleanEnd(err)
+		return asUnexpectedEOF(err)
 	}
-	if err := use(b); err != nil {
+	if err := decode(b); err != nil {
 		return err
 	}
 	_, err = r.Discard(size)
@@ -120,7 +120,7 @@
 
 // A stream that ends inside a frame lost its sender. Passed on as io.EOF it would look like the end of a whole
 // body, and a caller would keep half a manifest without notice.
-func noCleanEnd(err error) error {
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -148,7 +148,7 @@
 	n, err := b.r.Read(p[:min(len(p), b.left)])
 	b.left -= n
 	if err != nil {
-		b.err = noCleanEnd(err)
+		b.err = asUnexpectedEOF(err)
 	}
 	return n, b.err
 }
@@ -161,7 +161,7 @@
 	return b.err == nil
 }
 
-// whole tells whether the end mark was read.
-func (b *bodyReader) whole() bool {
+// complete tells whether the end mark was read.
+func (b *bodyReader) complete() bool {
 	return errors.Is(b.err, io.EOF)
 }
--- a/internal/transporter/harness_test.go
+++ b/internal/transporter/harness_test.go
@@ -113,13 +113,13 @@
 	return n, Peer{Node: self, Address: n.Address()}
 }
 
-// kill ends a node as a crash does: its socket is gone, and nobody is told.
-func kill(n *Transporter) {
+// crash ends a node as a crash does: its socket is gone, and nobody is told.
+func crash(n *Transporter) {
 	_ = n.transport.Conn.Close()
 }
 
-// strangerThatTrusts returns a client that takes ours for good but shows its own authority's certificate.
-func strangerThatTrusts(ours, stranger *fleet) *tls.Config {
+// clientOfOtherAuthority returns a client that takes ours for good but shows its own authority's certificate.
+func clientOfOtherAuthority(ours, stranger *fleet) *tls.Config {
 	c := stranger.client.Clone()
 	c.RootCAs = ours.client.RootCAs
 	return c
--- a/internal/transporter/link.go
+++ b/internal/transporter/link.go
@@ -25,20 +25,20 @@
 // Codes of closed connections.
 const (
 	codeGoodbye closeCode = iota
-	// codeNotTaken says that no stream of the connection has reached a handler.
-	codeNotTaken
-	codeCut
+	// codeNotHandled says that no stream of the connection has reached a handler.
+	codeNotHandled
+	codePartitioned
 	codeMalformed
-	// codeSilent says that the peer was not heard for PeerTimeout while calls were under way.
-	codeSilent
+	// codePeerTimeout says that the peer was not heard for PeerTimeout while calls were under way.
+	codePeerTimeout
 )
 
 // Codes of reset streams.
 const (
-	// streamEnough says that the rest of a body is not wanted.
-	streamEnough quic.StreamErrorCode = iota
-	// streamNotTaken says that the call did not reach a handler.
-	streamNotTaken
+	// streamRestUnwanted says that the rest of a body is not wanted.
+	streamRestUnwanted quic.StreamErrorCode = iota
+	// streamNotHandled says that the call did not reach a handler.
+	streamNotHandled
 	streamAborted
 	streamCancelled
 )
@@ -64,10 +64,10 @@
 	control   *quic.SendStream
 
 	mu sync.Mutex
-	// leaving and left tell that this end, the other end, has said goodbye.
-	leaving, left bool
-	// finished and peerFinished tell that this end, the other end, has all its answers.
-	finished, peerFinished bool
+	// goodbyeSent and left tell that this end, the other end, has said goodbye.
+	goodbyeSent, goodbyeReceived bool
+	// finishedSent and peerFinished tell that this end, the other end, has all its answers.
+	finishedSent, finishedReceived bool
 }
 
 func (t *Transporter) newLink(conn *quic.Conn, dialled bool) *link {
@@ -94,105 +94,105 @@
 	return time.Duration(now.UnixNano() - l.lastUse.Load())
 }
 
-// shut closes the connection at once; calls under way fail.
-func (l *link) shut(code closeCode) {
+// closeNow closes the connection at once; calls under way fail.
+func (l *link) closeNow(code closeCode) {
 	_ = l.conn.CloseWithError(code, "")
 }
 
-// begin counts a new call, unless the link is being left.
-func (l *link) begin() bool {
+// beginCall counts a new call, unless the link is being left.
+func (l *link) beginCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.leaving || l.conn.Context().Err() != nil {
+	if l.goodbyeSent || l.conn.Context().Err() != nil {
 		return false
 	}
 	l.calls.Add(1)
 	return true
 }
 
-// done counts the end of a call.
-func (l *link) done() {
+// endCall counts the end of a call.
+func (l *link) endCall() {
 	l.touch()
 	if l.calls.Add(-1) == 0 {
-		l.settle()
+		l.continueClose()
 	}
 }
 
-// leave says goodbye once.
-func (l *link) leave() {
+// startClose says goodbye once.
+func (l *link) startClose() {
 	l.mu.Lock()
-	first := !l.leaving
-	l.leaving = true
+	first := !l.goodbyeSent
+	l.goodbyeSent = true
 	l.mu.Unlock()
 	if !first {
 		return
 	}
-	l.t.forget(l)
+	l.t.detachLink(l)
 	go func() {
 		if l.sendControl(frameGoodbye, nil) != nil {
-			l.shut(codeGoodbye)
+			l.closeNow(codeGoodbye)
 			return
 		}
-		l.settle()
+		l.continueClose()
 	}()
 }
 
-// settle says finished when it is due, and closes the connection when both ends have said so.
-func (l *link) settle() {
+// continueClose says finished when it is due, and closes the connection when both ends have said so.
+func (l *link) continueClose() {
 	l.mu.Lock()
-	due := l.leaving && l.left && !l.finished && l.calls.Load() == 0
+	due := l.goodbyeSent && l.goodbyeReceived && !l.finishedSent && l.calls.Load() == 0
 	if due {
-		l.finished = true
+		l.finishedSent = true
 	}
-	over := l.finished && l.peerFinished
+	bothFinished := l.finishedSent && l.finishedReceived
 	l.mu.Unlock()
-	if over && !due {
-		l.shut(codeGoodbye)
+	if bothFinished && !due {
+		l.closeNow(codeGoodbye)
 		return
 	}
 	if due {
-		go l.finish()
+		go l.sendFinished()
 	}
 }
 
-// finish tells the other end; the connection is closed by whoever hears it second, so the word is not lost.
-func (l *link) finish() {
+// sendFinished tells the other end; the connection is closed by whoever hears it second, so the word is not lost.
+func (l *link) sendFinished() {
 	if l.sendControl(frameFinished, nil) != nil {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 		return
 	}
 }
 
-func (l *link) heardGoodbye() {
+func (l *link) handleGoodbye() {
 	l.mu.Lock()
-	l.left = true
+	l.goodbyeReceived = true
 	l.mu.Unlock()
-	l.leave()
-	l.settle()
+	l.startClose()
+	l.continueClose()
 }
 
-func (l *link) heardFinished() {
+func (l *link) handleFinished() {
 	l.mu.Lock()
-	l.peerFinished = true
+	l.finishedReceived = true
 	l.mu.Unlock()
-	l.settle()
+	l.continueClose()
 }
 
-// takeLink greets a connection that another node made, and serves it until it ends.
-func (t *Transporter) takeLink(ctx context.Context, conn *quic.Conn) {
+// acceptLink greets a connection that another node made, and serves it until it ends.
+func (t *Transporter) acceptLink(ctx context.Context, conn *quic.Conn) {
 	l := t.newLink(conn, false)
 	r, h, err := l.readHello(ctx)
 	if err != nil {
-		l.shut(codeMalformed)
+		l.closeNow(codeMalformed)
 		return
 	}
-	if t.refuses(h) {
-		l.shut(codeNotTaken)
+	if t.rejects(h) {
+		l.closeNow(codeNotHandled)
 		return
 	}
 	l.peer.Store(&h.node)
-	if l.greet(ctx, h.node) != nil || !t.adopt(l) {
-		l.shut(codeNotTaken)
+	if l.sendHello(ctx, h.node) != nil || !t.addAcceptedLink(l) {
+		l.closeNow(codeNotHandled)
 		return
 	}
 	l.run(ctx, r)
@@ -200,11 +200,11 @@
 
 // A restarted process listens at the address of its forerunner under a new id. A message meant for the old one,
 // a grant for instance, must not reach the new one, so a greeting to another id is turned away.
-func (t *Transporter) refuses(h hello) bool {
+func (t *Transporter) rejects(h hello) bool {
 	wrong := h.to != "" && h.to != t.options.Self
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return wrong || t.closing || t.isCut(h.node)
+	return wrong || t.closing || t.isPartitioned(h.node)
 }
 
 // run serves the link until the connection ends.
@@ -217,12 +217,12 @@
 		}
 		l.t.wait.Go(func() { l.serveStream(s) })
 	}
-	l.shut(codeGoodbye)
-	l.t.drop(l)
+	l.closeNow(codeGoodbye)
+	l.t.removeLink(l)
 }
 
-// greet opens this end's control stream with the greeting.
-func (l *link) greet(ctx context.Context, to identifier.Node) error {
+// sendHello opens this end's control stream with the greeting.
+func (l *link) sendHello(ctx context.Context, to identifier.Node) error {
 	s, err := l.conn.OpenUniStreamSync(ctx)
 	if err != nil {
 		return err
--- a/internal/transporter/options.go
+++ b/internal/transporter/options.go
@@ -20,8 +20,8 @@
 	ClientTLS *tls.Config
 	Self      identifier.Node
 	Domain    identifier.FailureDomain
-	// Cut is a switch for tests: while it answers true, nothing passes to or from the peer.
-	Cut func(peer identifier.Node) bool
+	// Partitioned is a switch for tests: while it answers true, nothing passes to or from the peer.
+	Partitioned func(peer identifier.Node) bool
 
 	// MaxHead bounds the encoded head of a call or answer, in bytes.
 	MaxHead int
--- a/internal/transporter/serve.go
+++ b/internal/transporter/serve.go
@@ -19,10 +19,10 @@
 func (l *link) serveStream(s *quic.Stream) {
 	for l.awaitCall(s) {
 		l.serving.Add(1)
-		again := l.serve(s)
+		reusable := l.serveCall(s)
 		l.touch()
 		l.serving.Add(-1)
-		if !again {
+		if !reusable {
 			return
 		}
 	}
@@ -33,14 +33,14 @@
 	var first [1]byte
 	if _, err := s.Peek(first[:]); err != nil {
 		_ = s.Close()
-		s.CancelRead(streamEnough)
+		s.CancelRead(streamRestUnwanted)
 		return false
 	}
 	return true
 }
 
-// serve answers one call and tells whether the stream can carry another.
-func (l *link) serve(s *quic.Stream) bool {
+// serveCall answers one call and tells whether the stream can carry another.
+func (l *link) serveCall(s *quic.Stream) bool {
 	r := getReader(s)
 	defer putReader(r)
 	body := &requestBody{body: bodyReader{r: r}}
@@ -50,9 +50,9 @@
 		head, err = decodeCall(b)
 		return err
 	})
-	if err != nil || l.t.isCut(l.node()) {
-		s.CancelWrite(streamNotTaken)
-		s.CancelRead(streamNotTaken)
+	if err != nil || l.t.isPartitioned(l.node()) {
+		s.CancelWrite(streamNotHandled)
+		s.CancelRead(streamNotHandled)
 		return false
 	}
 	ctx, cancel := context.WithCancel(s.Context())
@@ -76,9 +76,9 @@
 	return r.body.Read(p)
 }
 
-// whole tells whether all was read. A rest that has arrived but was not asked for, such as the small body of a
+// complete tells whether all was read. A rest that has arrived but was not asked for, such as the small body of a
 // refused call, is thrown away: the stream is then clean for the next call.
-func (r *requestBody) whole() bool {
+func (r *requestBody) fullyRead() bool {
 	if !r.mu.TryLock() {
 		return false
 	}
@@ -91,7 +91,7 @@
 			break
 		}
 	}
-	return b.whole() && b.r.Buffered() == 0
+	return b.complete() && b.r.Buffered() == 0
 }
 
 func (r *requestBody) detach() {
@@ -105,30 +105,30 @@
 	body    *requestBody
 	maxHead int
 	buffer  *bytes.Buffer
-	headed  bool
+	headWritten  bool
 	closed  bool
-	// keep tells that the answer is whole and the stream can carry another call.
-	keep bool
+	// reusable tells that the answer is whole and the stream can carry another call.
+	reusable bool
 }
 
 // WriteHead begins the answer.
 func (w *answerWriter) WriteHead(h AnswerHead) error {
-	if w.headed {
-		return errSequence
+	if w.headWritten {
+		return errWriteOrder
 	}
 	wire := answerToWire(&h)
 	if err := appendFrame(w.buffer, "answer head", wire, w.maxHead); err != nil {
 		w.buffer.Reset()
 		return err
 	}
-	w.headed = true
+	w.headWritten = true
 	return nil
 }
 
 // Write adds to the answer's body.
 func (w *answerWriter) Write(p []byte) (int, error) {
-	if !w.headed || w.closed {
-		return 0, errSequence
+	if !w.headWritten || w.closed {
+		return 0, errWriteOrder
 	}
 	written := 0
 	for len(p) > 0 {
@@ -164,37 +164,37 @@
 
 // Close sends the end mark and the tail.
 func (w *answerWriter) Close(t AnswerTail) error {
-	if !w.headed || w.closed {
-		return errSequence
+	if !w.headWritten || w.closed {
+		return errWriteOrder
 	}
 	w.closed = true
-	keep := w.body.whole()
+	reusable := w.body.fullyRead()
 	appendChunk(w.buffer, nil)
-	if err := appendFrame(w.buffer, "answer tail", tailToWire(t, keep), w.maxHead); err != nil {
+	if err := appendFrame(w.buffer, "answer tail", tailToWire(t, reusable), w.maxHead); err != nil {
 		return err
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	w.keep = keep
-	if !keep {
+	w.reusable = reusable
+	if !reusable {
 		return w.stream.Close()
 	}
 	return nil
 }
 
-// finish ends the exchange and tells whether the stream can carry another. An answer that its handler did not
+// sendFinished ends the exchange and tells whether the stream can carry another. An answer that its handler did not
 // close is reset: the caller gets an error, never half an answer.
 func (w *answerWriter) finish() bool {
 	if !w.closed {
 		w.stream.CancelWrite(streamAborted)
 	}
-	if !w.keep {
-		w.stream.CancelRead(streamEnough)
+	if !w.reusable {
+		w.stream.CancelRead(streamRestUnwanted)
 	}
 	putBuffer(w.buffer)
 	w.buffer = nil
-	return w.keep
+	return w.reusable
 }
 
 func lengthBytes(n int) []byte {
--- a/internal/transporter/stats.go
+++ b/internal/transporter/stats.go
@@ -26,7 +26,7 @@
 func (t *Transporter) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.past
+	s := t.totals
 	for l := range t.links {
 		s.Links++
 		s.add(l)
--- a/internal/transporter/streams.go
+++ b/internal/transporter/streams.go
@@ -16,8 +16,8 @@
 // maxIdleStreams bounds what a peak of calls leaves behind on one link.
 const maxIdleStreams = 64
 
-// takeStream returns an idle stream or opens one.
-func (l *link) takeStream(ctx context.Context) (*quic.Stream, error) {
+// acquireStream returns an idle stream or opens one.
+func (l *link) acquireStream(ctx context.Context) (*quic.Stream, error) {
 	l.idleMu.Lock()
 	if n := len(l.idle); n > 0 {
 		s := l.idle[n-1]
@@ -29,8 +29,8 @@
 	return l.conn.OpenStreamSync(ctx)
 }
 
-// putStream keeps the stream of a whole exchange for the next call.
-func (l *link) putStream(s *quic.Stream) {
+// releaseStream keeps the stream of a whole exchange for the next call.
+func (l *link) releaseStream(s *quic.Stream) {
 	l.idleMu.Lock()
 	defer l.idleMu.Unlock()
 	if len(l.idle) < maxIdleStreams {
@@ -38,5 +38,5 @@
 		return
 	}
 	_ = s.Close()
-	s.CancelRead(streamEnough)
+	s.CancelRead(streamRestUnwanted)
 }
--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -27,17 +27,17 @@
 	listener  *quic.Listener
 	// ended is closed when nothing may run any more.
 	ended chan struct{}
-	end   context.CancelFunc
+	cancel   context.CancelFunc
 	wait  sync.WaitGroup
 
 	mu      sync.Mutex
 	closing bool
 	peers   map[identifier.Node]*peerState
-	// unnamed holds peers known only by their address.
-	unnamed map[string]*peerState
+	// peersByAddress holds peers known only by their address.
+	peersByAddress map[string]*peerState
 	links   map[*link]struct{}
-	// past holds the counts of links that have ended, and those that belong to no link.
-	past Stats
+	// totals holds the counts of links that have ended, and those that belong to no link.
+	totals Stats
 }
 
 // New returns a transporter that does nothing until Start.
@@ -49,7 +49,7 @@
 		config:  quicConfig(o),
 		ended:   make(chan struct{}),
 		peers:   map[identifier.Node]*peerState{},
-		unnamed: map[string]*peerState{},
+		peersByAddress: map[string]*peerState{},
 		links:   map[*link]struct{}{},
 	}
 }
@@ -85,9 +85,9 @@
 		return errors.Join(fmt.Errorf("listen: %w", err), socket.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t.end = cancel
+	t.cancel = cancel
 	t.wait.Go(func() { t.acceptLinks(ctx) })
-	t.wait.Go(func() { t.tend(ctx) })
+	t.wait.Go(func() { t.maintenanceLoop(ctx) })
 	return nil
 }
 
@@ -102,7 +102,7 @@
 		if err != nil {
 			return
 		}
-		t.wait.Go(func() { t.takeLink(ctx, conn) })
+		t.wait.Go(func() { t.acceptLink(ctx, conn) })
 	}
 }
 
@@ -113,12 +113,12 @@
 	links := t.linksLocked()
 	t.mu.Unlock()
 	for _, l := range links {
-		l.leave()
+		l.startClose()
 	}
 	err := t.waitLinks(ctx, links)
-	t.end()
+	t.cancel()
 	for _, l := range t.currentLinks() {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 	}
 	closed := t.transport.Close()
 	if e := t.transport.Conn.Close(); e != nil && !errors.Is(e, net.ErrClosed) {
@@ -153,14 +153,14 @@
 	return t.linksLocked()
 }
 
-func (t *Transporter) isCut(n identifier.Node) bool {
-	return t.options.Cut != nil && t.options.Cut(n)
+func (t *Transporter) isPartitioned(n identifier.Node) bool {
+	return t.options.Partitioned != nil && t.options.Partitioned(n)
 }
 
-// tend lets idle connections go and, in tests, kills those that are cut off.
-func (t *Transporter) tend(ctx context.Context) {
+// maintenanceLoop lets idle connections go and, in tests, kills those that are cut off.
+func (t *Transporter) maintenanceLoop(ctx context.Context) {
 	period := min(t.options.IdleAfter, t.options.PeerTimeout).Std() / 4
-	if t.options.Cut != nil {
+	if t.options.Partitioned != nil {
 		period = min(period, 20*time.Millisecond)
 	}
 	ticker := time.NewTicker(period)
@@ -170,28 +170,28 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			t.tendLinks(now)
+			t.maintainLinks(now)
 		}
 	}
 }
 
-func (t *Transporter) tendLinks(now time.Time) {
-	t.prune()
+func (t *Transporter) maintainLinks(now time.Time) {
+	t.prunePeers()
 	for _, l := range t.currentLinks() {
-		if t.isCut(l.node()) {
-			l.shut(codeCut)
+		if t.isPartitioned(l.node()) {
+			l.closeNow(codePartitioned)
 			continue
 		}
-		l.watch(now)
+		l.checkPeer(now)
 		if l.dialled && l.idleSince(now) > t.options.IdleAfter.Std() {
-			l.leave()
+			l.startClose()
 		}
 	}
 }
 
-func (t *Transporter) prune() {
+func (t *Transporter) prunePeers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	pruneIn(t.peers)
-	pruneIn(t.unnamed)
+	pruneDisposable(t.peers)
+	pruneDisposable(t.peersByAddress)
 }
--- a/internal/transporter/transporter_test.go
+++ b/internal/transporter/transporter_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, b.Stats().Links, 1)
 }
 
-func TestControlOfAllSizesArrives(t *testing.T) {
+func TestControlMessagesOfAllSizesArrive(t *testing.T) {
 	f := newFleet(t)
 	got := make(chan []byte, 10)
 	a, _ := f.start("a", funcHandler{}, nil)
--- a/internal/transporter/watcher.go
+++ b/internal/transporter/watcher.go
@@ -11,31 +11,31 @@
 // watcher belongs to the transporter's tending goroutine alone.
 type watcher struct {
 	packets uint64
-	heard   time.Time
+	lastContact   time.Time
 }
 
-func (l *link) watch(now time.Time) {
+func (l *link) checkPeer(now time.Time) {
 	w := &l.watcher
 	packets := l.conn.ConnectionStats().PacketsReceived
 	busy := l.calls.Load() > 0 || l.serving.Load() > 0
 	if packets != w.packets || !busy {
 		w.packets = packets
-		w.heard = now
+		w.lastContact = now
 		return
 	}
-	silence := now.Sub(w.heard)
+	silence := now.Sub(w.lastContact)
 	limit := l.t.options.PeerTimeout.Std()
 	if silence > limit {
-		l.shut(codeSilent)
+		l.closeNow(codePeerTimeout)
 		return
 	}
 	if silence >= limit/8 {
-		l.probe()
+		l.sendProbe()
 	}
 }
 
-// probe leaves it to the frames under way to be acknowledged when there are any.
-func (l *link) probe() {
+// sendProbe leaves it to the frames under way to be acknowledged when there are any.
+func (l *link) sendProbe() {
 	if !l.controlMu.TryLock() {
 		return
 	}
