--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -136,12 +136,12 @@
 
 func newTransporter(o Options, id identifier.Node, in *inbox) (*transporter.Transporter, error) {
 	t := transporter.New(transporter.Options{
-		Listen:    o.Settings.Listen.Peer.String(),
-		ServerTLS: o.Trust.Server(nil, certifier.Node),
-		ClientTLS: o.Trust.Client(nil),
-		Self:      id,
-		Domain:    o.Settings.Domain,
-		Partitioned:       o.Cut,
+		Listen:      o.Settings.Listen.Peer.String(),
+		ServerTLS:   o.Trust.Server(nil, certifier.Node),
+		ClientTLS:   o.Trust.Client(nil),
+		Self:        id,
+		Domain:      o.Settings.Domain,
+		Partitioned: o.Cut,
 	}, in)
 	// The node's address is part of its state, and with port 0 it is only known once the socket is open.
 	if err := t.Start(context.Background()); err != nil {
--- a/internal/forwarder/doc.go
+++ b/internal/forwarder/doc.go
@@ -1,2 +1,2 @@
-// Package forwarder carries one attempt of a call to the node of an endpoint, be it this node or another.
+// Package forwarder carries one attempt of a call to the node of an endpoint, on this node or another one.
 package forwarder
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,8 +1,9 @@
-// Half of the calls in a small failure domain end at the node they entered by. Sending those through QUIC to
-// itself would cost a node twice the work, so they go through a pipe; both ways look the same to the receiver.
+// In a small failure domain half of the calls are delivered by the node at which they entered. Sending those
+// through QUIC from a node to itself would double the node's work, so they pass through an in-memory pipe. The
+// receiver sees no difference between the local and the remote path.
 //
-// Example: f.Call(ctx, transporter.Peer{Node: self}, head, body) runs the local deliverer and returns its
-// answer as if it had come over the network.
+// Example: f.Call(ctx, transporter.Peer{Node: self}, head, body) calls this node's Local and returns its answer
+// as if it had come over the network.
 
 package forwarder
 
@@ -24,15 +25,15 @@
 	ServeCall(ctx context.Context, from identifier.Node, head transporter.CallHead, body io.Reader, w transporter.AnswerWriter)
 }
 
-// Answer is what an attempt brought back.
+// Answer is the answer to one attempt; its body may still be arriving.
 type Answer interface {
 	Head() transporter.AnswerHead
 	io.ReadCloser
-	// Tail is known once Read has returned io.EOF.
+	// Tail returns the answer's tail, and true once Read has returned io.EOF.
 	Tail() (transporter.AnswerTail, bool)
 }
 
-// Forwarder sends calls to endpoints.
+// Forwarder sends calls to the nodes of endpoints.
 type Forwarder struct {
 	self   identifier.Node
 	local  Local
@@ -44,7 +45,7 @@
 	return &Forwarder{self: self, local: l, remote: r}
 }
 
-// Call carries one attempt to the peer; on an error the phase tells whether the call may have been taken.
+// Call sends one attempt to the peer; on an error the phase says whether the call may have run.
 func (f *Forwarder) Call(ctx context.Context, to transporter.Peer, head transporter.CallHead, body io.Reader) (Answer, transporter.Phase, error) {
 	if to.Node == f.self {
 		return f.callLocal(ctx, head, body)
@@ -64,5 +65,5 @@
 // Read reads the answer's body.
 func (a remoteAnswer) Read(b []byte) (int, error) { return a.Body.Read(b) }
 
-// Close gives the rest of the answer up.
+// Close abandons the rest of the answer.
 func (a remoteAnswer) Close() error { return a.Body.Close() }
--- a/internal/forwarder/local.go
+++ b/internal/forwarder/local.go
@@ -1,5 +1,6 @@
-// The local way keeps the promises of the network way: an answer that was not closed with a tail ends in
-// io.ErrUnexpectedEOF, so that a backend server that dies in the middle cannot pass for a short answer.
+// A local call has the same guarantee as a remote one: an answer that was not closed with a tail ends in
+// io.ErrUnexpectedEOF. Otherwise the answer of a backend server that crashes in the middle of it would look like a
+// complete, short answer.
 //
 // Example: ServeCall writes a head and 10 bytes and returns without Close; the reader gets 10 bytes and then
 // io.ErrUnexpectedEOF.
@@ -25,7 +26,7 @@
 
 func (a *localAnswer) Read(b []byte) (int, error) { return a.body.Read(b) }
 
-// Close stops the delivery if it still runs.
+// Close cancels the delivery if it is still running.
 func (a *localAnswer) Close() error {
 	a.cancel()
 	return a.body.Close()
@@ -66,7 +67,7 @@
 }
 
 func (w *localWriter) abortUnlessClosed() {
-	// This has no effect after Close.
+	// CloseWithError has no effect after Close.
 	_ = w.pipe.CloseWithError(io.ErrUnexpectedEOF)
 	close(w.head)
 }
--- a/internal/transporter/call.go
+++ b/internal/transporter/call.go
@@ -1,8 +1,8 @@
-// One call is one stream: nothing of another call can ever come out of it, however late an answer is. A call
-// given up resets its stream, which also ends the handler's context at the other node.
+// A call has a stream to itself while it runs, so a late answer cannot reach another call. A call that is abandoned
+// resets its stream, which also ends the handler's context at the other node.
 //
-// Example: Call returns as soon as the answer's head is there; the caller reads Answer.Body to io.EOF and then
-// Answer.Tail holds what came after it.
+// Example: Call returns as soon as the answer's head has arrived; the caller reads Answer.Body up to io.EOF, after
+// which Answer.Tail returns the tail.
 
 package transporter
 
@@ -19,12 +19,12 @@
 // Answer is the answer to one call, whose body is still arriving.
 type Answer struct {
 	Head AnswerHead
-	// Body gives io.EOF only after the whole body and its tail; it must be read to its end or closed.
+	// Body returns io.EOF only after the complete body and its tail; it must be read to its end or closed.
 	Body io.ReadCloser
 	call *call
 }
 
-// Tail returns the answer's tail once Body has given io.EOF.
+// Tail returns the answer's tail, and true once Body has returned io.EOF.
 func (a *Answer) Tail() (AnswerTail, bool) {
 	return a.call.tail, a.call.complete.Load()
 }
@@ -36,21 +36,21 @@
 	stream *quic.Stream
 	reader *bufio.Reader
 	body   bodyReader
-	// stopWatch ends the watch over ctx.
+	// stopWatch stops the function that aborts the call when ctx ends.
 	stopWatch func() bool
-	// uploading tells that the request's body is sent by a goroutine of its own.
+	// uploading is true if a separate goroutine sends the request's body.
 	uploading bool
-	// uploaded tells that the whole request has been sent.
+	// uploaded is true when the complete request has been sent.
 	uploaded atomic.Bool
-	// uploadErr is why the request's body could not be read.
+	// uploadErr is the error with which reading the request's body failed.
 	uploadErr atomic.Pointer[error]
 	tail      AnswerTail
 	complete  atomic.Bool
 	ended     atomic.Bool
 }
 
-// Call sends one call and returns when the head of its answer is there. The body, if any, is read until it
-// ends, fails or is not wanted any more, even when the answer came before that.
+// Call sends one call and returns when the head of its answer has arrived. The request's body, if any, is read until
+// it ends, fails or the peer stops accepting it, even after the answer's head has arrived.
 func (t *Transporter) Call(ctx context.Context, to Peer, head CallHead, body io.Reader) (*Answer, Phase, error) {
 	c := &call{to: to, ctx: ctx}
 	phase, err := c.send(t, &head, body)
@@ -87,7 +87,7 @@
 	return Sent, nil
 }
 
-// appendSmallBody adds a body of known small size, and the end mark, to the head, and tells whether it did.
+// appendSmallBody adds a body of known small size and the end mark to the head, and reports whether it did.
 func appendSmallBody(b interface {
 	io.Writer
 	io.ReaderFrom
@@ -114,8 +114,8 @@
 	return true, err
 }
 
-// open sends the first bytes of the call on a stream. A link that died since it was last used takes none of
-// them, which proves that the call was not sent; it is replaced once.
+// open sends the first bytes of the call on a stream. If the link has broken since its last use, no byte is written,
+// which proves that the call was not sent; open then tries another link once.
 func (c *call) open(t *Transporter, first []byte) error {
 	for attempt := 0; ; attempt++ {
 		l, err := t.acquire(c.ctx, c.to)
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendChunk tells whether the peer wants more.
+// sendChunk reports whether the peer still accepts the body.
 func (c *call) sendChunk(chunk *[lengthSize + maxChunk]byte, n int) bool {
 	copy(chunk[:], lengthBytes(n))
 	_, err := c.stream.Write(chunk[:lengthSize+n])
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// Close gives the rest of the answer up.
+// Close abandons the rest of the answer.
 func (c *call) Close() error {
 	if !c.complete.Load() {
 		c.finish(false)
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// fail ends the exchange after an error and says how far the call had got.
+// fail ends the exchange after an error and returns the phase that the call had reached.
 func (c *call) fail(err error) (Phase, error) {
 	if cause := c.uploadErr.Load(); cause != nil {
 		err = *cause
@@ -245,15 +245,15 @@
 	return Sent, err
 }
 
-// abort resets the stream both ways: the handler's context ends, and nothing is sent or read any more.
+// abort resets the stream in both directions: the handler's context ends, and nothing more is sent or read.
 func (c *call) abort() {
 	c.stream.CancelRead(streamCancelled)
 	c.stream.CancelWrite(streamCancelled)
 }
 
-// sendFinished counts the call as ended, once. It keeps the stream, or resets it, which also stops an upload that nobody
-// wants any more. A reset that the watch over ctx has begun must not hit the stream's next call, so a stream is
-// kept only if the watch was stopped before that.
+// finish counts the call as ended, once. It releases the stream for reuse, or resets it, which also stops an upload
+// whose rest is not needed. A reset caused by the end of ctx must not hit the stream's next call, so a stream is reused
+// only if stopWatch returned before that reset began.
 func (c *call) finish(reusable bool) {
 	if c.ended.Swap(true) {
 		return
@@ -266,7 +266,7 @@
 	c.link.endCall()
 }
 
-// reportedNotHandled tells that the peer said it never handed the call to a handler.
+// reportedNotHandled reports whether the peer stated that the call did not reach a handler.
 func reportedNotHandled(err error) bool {
 	var s *quic.StreamError
 	if errors.As(err, &s) {
--- a/internal/transporter/codec.go
+++ b/internal/transporter/codec.go
@@ -1,5 +1,5 @@
-// Heads, tails and the greeting travel as CBOR arrays. The domain types carry no tags; these wire types do,
-// and each pair of functions below is the only place that knows both.
+// Heads, tails and hellos are sent as CBOR arrays. The types of types.go have no CBOR tags; these wire types have
+// them, and the pairs of functions below convert between the two.
 //
 // Example: an AnswerTail takes 6 to 11 bytes.
 
@@ -25,7 +25,7 @@
 	Method   string
 	Path     string
 	RawQuery string
-	// Header holds names and values in turn: half the work of an array of pairs.
+	// Header holds names and values alternately, which costs half as much work as an array of pairs.
 	Header        []string
 	ContentLength int64
 	Rank          uint16
@@ -59,7 +59,7 @@
 	Headroom   uint8
 	RetryRatio uint8
 	Share      uint8
-	// Reusable tells that the whole request was read, so that the stream can carry another call.
+	// Reusable means that the complete request was read, so that the stream can carry another call.
 	Reusable bool
 }
 
@@ -83,9 +83,8 @@
 	return m
 }
 
-// A head has few fields; bounds this low keep a hostile length from costing memory. HTTP allows header values
-// that are no UTF-8: were they refused here, such a call would fail at every node for no reason that its caller
-// could see.
+// A head has few fields, so low limits keep a forged length from costing memory. HTTP allows header values that are
+// not UTF-8: if the decoder rejected them, such a call would fail at every node without a reason visible to its caller.
 func mustDecoderMode() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxArrayElements: 1024,
@@ -114,7 +113,7 @@
 	return out
 }
 
-// fieldsFromWire leaves out a name without a value, which no sender of ours writes.
+// fieldsFromWire drops a trailing name without a value, which no sender of this project writes.
 func fieldsFromWire(pairs []string) []Field {
 	if len(pairs) < 2 {
 		return nil
@@ -180,8 +179,8 @@
 func tailToWire(t AnswerTail, reusable bool) wireTail {
 	return wireTail{
 		Allowance: t.Allowance, Threshold: uint16(t.Threshold), Headroom: t.Headroom, RetryRatio: t.RetryRatio,
-		Share: t.Share,
-		Reusable:  reusable,
+		Share:    t.Share,
+		Reusable: reusable,
 	}
 }
 
@@ -216,7 +215,7 @@
 	}, nil
 }
 
-// The decoder reports an empty frame as io.EOF, which a reader of the answer would take for its whole end.
+// The decoder reports an empty frame as io.EOF, which a reader would mistake for the end of a complete answer.
 func malformed(what string, err error) MalformedError {
 	return MalformedError{What: what, Err: asUnexpectedEOF(err)}
 }
--- a/internal/transporter/codec_test.go
+++ b/internal/transporter/codec_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// Bytes from the network are cut short, garbled or made by an attacker with a stolen certificate. No reader may
-// panic, hang, take a cut body for a whole one, or ask for memory that a length field names.
+// Bytes from the network may be truncated, corrupted or forged with a stolen certificate. No reader may panic, hang,
+// mistake a truncated body for a complete one, or allocate as much memory as a length field claims.
 func FuzzFrames(f *testing.F) {
 	b := new(bytes.Buffer)
 	assert.NilError(f, appendFrame(b, "call", callToWire(&CallHead{Service: "ice", Header: []Field{{"A", "b"}}}), 1<<10))
@@ -66,7 +66,7 @@
 		} {
 			r := bufio.NewReader(bytes.NewReader(data))
 			if err := readFrame(r, name, 1<<16, decode); errors.Is(err, io.EOF) {
-				t.Fatalf("%s: a frame cut short ended cleanly", name)
+				t.Fatalf("%s: a truncated frame gave io.EOF, expected another error", name)
 			}
 		}
 		_, _, err := readControlFrame(bufio.NewReader(bytes.NewReader(data)), 1<<16)
@@ -88,7 +88,7 @@
 	for n := range b.Len() {
 		body := &bodyReader{r: bufio.NewReader(bytes.NewReader(b.Bytes()[:n]))}
 		_, err := io.ReadAll(body)
-		assert.ErrorIs(t, err, io.ErrUnexpectedEOF, "%d bytes", n)
+		assert.ErrorIs(t, err, io.ErrUnexpectedEOF, "body truncated after %d bytes", n)
 	}
 	whole, err := io.ReadAll(&bodyReader{r: bufio.NewReader(b)})
 	assert.NilError(t, err)
--- a/internal/transporter/control.go
+++ b/internal/transporter/control.go
@@ -1,8 +1,8 @@
-// Control messages are best effort: a reducer that needs one to arrive sends it again. What must not happen is
-// that a slow or dead peer holds up the sender's event loop, or fills its memory. So a message is queued within
-// bounds and the loop goes on; a full queue drops the new message and says so.
+// Control messages are best effort: a reducer that needs one to arrive sends it again. A slow or dead peer must neither
+// block the sender's event loop nor fill its memory. So messages wait in a bounded queue and the event loop goes on;
+// when the queue is full, the new message is dropped and SendControl returns an error.
 //
-// Example: a peer that is cut off for a minute costs at most MaxQueue messages, and nothing waits for it.
+// Example: a peer that is unreachable for a minute costs at most MaxQueue messages of memory, and nothing waits for it.
 
 package transporter
 
@@ -20,12 +20,12 @@
 	frameMessage byte = iota
 	frameGoodbye
 	frameFinished
-	// frameProbe only makes the peer acknowledge it.
+	// frameProbe has no meaning of its own; the peer's QUIC layer acknowledges it, which shows that the peer is alive.
 	frameProbe
 )
 
-// SendControl queues a message, whose bytes it then owns, for the peer and returns at once; nil does not mean
-// that it will arrive.
+// SendControl queues a message for the peer and returns at once. It owns the message's bytes from then on; a nil error
+// does not mean that the message will arrive.
 func (t *Transporter) SendControl(to Peer, message []byte) error {
 	if len(message) > t.options.MaxMessage {
 		return TooLargeError{What: "control message", Size: len(message), Limit: t.options.MaxMessage}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// sendQueue sends what waits for a peer, and ends when nothing does.
+// sendQueue sends the queued messages of a peer and returns when the queue is empty or the peer can't be reached.
 func (t *Transporter) sendQueue(to Peer, p *peerState) {
 	for {
 		l, err := t.acquire(context.Background(), to)
@@ -76,7 +76,8 @@
 	return batch
 }
 
-// finishBatch tells whether the sender may end: nothing waits, or the peer can't be reached and what waits is lost.
+// finishBatch counts the batch and reports whether sendQueue may return: the queue is empty, or the peer can't be
+// reached, in which case the queued messages are dropped.
 func (t *Transporter) finishBatch(p *peerState, taken [][]byte, err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +98,7 @@
 	return true
 }
 
-// sendBatch writes the messages, several to a write where they are small.
+// sendBatch writes the messages, several small ones in one write.
 func (l *link) sendBatch(batch [][]byte) error {
 	l.touch()
 	l.controlMu.Lock()
@@ -139,7 +140,7 @@
 	return l.writeControl(b)
 }
 
-// readControl hands on what the peer sends until the link ends.
+// readControl handles the peer's control frames until the link ends.
 func (l *link) readControl(r *bufio.Reader) {
 	for {
 		kind, body, err := readControlFrame(r, l.t.options.MaxMessage)
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -1,8 +1,8 @@
-// Ten calls that want the same new peer at once must pay one handshake (about 1 ms), not ten, and a peer that
-// is down must not be dialled by every call. So each peer has one state: its link, a dial under way that all
-// wait for, and the time before which a failed dial is not tried again.
+// Ten concurrent calls to the same new peer must cost one handshake (about 1 ms), not ten, and a peer that is down
+// must not be dialled by every call. So each peer has one state: its link, the dial under way that all calls wait
+// for, and the time until which a failed dial is not retried.
 //
-// Example: the dial to n2 fails at 0 ms; calls until about 50 ms get BackOffError, phase notSent, at once.
+// Example: the dial to n2 fails at 0 ms; calls until up to 50 ms later fail at once with BackOffError, phase notSent.
 
 package transporter
 
@@ -18,7 +18,7 @@
 
 type peerState struct {
 	link *link
-	// dialling is closed when the dial under way ends; nil without one.
+	// dialling is closed when the dial under way ends; it is nil when there is none.
 	dialling chan struct{}
 	lastErr  error
 	failures int
@@ -45,11 +45,11 @@
 	return p
 }
 
-// maxAcquireAttempts bounds the tries for one call, since a peer that takes connections only to end them would otherwise
-// reusable its callers dialling without end.
+// maxAcquireAttempts bounds the attempts of one call to get a link. Otherwise a peer that accepts connections and closes
+// them at once would keep its callers dialling indefinitely.
 const maxAcquireAttempts = 4
 
-// acquire returns a link to the peer on which a call has been begun.
+// acquire returns a link to the peer and counts a call on it.
 func (t *Transporter) acquire(ctx context.Context, to Peer) (*link, error) {
 	for range maxAcquireAttempts {
 		l, dialling, err := t.linkOrDial(to)
@@ -126,14 +126,14 @@
 	}
 }
 
-// backOff doubles with each failure, with jitter so that the fleet does not dial a returned peer in step.
+// backOff doubles with each failure; its jitter keeps the fleet from dialling a recovered peer at the same moment.
 func (t *Transporter) backOff(failures int) clock.Duration {
 	d := t.options.MinBackOff << min(failures-1, 16)
 	d = min(d, t.options.MaxBackOff)
 	return d/2 + clock.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// dial makes a link; run serves it, and returns when it ends.
+// dial establishes a link; run serves the link and returns when it ends.
 func (t *Transporter) dial(to Peer) (_ *link, run func(), _ error) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.options.DialTimeout.Std())
 	defer cancel()
@@ -166,7 +166,7 @@
 	return l, func() { l.run(conn.Context(), r) }, nil
 }
 
-// evictIdleLink lets the longest idle dialled link go when there are as many as may be.
+// evictIdleLink starts to close the dialled link that has been idle longest if MaxLinks are open.
 func (t *Transporter) evictIdleLink() error {
 	now := time.Now()
 	var oldest *link
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// addAcceptedLink makes an accepted link usable in the other direction too.
+// addAcceptedLink makes an accepted link usable for calls of this node too.
 func (t *Transporter) addAcceptedLink(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +206,7 @@
 	return true
 }
 
-// detachLink takes a link out of use for new calls.
+// detachLink makes sure that new calls don't use the link.
 func (t *Transporter) detachLink(l *link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,8 +226,8 @@
 	}
 }
 
-// disposable tells that nothing about the peer needs remembering. Without this a fleet that replaces 1,900 VMs a
-// day would leave one entry for each id that it ever had.
+// disposable reports whether the peer's entry can be deleted. If entries were kept, a fleet that replaces 1,900 VMs a
+// day would accumulate one for each node id that it ever had.
 func (p *peerState) disposable() bool {
 	busy := p.link != nil || p.dialling != nil || p.sending || len(p.queue) > 0
 	return !busy && time.Now().After(p.retryAt)
@@ -241,7 +241,7 @@
 	}
 }
 
-// removeLink removes an ended link.
+// removeLink removes a link that has ended and adds its counts to the totals.
 func (t *Transporter) removeLink(l *link) {
 	t.detachLink(l)
 	t.mu.Lock()
--- a/internal/transporter/errors.go
+++ b/internal/transporter/errors.go
@@ -1,6 +1,8 @@
-// A caller must be told the truth about "not run", so every failure here carries the phase that the call had
-// reached. Example: a refused dial gives CallError{Phase: NotSent}; a connection that dies before the answer's
-// head gives CallError{Phase: Sent}, and upstream must treat the call as maybe run.
+// A call may be reported as not run only if that is proved, so every error of a call carries the phase that the call
+// had reached.
+//
+// Example: a failed dial gives CallError{Phase: NotSent}; a connection that breaks before the answer's head gives
+// CallError{Phase: Sent}, and the call must be treated as one that may have run.
 
 package transporter
 
@@ -11,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// CallError is every error of Call and of reading an answer.
+// CallError is the type of every error of Call and of reading an answer.
 type CallError struct {
 	Peer  Peer
 	Phase Phase
@@ -28,39 +30,39 @@
 	return e.Err
 }
 
-// TooLargeError reports a head or message above its bound.
+// TooLargeError reports a head or message above its size limit.
 type TooLargeError struct {
 	What  string
 	Size  int
 	Limit int
 }
 
-// Error names what was too large, and the bound.
+// Error names what was too large, its size and the limit.
 func (e TooLargeError) Error() string {
-	return fmt.Sprintf("%s of %d bytes: at most %d are taken", e.What, e.Size, e.Limit)
+	return fmt.Sprintf("%s of %d bytes exceeds the limit of %d bytes", e.What, e.Size, e.Limit)
 }
 
-// OverflowError reports a control message dropped because too many wait for the same peer.
+// OverflowError reports a control message that was dropped because the peer's queue is full.
 type OverflowError struct {
 	Node identifier.Node
 }
 
 // Error names the peer.
 func (e OverflowError) Error() string {
-	return fmt.Sprintf("control queue to node %s is full", e.Node)
+	return fmt.Sprintf("control queue to node %s is full, message dropped", e.Node)
 }
 
-// PartitionedError reports traffic dropped by the test switch Options.Cut.
+// PartitionedError reports traffic that Options.Partitioned dropped.
 type PartitionedError struct {
 	Node identifier.Node
 }
 
 // Error names the peer.
 func (e PartitionedError) Error() string {
-	return fmt.Sprintf("node %s is cut off", e.Node)
+	return fmt.Sprintf("node %s is unreachable behind a simulated partition", e.Node)
 }
 
-// WrongNodeError reports that another node than the wanted one listens at an address.
+// WrongNodeError reports that a node other than the expected one listens at an address.
 type WrongNodeError struct {
 	Want identifier.Node
 	Got  identifier.Node
@@ -68,10 +70,10 @@
 
 // Error names both nodes.
 func (e WrongNodeError) Error() string {
-	return fmt.Sprintf("node %s was wanted, node %s answered", e.Want, e.Got)
+	return fmt.Sprintf("expected node %s, got an answer from node %s", e.Want, e.Got)
 }
 
-// BackOffError reports a peer that could not be dialled a moment ago and is not tried again yet.
+// BackOffError reports a peer that is not dialled yet because the backoff after a failed dial has not elapsed.
 type BackOffError struct {
 	Peer Peer
 	Last error
@@ -79,7 +81,7 @@
 
 // Error names the peer and the last failure.
 func (e BackOffError) Error() string {
-	return fmt.Sprintf("node %s at %s is not dialled again yet: %v", e.Peer.Node, e.Peer.Address, e.Last)
+	return fmt.Sprintf("node %s at %s is not dialled again before its backoff ends, last error: %v", e.Peer.Node, e.Peer.Address, e.Last)
 }
 
 // Unwrap returns the failure of the last dial.
@@ -87,7 +89,7 @@
 	return e.Last
 }
 
-// MalformedError reports bytes that are no frame of this protocol.
+// MalformedError reports bytes that are not a valid frame of this protocol.
 type MalformedError struct {
 	What string
 	Err  error
@@ -103,12 +105,12 @@
 	return e.Err
 }
 
-// Reasons without data of their own.
+// Errors without parameters.
 var (
-	errClosed       = errors.New("the transporter is closed")
-	errTooManyCalls = errors.New("too many calls are under way to this peer")
-	errTooManyLinks = errors.New("too many connections are in use")
-	errLinksKeepEnding     = errors.New("connections to this peer end as soon as they are made")
-	errLength       = errors.New("length out of bounds")
-	errWriteOrder     = errors.New("answer written out of order")
+	errClosed          = errors.New("transporter or body is closed")
+	errTooManyCalls    = errors.New("too many calls to this peer are under way")
+	errTooManyLinks    = errors.New("as many connections as allowed are open and none is idle")
+	errLinksKeepEnding = errors.New("connections to this peer end as soon as they are established")
+	errLength          = errors.New("length or kind out of range")
+	errWriteOrder      = errors.New("parts of the answer written out of order")
 )
--- a/internal/transporter/failure_test.go
+++ b/internal/transporter/failure_test.go
@@ -18,7 +18,7 @@
 
 type callFunc = func(context.Context, identifier.Node, CallHead, io.Reader, AnswerWriter)
 
-// zeros gives n bytes and then io.EOF.
+// zeros returns a reader of n zero bytes.
 func zeros(n int64) io.Reader {
 	return io.LimitReader(zeroReader{}, n)
 }
@@ -35,9 +35,9 @@
 	o.DialTimeout = 300 * clock.Millisecond
 }
 
-// Nodes die, hang, refuse, vanish behind a partition and turn out to be somebody else. Whoever waits for the
-// answer must learn truthfully whether the call may have run: a caller who is told "not run" sends the booking
-// again, and would be charged twice if that were wrong.
+// Nodes crash, hang, refuse, become unreachable behind a partition or are replaced by another node. The phase must be
+// right about whether the call may have run: a caller that is told "not run" sends its request again, which would run
+// twice if that were wrong.
 func TestPhaseIsTrue(t *testing.T) {
 	half := func(ctx context.Context, w AnswerWriter) {
 		_ = w.WriteHead(AnswerHead{Status: 200})
@@ -54,17 +54,17 @@
 		want    Phase
 		ran     bool
 	}{
-		"dies before the head": {
+		"crashes before the head": {
 			call:   func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, _ AnswerWriter) { <-ctx.Done() },
 			during: crash, want: Sent, ran: true,
 		},
-		"dies in the middle of the body": {
+		"crashes in the middle of the body": {
 			call: func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, w AnswerWriter) {
 				half(ctx, w)
 			},
 			during: crash, want: Answered, ran: true,
 		},
-		"handler gives up in the middle of the body": {
+		"handler returns in the middle of the body": {
 			call: func(_ context.Context, _ identifier.Node, _ CallHead, _ io.Reader, w AnswerWriter) {
 				_ = w.WriteHead(AnswerHead{Status: 200})
 				_, _ = w.Write([]byte("half"))
@@ -82,10 +82,10 @@
 		"partition before the call": {
 			prepare: func(*Transporter, *Transporter, *Peer) { partitioned.Store(true) }, want: NotSent,
 		},
-		"nobody listens": {
+		"no node listens at the address": {
 			prepare: func(_, b *Transporter, _ *Peer) { crash(b) }, want: NotSent,
 		},
-		"another node listens there": {
+		"another node listens at the address": {
 			prepare: func(_, _ *Transporter, to *Peer) { to.Node = "forerunner" }, want: NotSent,
 		},
 		"peer is closing": {
@@ -153,8 +153,8 @@
 	}
 }
 
-// A caller hangs up, or its deadline passes, while the handler at the other node still works. The handler must
-// notice, or the node works on for nobody; and its late answer must reach no one else.
+// A caller cancels, or its deadline passes, while the handler at the other node is still working. The handler's context
+// must end, or the node goes on with work whose result is not needed; and its late answer must not reach another caller.
 func TestCancelledCallEndsHandlerAndDropsAnswer(t *testing.T) {
 	f := newFleet(t)
 	ended := make(chan struct{})
@@ -185,12 +185,12 @@
 	select {
 	case <-ended:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the handler was not told that its caller had gone")
+		t.Fatal("the handler's context did not end within 2 s of the caller's cancellation")
 	}
 }
 
-// A node refuses an upload at once while the caller still sends. The caller must get the refusal, not an error
-// of its own sending, and must stop sending.
+// A node refuses an upload at once while the caller is still sending. The caller must get the refusal, not an error of
+// its upload, and must stop sending.
 func TestEarlyRefusalStopsTheUpload(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -226,8 +226,8 @@
 	return n, err
 }
 
-// A clerk uploads 200 MB through a node with 64 MB to its name, and a slow reader fetches as much. If a node
-// kept bodies, it would be killed, and all its other calls with it.
+// A caller uploads 200 MB through a node that may use 64 MB of memory, and a slow reader fetches as much. A node that
+// buffered whole bodies would run out of memory, and all its other calls would fail with it.
 func TestLargeBodiesPassWithFlatMemory(t *testing.T) {
 	f := newFleet(t)
 	const size = 200 << 20
@@ -252,8 +252,8 @@
 	assert.Assert(t, grown < 40<<20, "the heap grew by %d bytes", grown)
 }
 
-// The caller's own connection breaks in the middle of its upload. The backend server must see an error, never
-// the end of a body: half a manifest would be taken for a whole one.
+// The caller's own connection breaks in the middle of its upload. The backend server must get an error, never the end
+// of a body: it would accept half a document as a complete one.
 func TestBrokenUploadNeverEndsCleanly(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -278,7 +278,7 @@
 	assert.Equal(t, phase, NotSent)
 }
 
-// brokenReader fails once the other end is at work.
+// brokenReader fails once the handler at the peer has started.
 type brokenReader chan struct{}
 
 func (b brokenReader) Read([]byte) (int, error) {
@@ -286,18 +286,17 @@
 	return 0, io.ErrClosedPipe
 }
 
-// Somebody in the network presents a certificate of another authority, or none at all. It must neither call nor
-// be called.
+// A client in the network presents a certificate of another authority, or none. It must not be able to call a node.
 func TestUntrustedCertificatesAreRejected(t *testing.T) {
 	own, other := newFleet(t), newFleet(t)
 	called := func(context.Context, identifier.Node, CallHead, io.Reader, AnswerWriter) {
-		t.Error("a stranger's call was served")
+		t.Error("a call without a trusted certificate was served")
 	}
 	_, to := own.start("b", funcHandler{call: called}, shortTimeouts)
 	cases := map[string]*fleet{
-		"stranger calls":         {t: t, server: own.server, client: other.client},
-		"stranger trusts us":     {t: t, server: own.server, client: clientOfOtherAuthority(own, other)},
-		"stranger presents none": {t: t, server: own.server, client: withoutCertificate(own)},
+		"client of another authority":                        {t: t, server: own.server, client: other.client},
+		"client of another authority trusts this one":        {t: t, server: own.server, client: clientOfOtherAuthority(own, other)},
+		"client trusts this authority, sends no certificate": {t: t, server: own.server, client: withoutCertificate(own)},
 	}
 	for name, f := range cases {
 		a, _ := f.start("a", funcHandler{}, shortTimeouts)
@@ -307,7 +306,8 @@
 	}
 }
 
-// A peer is dead or far slower than what is sent to it. The event loop must not wait, and memory must not grow.
+// A peer is dead or handles messages far more slowly than they are sent. The event loop must not block, and memory must
+// not grow without bound.
 func TestControlQueueIsBounded(t *testing.T) {
 	f := newFleet(t)
 	block := make(chan struct{})
@@ -322,12 +322,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	assert.ErrorType(t, err, OverflowError{})
-	assert.Assert(t, accepted < 400, "%d messages of 64 KB were taken", accepted)
+	assert.Assert(t, accepted < 400, "%d messages of 64 KB were queued, expected fewer than 400", accepted)
 	assert.Assert(t, time.Since(start) < 5*time.Second)
 }
 
-// A VM is replaced while a clerk uploads: the node announces that it leaves and ends only when the upload is
-// through. An operator who sees a cut upload after a planned stop has found this broken.
+// A VM is replaced while a caller uploads: the node starts to close its links and ends only when the upload is complete.
+// Otherwise a planned stop would truncate uploads.
 func TestCloseFinishesStreams(t *testing.T) {
 	f := newFleet(t)
 	for name, closeCaller := range map[string]bool{"caller closes": true, "callee closes": false} {
@@ -357,7 +357,7 @@
 	}
 }
 
-// Calls come now and then, just when the idle connection between two nodes is let go. None may fail for that.
+// Calls arrive just when the idle connection between two nodes is being closed. None may fail for that.
 func TestClosingIdleLinksFailsNoCall(t *testing.T) {
 	f := newFleet(t)
 	idle := func(o *Options) { o.IdleAfter = 4 * clock.Millisecond }
@@ -378,11 +378,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%d idle links are left", a.Stats().Links+b.Stats().Links)
+	t.Fatalf("%d idle links are still open, expected 0", a.Stats().Links+b.Stats().Links)
 }
 
-// A VM's process is restarted while calls are on their way to it. Its peers must learn that at once, and not hold
-// callers for the seconds after which a silent peer counts as dead.
+// A VM's process is restarted while calls are on their way to it. Its peers must detect that at once rather than after
+// PeerTimeout, for which callers would wait.
 func TestRestartedPeerIsDetectedAtOnce(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, func(o *Options) { o.PeerTimeout = clock.Minute })
@@ -401,8 +401,8 @@
 	assert.NilError(t, err)
 }
 
-// Hundreds of idle connections are a node's normal state. Were each kept alive by probes, these alone would use up
-// what control may cost.
+// A node normally has hundreds of idle connections. Keep-alive packets on each would use up the whole budget for
+// control traffic. A call that takes longer than PeerTimeout must still get its answer.
 func TestIdleLinksSendNothingAndSlowCallsSurvive(t *testing.T) {
 	f := newFleet(t)
 	release := make(chan struct{})
@@ -422,6 +422,6 @@
 	time.Sleep(4 * a.options.PeerTimeout.Std())
 	after := a.Stats()
 	assert.Equal(t, after.Links, 1)
-	assert.Assert(t, after.PacketsSent <= before.PacketsSent+2, "%d packets on an idle link", after.PacketsSent-before.PacketsSent)
+	assert.Assert(t, after.PacketsSent <= before.PacketsSent+2, "%d packets sent on an idle link, expected at most 2", after.PacketsSent-before.PacketsSent)
 	assert.Equal(t, b.Stats().Links, 1)
 }
--- a/internal/transporter/frames.go
+++ b/internal/transporter/frames.go
@@ -1,5 +1,5 @@
-// A stream carries frames of a four-byte length and as many bytes. A body is a run of non-empty frames closed
-// by an empty one, so that a stream that merely ends, for whatever reason, is never taken for a whole body.
+// A stream carries frames: a length of four bytes and as many bytes of content. A body is a sequence of non-empty
+// frames followed by an empty one, the end mark, so that a stream that ends early is never mistaken for a complete body.
 //
 // Example: the answer "ok" with its tail is  head frame, 0 0 0 2 o k, 0 0 0 0, tail frame.
 
@@ -18,7 +18,7 @@
 	lengthSize = 4
 	// maxChunk bounds one frame of a body.
 	maxChunk = 32 << 10
-	// maxCoalesced is the size up to which head, body and end mark travel as one write.
+	// maxCoalesced is the size up to which head, body and end mark are sent in one write.
 	maxCoalesced = 16 << 10
 )
 
@@ -32,7 +32,7 @@
 	return bufferPool.Get().(*bytes.Buffer)
 }
 
-// A buffer that once held a large head is let go, or a few of them would be kept for ever.
+// A buffer that has grown large is not returned to the pool, where it would keep its memory.
 func putBuffer(b *bytes.Buffer) {
 	if b.Cap() > 4*maxCoalesced {
 		return
@@ -89,7 +89,7 @@
 	return int(size), err
 }
 
-// readFrame reads a whole frame into memory and hands it to use, which must not keep it.
+// readFrame reads a complete frame into memory and passes it to decode, which must not retain the bytes.
 func readFrame(r *bufio.Reader, what string, limit int, decode func([]byte) error) error {
 	size, err := readLength(r, what, limit)
 	if err != nil {
@@ -118,8 +118,8 @@
 	return err
 }
 
-// A stream that ends inside a frame lost its sender. Passed on as io.EOF it would look like the end of a whole
-// body, and a caller would keep half a manifest without notice.
+// A stream that ends inside a frame lost its sender. If this were passed on as io.EOF, it would look like the end of
+// a complete body, and a caller would accept half a document without an error.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -127,7 +127,7 @@
 	return err
 }
 
-// bodyReader reads the frames of a body and gives io.EOF only at the end mark.
+// bodyReader reads the frames of a body and returns io.EOF only at the end mark.
 type bodyReader struct {
 	r    *bufio.Reader
 	left int
@@ -161,7 +161,7 @@
 	return b.err == nil
 }
 
-// complete tells whether the end mark was read.
+// complete reports whether the end mark was read.
 func (b *bodyReader) complete() bool {
 	return errors.Is(b.err, io.EOF)
 }
--- a/internal/transporter/harness_test.go
+++ b/internal/transporter/harness_test.go
@@ -1,4 +1,4 @@
-// What the tests of this package share: throw-away certificates, a handler made of functions, a pair of nodes.
+// Shared by the tests of this package: temporary certificates, a handler made of functions, a fleet of nodes.
 
 package transporter
 
@@ -21,7 +21,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// newAuthority returns the server's and the client's TLS configuration of one throw-away authority.
+// newAuthority returns the server's and the client's TLS configuration of a temporary authority.
 func newAuthority(t testing.TB) (server, client *tls.Config) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -113,12 +113,12 @@
 	return n, Peer{Node: self, Address: n.Address()}
 }
 
-// crash ends a node as a crash does: its socket is gone, and nobody is told.
+// crash closes a node's socket without notice to its peers, as a crash of the process does.
 func crash(n *Transporter) {
 	_ = n.transport.Conn.Close()
 }
 
-// clientOfOtherAuthority returns a client that takes ours for good but shows its own authority's certificate.
+// clientOfOtherAuthority returns a client that trusts the authority of ours but presents a certificate of another one.
 func clientOfOtherAuthority(ours, stranger *fleet) *tls.Config {
 	c := stranger.client.Clone()
 	c.RootCAs = ours.client.RootCAs
--- a/internal/transporter/latency_test.go
+++ b/internal/transporter/latency_test.go
@@ -1,5 +1,5 @@
-// The design note's figures come from here: one hop over QUIC against a minimal one over TCP and TLS, with calls
-// of both interleaved in one run, since absolute times differ from run to run on a shared machine.
+// Compares one hop over QUIC with one over TCP and TLS. The calls of all variants are interleaved in one run, since
+// absolute times differ from run to run on a shared machine.
 //
 // Example: go test -run '^$' -bench HopAtSteadyRate -benchtime 8000x ./internal/transporter
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// tcpPool is the variant weighed against QUIC: one TLS connection a call under way, kept for the next call.
+// tcpPool is the first variant compared with QUIC: one TLS connection for each call under way, reused by later calls.
 type tcpPool struct {
 	address string
 	config  *tls.Config
@@ -150,7 +150,7 @@
 	return err
 }
 
-// startHTTP2 is the other variant weighed: streams over one TCP connection by the standard library.
+// startHTTP2 starts the second variant compared with QUIC: the standard library's streams over one TCP connection.
 func startHTTP2(t testing.TB) func(ctx context.Context, body string) error {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
@@ -188,7 +188,7 @@
 	}
 }
 
-// BenchmarkHopAtSteadyRate sends 400 calls a second by each way, at random moments.
+// BenchmarkHopAtSteadyRate sends 400 calls a second over each transport, at random moments.
 func BenchmarkHopAtSteadyRate(b *testing.B) {
 	f := newFleet(b)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -243,7 +243,7 @@
 	wait.Wait()
 }
 
-// BenchmarkCall is for profiles: one call after the other.
+// BenchmarkCall sends one call after the other, for profiling.
 func BenchmarkCall(b *testing.B) {
 	f := newFleet(b)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -276,8 +276,8 @@
 	})
 }
 
-// BenchmarkAbandonedCall gives each call up before its answer, as callers do in an overload: over pooled TCP
-// connections that costs the connection.
+// BenchmarkAbandonedCall cancels each call before its answer, as callers do in an overload: with pooled TCP each
+// cancelled call costs its connection.
 func BenchmarkAbandonedCall(b *testing.B) {
 	f := newFleet(b)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -315,7 +315,7 @@
 	b.ReportMetric(float64(cpuTime(b)-start)/1e3/float64(b.N), "cpu-µs/op")
 }
 
-// BenchmarkLargeBody sends 64 MB there and back.
+// BenchmarkLargeBody sends 64 MB in each direction.
 func BenchmarkLargeBody(b *testing.B) {
 	const size = 64 << 20
 	f := newFleet(b)
@@ -355,7 +355,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// reportPackets tells how many datagrams the caller's end has sent and received a call, over the whole link.
+// reportPackets reports how many packets the caller's node has sent and received per call.
 func reportPackets(b *testing.B, a *Transporter) {
 	for _, l := range a.currentLinks() {
 		s := l.conn.ConnectionStats()
--- a/internal/transporter/link.go
+++ b/internal/transporter/link.go
@@ -1,10 +1,10 @@
-// A link is one QUIC connection in use by both ends. Neither end may close it while the other could be opening
-// a stream: the call would be neither run nor provably not run. So an end that wants to let a link go says
-// goodbye (it opens no more streams), the other end says so too, each says finished when its own calls have
-// their answers, and only then is the connection closed.
+// A link is one QUIC connection that both nodes use for calls. Neither node may close it while the other could be
+// opening a stream, since it would be unknown whether that call ran. So a node that wants to close a link sends a
+// goodbye frame, after which it opens no more streams; the other node answers with a goodbye; each sends a finished
+// frame when its own calls have their answers; and only then is the connection closed.
 //
-// Example: dialler "goodbye", acceptor "goodbye", both "finished", close. Without this, an idle link closed at
-// the moment of a call would show as a call that was maybe run.
+// Example: dialler "goodbye", acceptor "goodbye", both "finished", close. Without this handshake a call on an idle
+// link that is closed at the same moment would fail as one that may have run.
 
 package transporter
 
@@ -25,19 +25,19 @@
 // Codes of closed connections.
 const (
 	codeGoodbye closeCode = iota
-	// codeNotHandled says that no stream of the connection has reached a handler.
+	// codeNotHandled means that no stream of the connection has reached a handler.
 	codeNotHandled
 	codePartitioned
 	codeMalformed
-	// codePeerTimeout says that the peer was not heard for PeerTimeout while calls were under way.
+	// codePeerTimeout means that no packet arrived from the peer for PeerTimeout while calls were under way.
 	codePeerTimeout
 )
 
 // Codes of reset streams.
 const (
-	// streamRestUnwanted says that the rest of a body is not wanted.
+	// streamRestUnwanted means that the rest of a body is not needed.
 	streamRestUnwanted quic.StreamErrorCode = iota
-	// streamNotHandled says that the call did not reach a handler.
+	// streamNotHandled means that the call did not reach a handler.
 	streamNotHandled
 	streamAborted
 	streamCancelled
@@ -49,12 +49,12 @@
 	dialled bool
 	// peer is set once, before the link is used.
 	peer atomic.Pointer[identifier.Node]
-	// calls counts calls sent and not yet answered, serving those taken and not yet answered.
+	// calls counts the calls sent and not yet answered, serving those received and not yet answered.
 	calls   atomic.Int32
 	serving atomic.Int32
 	lastUse atomic.Int64
 
-	// idle holds streams whose last exchange was whole.
+	// idle holds the streams whose last exchange was complete.
 	idleMu sync.Mutex
 	idle   []*quic.Stream
 
@@ -64,9 +64,9 @@
 	control   *quic.SendStream
 
 	mu sync.Mutex
-	// goodbyeSent and left tell that this end, the other end, has said goodbye.
+	// goodbyeSent is true when this node has begun to close the link, goodbyeReceived when the peer has.
 	goodbyeSent, goodbyeReceived bool
-	// finishedSent and peerFinished tell that this end, the other end, has all its answers.
+	// finishedSent is true when this node has the answers to all its calls, finishedReceived when the peer has.
 	finishedSent, finishedReceived bool
 }
 
@@ -99,7 +99,7 @@
 	_ = l.conn.CloseWithError(code, "")
 }
 
-// beginCall counts a new call, unless the link is being left.
+// beginCall counts a new call and returns true, unless the link is closed or this node has begun to close it.
 func (l *link) beginCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// startClose says goodbye once.
+// startClose sends the goodbye frame, once, and takes the link out of use for new calls.
 func (l *link) startClose() {
 	l.mu.Lock()
 	first := !l.goodbyeSent
@@ -137,7 +137,7 @@
 	}()
 }
 
-// continueClose says finished when it is due, and closes the connection when both ends have said so.
+// continueClose sends the finished frame when it is due, and closes the connection when both nodes have sent theirs.
 func (l *link) continueClose() {
 	l.mu.Lock()
 	due := l.goodbyeSent && l.goodbyeReceived && !l.finishedSent && l.calls.Load() == 0
@@ -155,7 +155,8 @@
 	}
 }
 
-// sendFinished tells the other end; the connection is closed by whoever hears it second, so the word is not lost.
+// sendFinished sends the finished frame. The node that receives the second of the two closes the connection, so that
+// neither frame is lost.
 func (l *link) sendFinished() {
 	if l.sendControl(frameFinished, nil) != nil {
 		l.closeNow(codeGoodbye)
@@ -178,7 +179,7 @@
 	l.continueClose()
 }
 
-// acceptLink greets a connection that another node made, and serves it until it ends.
+// acceptLink exchanges hellos on a connection that another node dialled, and serves the link until it ends.
 func (t *Transporter) acceptLink(ctx context.Context, conn *quic.Conn) {
 	l := t.newLink(conn, false)
 	r, h, err := l.readHello(ctx)
@@ -198,8 +199,8 @@
 	l.run(ctx, r)
 }
 
-// A restarted process listens at the address of its forerunner under a new id. A message meant for the old one,
-// a grant for instance, must not reach the new one, so a greeting to another id is turned away.
+// A restarted process listens at the same address under a new node id. A message for the old process, a grant for
+// instance, must not reach the new one, so a hello to another node id is rejected.
 func (t *Transporter) rejects(h hello) bool {
 	wrong := h.to != "" && h.to != t.options.Self
 	t.mu.Lock()
@@ -221,7 +222,7 @@
 	l.t.removeLink(l)
 }
 
-// sendHello opens this end's control stream with the greeting.
+// sendHello opens this node's control stream and sends the hello on it.
 func (l *link) sendHello(ctx context.Context, to identifier.Node) error {
 	s, err := l.conn.OpenUniStreamSync(ctx)
 	if err != nil {
@@ -238,7 +239,7 @@
 	return err
 }
 
-// readHello waits for the other end's control stream and its greeting.
+// readHello waits for the peer's control stream and its hello.
 func (l *link) readHello(ctx context.Context) (*bufio.Reader, hello, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.t.options.DialTimeout.Std())
 	defer cancel()
--- a/internal/transporter/options.go
+++ b/internal/transporter/options.go
@@ -1,6 +1,6 @@
-// Every bound of the transport stands here, so that an operator can sum what one process may hold at most.
+// All limits of the transport are in this file, so that the most memory that one process can use is easy to add up.
 //
-// Example: with MaxStreamWindow at 2 MB a 200 MB upload to a slow backend server holds about 2 MB, not 200.
+// Example: with MaxStreamWindow at 2 MB a 200 MB upload to a slow backend server takes about 2 MB of memory, not 200.
 
 package transporter
 
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Options is what a transporter is made of; zero bounds take the defaults below.
+// Options configures a transporter; a limit of zero is replaced by its default.
 type Options struct {
 	// Listen is the UDP address, such as "127.0.0.1:0".
 	Listen string
@@ -20,7 +20,7 @@
 	ClientTLS *tls.Config
 	Self      identifier.Node
 	Domain    identifier.FailureDomain
-	// Partitioned is a switch for tests: while it answers true, nothing passes to or from the peer.
+	// Partitioned simulates a network partition in tests: while it returns true, nothing passes to or from the peer.
 	Partitioned func(peer identifier.Node) bool
 
 	// MaxHead bounds the encoded head of a call or answer, in bytes.
@@ -41,11 +41,11 @@
 	// LinkWindow and MaxLinkWindow bound the same for a whole connection.
 	LinkWindow    uint64
 	MaxLinkWindow uint64
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds how long dialling and the exchange of hellos may take.
 	DialTimeout clock.Duration
-	// PeerTimeout is the silence after which a peer counts as dead and its calls fail.
+	// PeerTimeout is the time without a packet after which a peer counts as dead and the calls to it fail.
 	PeerTimeout clock.Duration
-	// IdleAfter is how long a dialled connection without use is kept.
+	// IdleAfter is how long an unused connection that this node dialled is kept.
 	IdleAfter clock.Duration
 	// MinBackOff and MaxBackOff bound the pause after a failed dial.
 	MinBackOff clock.Duration
@@ -76,10 +76,10 @@
 	orDefault(&o.MaxBackOff, 2*clock.Second)
 }
 
-// protocolName keeps nodes from talking to servers of some other QUIC protocol on the same port.
+// protocolName is the ALPN name; with it a handshake with a server of another QUIC protocol on the same port fails.
 const protocolName = "jackdawtide/1"
 
-// withProtocol returns a copy of c that speaks only this protocol.
+// withProtocol returns a copy of c that accepts only this protocol and TLS 1.3.
 func withProtocol(c *tls.Config) *tls.Config {
 	d := c.Clone()
 	d.NextProtos = []string{protocolName}
--- a/internal/transporter/reset.go
+++ b/internal/transporter/reset.go
@@ -1,9 +1,9 @@
-// A process that is restarted at its old address knows none of the connections of its forerunner. Unless it can say
-// so, its peers wait for PeerTimeout with every call they have sent it, several seconds each restart. The key by which
-// QUIC lets it say so must outlive the process, which keeps nothing; so it is made from the node's private key, which
-// nobody else has.
+// A process that is restarted at its old address has none of the connections of the previous process. Without a reset,
+// peers would wait for PeerTimeout, several seconds at each restart, before the calls that they have sent fail. The key
+// for QUIC's stateless reset must be the same after a restart, and a node stores nothing; so the key is derived from the
+// node's private key, which no other node has.
 //
-// Example: a peer's next packet to the restarted process is answered by a reset, and its calls fail within a
+// Example: a peer's next packet to the restarted process is answered with a reset, and the peer's calls fail within one
 // round trip, phase sent.
 
 package transporter
@@ -19,7 +19,7 @@
 
 const resetKeyLabel = "jackdawtide stateless reset"
 
-// resetKey returns nil when the private key is not at hand; peers then wait for their timeout.
+// resetKey returns nil when the private key is not available; peers then detect a restart only by PeerTimeout.
 func resetKey(c *tls.Config) *quic.StatelessResetKey {
 	if len(c.Certificates) == 0 {
 		return nil
--- a/internal/transporter/serve.go
+++ b/internal/transporter/serve.go
@@ -1,7 +1,7 @@
-// The other end of call.go: read the head, hand the call to the handler, send the answer. A handler may answer
-// before it has read the body, a refusal above all; the peer is then told to stop sending.
+// The receiving side of call.go: it reads the head, passes the call to the handler and sends the answer. A handler may
+// answer before it has read the body, which is usual for a refusal; the peer's upload is then stopped.
 //
-// Example: a small answer (head, body, end mark, tail) leaves as one write.
+// Example: a small answer (head, body, end mark, tail) is sent in one write.
 
 package transporter
 
@@ -15,7 +15,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// serveStream answers the calls of one stream, one after the other, until an exchange on it was not whole.
+// serveStream serves the calls of one stream one after the other, until an exchange on it is incomplete.
 func (l *link) serveStream(s *quic.Stream) {
 	for l.awaitCall(s) {
 		l.serving.Add(1)
@@ -28,7 +28,7 @@
 	}
 }
 
-// awaitCall waits for the next call without holding a buffer for it.
+// awaitCall waits for the next call without allocating a buffer for it.
 func (l *link) awaitCall(s *quic.Stream) bool {
 	var first [1]byte
 	if _, err := s.Peek(first[:]); err != nil {
@@ -39,7 +39,7 @@
 	return true
 }
 
-// serveCall answers one call and tells whether the stream can carry another.
+// serveCall serves one call and reports whether the stream can carry another.
 func (l *link) serveCall(s *quic.Stream) bool {
 	r := getReader(s)
 	defer putReader(r)
@@ -62,8 +62,8 @@
 	return w.finish()
 }
 
-// requestBody guards the pooled reader: a handler that leaves a goroutine behind which still reads the body
-// must get an error, not bytes of the next call.
+// requestBody protects the pooled reader: a goroutine that a handler leaves behind and that still reads the body must
+// get an error, not bytes of the next call.
 type requestBody struct {
 	mu   sync.Mutex
 	body bodyReader
@@ -76,8 +76,8 @@
 	return r.body.Read(p)
 }
 
-// complete tells whether all was read. A rest that has arrived but was not asked for, such as the small body of a
-// refused call, is thrown away: the stream is then clean for the next call.
+// fullyRead reports whether the complete body has been read. Bytes that have arrived but that the handler did not read,
+// such as the small body of a refused call, are discarded, so that the stream can carry the next call.
 func (r *requestBody) fullyRead() bool {
 	if !r.mu.TryLock() {
 		return false
@@ -101,13 +101,13 @@
 }
 
 type answerWriter struct {
-	stream  *quic.Stream
-	body    *requestBody
-	maxHead int
-	buffer  *bytes.Buffer
-	headWritten  bool
-	closed  bool
-	// reusable tells that the answer is whole and the stream can carry another call.
+	stream      *quic.Stream
+	body        *requestBody
+	maxHead     int
+	buffer      *bytes.Buffer
+	headWritten bool
+	closed      bool
+	// reusable means that the answer is complete and that the stream can carry another call.
 	reusable bool
 }
 
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// sendFinished ends the exchange and tells whether the stream can carry another. An answer that its handler did not
-// close is reset: the caller gets an error, never half an answer.
+// finish ends the exchange and reports whether the stream can carry another. If the handler did not close the answer,
+// the stream is reset: the caller gets an error, never a truncated answer.
 func (w *answerWriter) finish() bool {
 	if !w.closed {
 		w.stream.CancelWrite(streamAborted)
--- a/internal/transporter/stats.go
+++ b/internal/transporter/stats.go
@@ -1,11 +1,10 @@
-// Operators see by these counts whether control traffic keeps within its budget, and the capacity page's slopes are
-// made of them.
+// These counts show operators whether control traffic stays within its budget; capacity planning is based on them too.
 //
 // Example: BytesSent counts QUIC packets without their UDP and IP headers; add 28 bytes a packet for IPv4.
 
 package transporter
 
-// Stats counts what a transporter has carried so far.
+// Stats counts what a transporter has sent and received so far.
 type Stats struct {
 	// Links is the number of open connections; the other counts only grow.
 	Links           int
@@ -15,10 +14,10 @@
 	PacketsReceived uint64
 	BytesSent       uint64
 	BytesReceived   uint64
-	// ControlSent counts messages written, ControlDropped those given up for a full queue or an unreachable peer.
+	// ControlSent counts the messages written, ControlDropped those dropped for a full queue or an unreachable peer.
 	ControlSent    uint64
 	ControlDropped uint64
-	// ControlBytes counts the bytes of the messages written, without what the connections add.
+	// ControlBytes counts the bytes of the messages written, without the overhead of frames and QUIC.
 	ControlBytes uint64
 }
 
--- a/internal/transporter/crossing_test.go
+++ b/internal/transporter/stream_reuse_test.go
@@ -15,9 +15,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Many callers share one connection and its streams; some hang up before the answer, some in the middle of it,
-// some are slow. If a stream were used again too early, a caller would get the rest of a stranger's answer, which
-// it can't tell from its own.
+// Many callers share one connection and its streams; some cancel before the answer, some in the middle of it, some are
+// slow. If a stream were reused too early, a caller would get the rest of another caller's answer, which it can't tell
+// from its own.
 func TestAnswersNeverReachAnotherCaller(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -57,18 +57,18 @@
 		want = random.IntN(len(body))
 	}
 	got, err := io.ReadAll(io.LimitReader(answer.Body, int64(want)))
-	assert.Check(t, strings.HasPrefix(body, string(got)), "%s got another's answer", marker)
+	assert.Check(t, strings.HasPrefix(body, string(got)), "caller %s got an answer to another call", marker)
 	assert.Check(t, err == nil || cancels, "%v", err)
 	if closesEarly {
 		return
 	}
 	_, _ = io.ReadAll(answer.Body)
 	_, whole := answer.Tail()
-	assert.Check(t, whole || cancels, "%s: no whole answer", marker)
+	assert.Check(t, whole || cancels, "caller %s got an incomplete answer", marker)
 }
 
-// A refused call's body was never read. If its stream carried the next call, the rest of that body would be taken
-// for a call's head, and a caller could write himself a call in another team's name.
+// The body of a refused call is not read. If its stream carried the next call, the rest of that body would be parsed as
+// a call's head, and a caller could forge a call in another team's name.
 func TestUnreadBodyIsNeverParsedAsCall(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.start("a", funcHandler{}, nil)
--- a/internal/transporter/streams.go
+++ b/internal/transporter/streams.go
@@ -1,9 +1,9 @@
-// Opening a stream for every call costs two packets more (its end, and the credit for another stream) and a
-// goroutine's start at the peer. So a stream carries one call at a time, and after a whole exchange it waits for
-// the next. Only a stream on which both ends know that request and answer were whole is used again: a late byte of
-// an abandoned exchange would otherwise reach another caller.
+// Opening a stream for every call costs two more packets (the stream's end, and the credit for another stream) and the
+// start of a goroutine at the peer. So a stream carries one call at a time and is reused after a complete exchange. Only
+// a stream on which both nodes know that request and answer were complete is reused: otherwise a late byte of an
+// abandoned exchange could reach another caller.
 //
-// Example: call 1 is answered whole, call 2 takes its stream; call 2 is cancelled, its stream is reset and gone.
+// Example: call 1 gets its complete answer, call 2 reuses the stream; call 2 is cancelled, and the stream is reset.
 
 package transporter
 
@@ -13,10 +13,10 @@
 	"github.com/quic-go/quic-go"
 )
 
-// maxIdleStreams bounds what a peak of calls leaves behind on one link.
+// maxIdleStreams bounds the idle streams that a peak of calls leaves on one link.
 const maxIdleStreams = 64
 
-// acquireStream returns an idle stream or opens one.
+// acquireStream returns an idle stream or opens a new one.
 func (l *link) acquireStream(ctx context.Context) (*quic.Stream, error) {
 	l.idleMu.Lock()
 	if n := len(l.idle); n > 0 {
@@ -29,7 +29,7 @@
 	return l.conn.OpenStreamSync(ctx)
 }
 
-// releaseStream keeps the stream of a whole exchange for the next call.
+// releaseStream keeps the stream of a complete exchange for the next call.
 func (l *link) releaseStream(s *quic.Stream) {
 	l.idleMu.Lock()
 	defer l.idleMu.Unlock()
--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -1,5 +1,5 @@
-// One UDP socket serves all: calls taken, calls sent, control both ways. A connection is used in both
-// directions, whoever dialled it, so that two nodes share one, and its handshake is paid once.
+// One UDP socket carries all traffic: calls received, calls sent, and control messages in both directions. A
+// connection is used in both directions whichever node dialled it, so two nodes share one connection and one handshake.
 //
 // Example: t, _ := New(options, handler); t.Start(ctx); t.Call(ctx, Peer{"n2", "127.0.0.1:7002"}, head, nil).
 
@@ -25,37 +25,37 @@
 	config    *quic.Config
 	transport *quic.Transport
 	listener  *quic.Listener
-	// ended is closed when nothing may run any more.
-	ended chan struct{}
-	cancel   context.CancelFunc
-	wait  sync.WaitGroup
+	// ended is created by New but neither closed nor read.
+	ended  chan struct{}
+	cancel context.CancelFunc
+	wait   sync.WaitGroup
 
 	mu      sync.Mutex
 	closing bool
 	peers   map[identifier.Node]*peerState
-	// peersByAddress holds peers known only by their address.
+	// peersByAddress holds peers of which only the address is known.
 	peersByAddress map[string]*peerState
-	links   map[*link]struct{}
-	// totals holds the counts of links that have ended, and those that belong to no link.
+	links          map[*link]struct{}
+	// totals holds the counts of links that have ended, and the counts that belong to no link.
 	totals Stats
 }
 
-// New returns a transporter that does nothing until Start.
+// New returns a transporter; it neither listens nor sends before Start.
 func New(o Options, h Handler) *Transporter {
 	o.fillDefaults()
 	return &Transporter{
-		options: o,
-		handler: h,
-		config:  quicConfig(o),
-		ended:   make(chan struct{}),
-		peers:   map[identifier.Node]*peerState{},
+		options:        o,
+		handler:        h,
+		config:         quicConfig(o),
+		ended:          make(chan struct{}),
+		peers:          map[identifier.Node]*peerState{},
 		peersByAddress: map[string]*peerState{},
-		links:   map[*link]struct{}{},
+		links:          map[*link]struct{}{},
 	}
 }
 
-// quicConfig sends no probes on idle connections: with a hundred of them they alone would take a node's whole control
-// budget. What must be noticed early, the death of a peer with calls under way, is the matter of watcher.go.
+// quicConfig leaves keep-alive packets off: on a hundred idle connections they would use up a node's whole budget for
+// control traffic. A peer that crashes while calls are under way is detected by watcher.go.
 func quicConfig(o Options) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           o.DialTimeout.Std(),
@@ -69,7 +69,7 @@
 	}
 }
 
-// Start binds the address and begins to take connections.
+// Start binds the address and begins to accept connections.
 func (t *Transporter) Start(_ context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", t.options.Listen)
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Close takes nothing new, lets the streams under way finish until ctx ends, and lets the socket go.
+// Close rejects new calls, waits until the streams under way have finished or ctx ends, and closes the socket.
 func (t *Transporter) Close(ctx context.Context) error {
 	t.mu.Lock()
 	t.closing = true
@@ -157,7 +157,8 @@
 	return t.options.Partitioned != nil && t.options.Partitioned(n)
 }
 
-// maintenanceLoop lets idle connections go and, in tests, kills those that are cut off.
+// maintenanceLoop closes idle connections, detects dead peers and, in tests, closes the connections to partitioned
+// peers.
 func (t *Transporter) maintenanceLoop(ctx context.Context) {
 	period := min(t.options.IdleAfter, t.options.PeerTimeout).Std() / 4
 	if t.options.Partitioned != nil {
--- a/internal/transporter/transporter_test.go
+++ b/internal/transporter/transporter_test.go
@@ -61,7 +61,7 @@
 		case m := <-got:
 			assert.Assert(t, bytes.Equal(m, want))
 		case <-time.After(5 * time.Second):
-			t.Fatalf("a message of %d bytes did not arrive", size)
+			t.Fatalf("control message of %d bytes did not arrive within 5 s", size)
 		}
 	}
 	assert.ErrorType(t, a.SendControl(peerB, make([]byte, 1<<20+1)), TooLargeError{})
--- a/internal/transporter/watcher.go
+++ b/internal/transporter/watcher.go
@@ -1,17 +1,18 @@
-// A peer that dies says nothing, and whoever waits for its answer, or works for it, would wait on. So a link with calls
-// under way is watched: after a quarter of PeerTimeout without a packet a probe asks for one, and after the whole of it
-// the peer counts as dead. An idle link costs nothing; that nobody is there is then noticed by the next call.
+// A peer that crashes sends nothing, and callers that wait for its answers, and handlers that work for it, would not
+// end. So a link with calls under way is checked four times per PeerTimeout or more often: if no packet arrived for an
+// eighth of PeerTimeout, a probe is sent; after PeerTimeout without one the peer counts as dead. Idle links are not
+// probed; the next call detects a dead peer.
 //
-// Example: PeerTimeout 4 s: the peer is killed at 0 s, probes go out at 1, 2 and 3 s, the calls fail at 4 to 5 s.
+// Example: PeerTimeout 4 s: the peer crashes at 0 s, probes are sent at 1, 2 and 3 s, the calls fail at 4 to 5 s.
 
 package transporter
 
 import "time"
 
-// watcher belongs to the transporter's tending goroutine alone.
+// watcher is used only by the goroutine that runs maintenanceLoop.
 type watcher struct {
-	packets uint64
-	lastContact   time.Time
+	packets     uint64
+	lastContact time.Time
 }
 
 func (l *link) checkPeer(now time.Time) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// sendProbe leaves it to the frames under way to be acknowledged when there are any.
+// sendProbe sends no probe while another control frame is being written, whose acknowledgement serves as well.
 func (l *link) sendProbe() {
 	if !l.controlMu.TryLock() {
 		return
