--- a/internal/transporter/failure_test.go
+++ b/internal/transporter/failure_test.go
@@ -39,7 +39,7 @@
 // right about whether the call may have run: a caller that is told "not run" sends its request again, which would run
 // twice if that were wrong.
 func TestPhaseIsTrue(t *testing.T) {
-	half := func(ctx context.Context, w AnswerWriter) {
+	writeHalf := func(ctx context.Context, w AnswerWriter) {
 		_ = w.WriteHead(AnswerHead{Status: 200})
 		_, _ = w.Write([]byte("half"))
 		_ = w.Flush()
@@ -60,7 +60,7 @@
 		},
 		"crashes in the middle of the body": {
 			call: func(ctx context.Context, _ identifier.Node, _ CallHead, _ io.Reader, w AnswerWriter) {
-				half(ctx, w)
+				writeHalf(ctx, w)
 			},
 			during: crash, want: Answered, ran: true,
 		},
--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -27,7 +27,7 @@
 	listener  *quic.Listener
 	// ended is created by New but neither closed nor read.
 	ended  chan struct{}
-	cancel context.CancelFunc
+	cancelAll context.CancelFunc
 	wait   sync.WaitGroup
 
 	mu      sync.Mutex
@@ -85,7 +85,7 @@
 		return errors.Join(fmt.Errorf("listen: %w", err), socket.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t.cancel = cancel
+	t.cancelAll = cancel
 	t.wait.Go(func() { t.acceptLinks(ctx) })
 	t.wait.Go(func() { t.maintenanceLoop(ctx) })
 	return nil
@@ -116,7 +116,7 @@
 		l.startClose()
 	}
 	err := t.waitLinks(ctx, links)
-	t.cancel()
+	t.cancelAll()
 	for _, l := range t.currentLinks() {
 		l.closeNow(codeGoodbye)
 	}
