--- a/internal/certifier/authority.go
+++ b/internal/certifier/authority.go
@@ -99,7 +99,7 @@
 		return Pair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
-	template.ExtKeyUsage = usages(i.Role)
+	template.ExtKeyUsage = keyUsages(i.Role)
 	template.URIs = []*url.URL{i.uri()}
 	return sign(template, a.certificate, key, a.key)
 }
@@ -114,8 +114,8 @@
 	return fmt.Sprintf("no PEM block for the %s", e.What)
 }
 
-// usages lets only nodes serve: with an operator's stolen certificate nobody can pose as a node.
-func usages(r Role) []x509.ExtKeyUsage {
+// keyUsages lets only nodes serve: with an operator's stolen certificate nobody can pose as a node.
+func keyUsages(r Role) []x509.ExtKeyUsage {
 	if r == Operator {
 		return []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	}
--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -13,7 +13,7 @@
 
 const valid = time.Hour
 
-func trustOf(t *testing.T, a Authority, i Identity, now time.Time) Trust {
+func issueTrust(t *testing.T, a Authority, i Identity, now time.Time) Trust {
 	t.Helper()
 	p, err := a.Issue(i, now, valid)
 	assert.NilError(t, err)
@@ -65,7 +65,7 @@
 
 // Somebody on the network poses as a node, with no certificate, one of another CA, an expired one, or an
 // operator's. Were it let in, it could grant itself every team's rate, and end users would pay for the calls.
-func TestWhoIsLetIn(t *testing.T) {
+func TestHandshakeChecksCertificateAndRole(t *testing.T) {
 	now := time.Now()
 	a, err := NewAuthority(now, valid)
 	assert.NilError(t, err)
@@ -73,7 +73,7 @@
 	assert.NilError(t, err)
 	node := Identity{Role: Node, Name: "portal-1"}
 	operator := Identity{Role: Operator, Name: "eva"}
-	here := trustOf(t, a, node, now)
+	trust := issueTrust(t, a, node, now)
 
 	cases := map[string]struct {
 		client *tls.Config
@@ -82,27 +82,27 @@
 		serverSays string
 		clientSays string
 	}{
-		"node":           {client: trustOf(t, a, Identity{Node, "portal-2"}, now).Client(nil), roles: []Role{Node}},
-		"operator":       {client: trustOf(t, a, operator, now).Client(nil), roles: []Role{Node, Operator}},
+		"node":           {client: issueTrust(t, a, Identity{Node, "portal-2"}, now).Client(nil), roles: []Role{Node}},
+		"operator":       {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node, Operator}},
 		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, serverSays: "certificate", clientSays: "certificate"},
-		"another CA":     {client: trustOf(t, foreign, node, now).Client(nil), roles: []Role{Node}, serverSays: "certificate", clientSays: "unknown authority"},
-		"expired":        {client: trustOf(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, serverSays: "expired", clientSays: "certificate"},
-		"wrong role":     {client: trustOf(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not let in", clientSays: "certificate"},
+		"another CA":     {client: issueTrust(t, foreign, node, now).Client(nil), roles: []Role{Node}, serverSays: "certificate", clientSays: "unknown authority"},
+		"expired":        {client: issueTrust(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, serverSays: "expired", clientSays: "certificate"},
+		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not let in", clientSays: "certificate"},
 		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, serverSays: "unsupported versions", clientSays: "protocol version"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			serverErr, clientErr := handshake(t, here.Server(nil, c.roles...), c.client)
+			serverErr, clientErr := handshake(t, trust.Server(nil, c.roles...), c.client)
 			check(t, serverErr, c.serverSays)
 			check(t, clientErr, c.clientSays)
 		})
 	}
 	t.Run("operator as server", func(t *testing.T) {
-		poser := trustOf(t, a, operator, now).Server(nil, Node)
-		_, clientErr := handshake(t, poser, here.Client(nil))
+		impostor := issueTrust(t, a, operator, now).Server(nil, Node)
+		_, clientErr := handshake(t, impostor, trust.Client(nil))
 		check(t, clientErr, "incompatible key usage")
 	})
-	assert.Equal(t, here.Identity(), node)
+	assert.Equal(t, trust.Identity(), node)
 }
 
 func check(t *testing.T, err error, part string) {
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -7,23 +7,23 @@
 
 // Suspension finds out for how long the VM was suspended; the zero value is ready to use.
 type Suspension struct {
-	ahead Duration
+	offset Duration
 	known bool
 }
 
-// leastSuspension is the difference from which a suspension is told: the two clocks are not read at the same instant,
+// minSuspension is the difference from which a suspension is told: the two clocks are not read at the same instant,
 // and a busy processor may put some tens of milliseconds between them.
-const leastSuspension = 300 * Millisecond
+const minSuspension = 300 * Millisecond
 
 // Since returns for how long the VM was suspended since the last call, 0 for not at all.
 func (s *Suspension) Since(now, boot Time) Duration {
-	ahead := boot.Sub(now)
-	gap := ahead - s.ahead
-	if s.known && gap < leastSuspension {
+	offset := boot.Sub(now)
+	gap := offset - s.offset
+	if s.known && gap < minSuspension {
 		return 0
 	}
 	known := s.known
-	s.ahead, s.known = ahead, true
+	s.offset, s.known = offset, true
 	if !known {
 		return 0
 	}
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -8,7 +8,7 @@
 
 // A VM is suspended for three seconds and its process does not see them pass. Whoever asks for what it believes would
 // get news of before as if they were of now.
-func TestSuspensionIsSeenOnce(t *testing.T) {
+func TestSuspensionIsReportedOnce(t *testing.T) {
 	var s Suspension
 	assert.Equal(t, s.Since(100, 5100), Duration(0))
 	assert.Equal(t, s.Since(200, 5250), Duration(0))
--- a/internal/encoder/grants.go
+++ b/internal/encoder/grants.go
@@ -101,8 +101,8 @@
 	register(kindLoanRequest, loanRequestToWire, loanRequestFromWire)
 	register(kindLoan, loanToWire, loanFromWire)
 	register(kindRecall, recallToWire, recallFromWire)
-	register(kindSharesQuery, queryToWire, queryFromWire)
-	register(kindSharesConfirm, confirmToWire, confirmFromWire)
+	register(kindSharesQuery, sharesQueryToWire, sharesQueryFromWire)
+	register(kindSharesConfirm, sharesConfirmToWire, sharesConfirmFromWire)
 }
 
 func askToWire(m granter.Ask) askWire {
@@ -194,22 +194,22 @@
 	}
 }
 
-func queryToWire(m granter.SharesQuery) sharesWire {
+func sharesQueryToWire(m granter.SharesQuery) sharesWire {
 	return sharesWire{Slot: m.Slot, Domain: string(m.Domain), Version: int64(m.Version), PerMille: m.PerMille}
 }
 
-func queryFromWire(w sharesWire) granter.SharesQuery {
+func sharesQueryFromWire(w sharesWire) granter.SharesQuery {
 	return granter.SharesQuery{
 		Slot: w.Slot, Domain: identifier.FailureDomain(w.Domain), Version: identifier.Version(w.Version),
 		PerMille: w.PerMille,
 	}
 }
 
-func confirmToWire(m granter.SharesConfirm) sharesWire {
-	return queryToWire(granter.SharesQuery{Slot: m.Slot, Domain: m.Domain, Version: m.Version})
+func sharesConfirmToWire(m granter.SharesConfirm) sharesWire {
+	return sharesQueryToWire(granter.SharesQuery{Slot: m.Slot, Domain: m.Domain, Version: m.Version})
 }
 
-func confirmFromWire(w sharesWire) granter.SharesConfirm {
-	q := queryFromWire(w)
+func sharesConfirmFromWire(w sharesWire) granter.SharesConfirm {
+	q := sharesQueryFromWire(w)
 	return granter.SharesConfirm{Slot: q.Slot, Domain: q.Domain, Version: q.Version}
 }
--- a/internal/encoder/grants_test.go
+++ b/internal/encoder/grants_test.go
@@ -15,8 +15,8 @@
 
 // A field that the codec forgets would come back as zero: a promise would never count, or a loan would be lost, and
 // operators would see claims that nobody holds.
-func TestClaimsAndGrantsComeBackUnchanged(t *testing.T) {
-	tables := map[string]*rapid.Generator[any]{
+func TestClaimsAndGrantsRoundTrip(t *testing.T) {
+	generators := map[string]*rapid.Generator[any]{
 		"claim":          rapid.Make[claimer.Claim]().AsAny(),
 		"promiseRequest": rapid.Make[claimer.PromiseRequest]().AsAny(),
 		"promise":        rapid.Make[claimer.Promise]().AsAny(),
@@ -28,9 +28,9 @@
 		"sharesQuery":    rapid.Make[granter.SharesQuery]().AsAny(),
 		"sharesConfirm":  rapid.Make[granter.SharesConfirm]().AsAny(),
 	}
-	for name, g := range tables {
+	for name, g := range generators {
 		t.Run(name, func(t *testing.T) {
-			filled := map[int]bool{}
+			nonZero := map[int]bool{}
 			for seed := range 50 {
 				v := g.Example(seed)
 				b, err := Encode(v)
@@ -41,11 +41,11 @@
 					t.Fatalf("sent %+v, received %+v", v, w)
 				}
 				for i := range reflect.TypeOf(v).NumField() {
-					filled[i] = filled[i] || !reflect.ValueOf(v).Field(i).IsZero()
+					nonZero[i] = nonZero[i] || !reflect.ValueOf(v).Field(i).IsZero()
 				}
 			}
-			assert.Equal(t, len(filled), reflect.TypeOf(g.Example(0)).NumField())
-			for i, f := range filled {
+			assert.Equal(t, len(nonZero), reflect.TypeOf(g.Example(0)).NumField())
+			for i, f := range nonZero {
 				assert.Check(t, f, "field %d was never drawn", i)
 			}
 		})
--- a/internal/encoder/idempotency.go
+++ b/internal/encoder/idempotency.go
@@ -103,7 +103,7 @@
 	Records     []handoverRecordWire
 	UnknownUpTo int64
 	OpaqueUntil int64
-	High        int64
+	LatestWall        int64
 	RefusedAt   int64
 }
 
@@ -272,7 +272,7 @@
 		}),
 		UnknownUpTo: int64(m.UnknownUpTo),
 		OpaqueUntil: int64(m.OpaqueUntil),
-		High:        int64(m.LatestWall),
+		LatestWall:        int64(m.LatestWall),
 		RefusedAt:   int64(m.RefusedAt),
 	}
 }
@@ -297,7 +297,7 @@
 		}),
 		UnknownUpTo: clock.Wall(w.UnknownUpTo),
 		OpaqueUntil: clock.Wall(w.OpaqueUntil),
-		LatestWall:  clock.Wall(w.High),
+		LatestWall:  clock.Wall(w.LatestWall),
 		RefusedAt:   clock.Wall(w.RefusedAt),
 	}
 }
--- a/internal/encoder/membership.go
+++ b/internal/encoder/membership.go
@@ -50,7 +50,7 @@
 	Endpoints    []endpointWire
 }
 
-type newsWire struct {
+type statusWire struct {
 	_       struct{} `cbor:",toarray"`
 	Offset  int64
 	Version int64
@@ -68,7 +68,7 @@
 type pingWire struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint32
-	News     newsWire
+	Status     statusWire
 	Hash     uint64
 	Updates  []memberWire
 }
@@ -76,7 +76,7 @@
 type ackWire struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint32
-	News     newsWire
+	Status     statusWire
 	Updates  []memberWire
 }
 
@@ -151,12 +151,12 @@
 
 type subscriptionWire struct {
 	_        struct{} `cbor:",toarray"`
-	Answer   bool
-	Same     bool
+	IsAnswer   bool
+	Unchanged     bool
 	Members  []memberWire
 	Contacts []contactWire
-	Silent   []string
-	Heard    []string
+	SilentDomains   []string
+	ReachableDomains    []string
 }
 
 type joinedWire struct {
@@ -233,8 +233,8 @@
 	}
 }
 
-func newsToWire(n gossiper.Status) newsWire {
-	return newsWire{
+func statusToWire(n gossiper.Status) statusWire {
+	return statusWire{
 		Offset:  int64(n.Offset),
 		Version: int64(n.Version),
 		InForce: string(n.InForce),
@@ -242,7 +242,7 @@
 	}
 }
 
-func newsFromWire(w newsWire) gossiper.Status {
+func statusFromWire(w statusWire) gossiper.Status {
 	return gossiper.Status{
 		Offset:  identifier.Offset(w.Offset),
 		Version: identifier.Version(w.Version),
@@ -268,7 +268,7 @@
 func pingToWire(p gossiper.Ping) pingWire {
 	return pingWire{
 		Sequence: p.Sequence,
-		News:     newsToWire(p.Status),
+		Status:     statusToWire(p.Status),
 		Hash:     p.Hash,
 		Updates:  mapSlice(p.Updates, memberToWire),
 	}
@@ -277,20 +277,20 @@
 func pingFromWire(w pingWire) gossiper.Ping {
 	return gossiper.Ping{
 		Sequence: w.Sequence,
-		Status:   newsFromWire(w.News),
+		Status:   statusFromWire(w.Status),
 		Hash:     w.Hash,
 		Updates:  mapSlice(w.Updates, memberFromWire),
 	}
 }
 
 func ackToWire(a gossiper.Ack) ackWire {
-	return ackWire{Sequence: a.Sequence, News: newsToWire(a.Status), Updates: mapSlice(a.Updates, memberToWire)}
+	return ackWire{Sequence: a.Sequence, Status: statusToWire(a.Status), Updates: mapSlice(a.Updates, memberToWire)}
 }
 
 func ackFromWire(w ackWire) gossiper.Ack {
 	return gossiper.Ack{
 		Sequence: w.Sequence,
-		Status:   newsFromWire(w.News),
+		Status:   statusFromWire(w.Status),
 		Updates:  mapSlice(w.Updates, memberFromWire),
 	}
 }
@@ -419,23 +419,23 @@
 
 func subscriptionToWire(s gossiper.Subscription) subscriptionWire {
 	return subscriptionWire{
-		Answer:   s.IsAnswer,
-		Same:     s.Unchanged,
+		IsAnswer:   s.IsAnswer,
+		Unchanged:     s.Unchanged,
 		Members:  mapSlice(s.Members, memberToWire),
 		Contacts: mapSlice(s.Contacts, contactToWire),
-		Silent:   mapSlice(s.SilentDomains, toText[identifier.FailureDomain]),
-		Heard:    mapSlice(s.ReachableDomains, toText[identifier.FailureDomain]),
+		SilentDomains:   mapSlice(s.SilentDomains, toText[identifier.FailureDomain]),
+		ReachableDomains:    mapSlice(s.ReachableDomains, toText[identifier.FailureDomain]),
 	}
 }
 
 func subscriptionFromWire(w subscriptionWire) gossiper.Subscription {
 	return gossiper.Subscription{
-		IsAnswer:         w.Answer,
-		Unchanged:        w.Same,
+		IsAnswer:         w.IsAnswer,
+		Unchanged:        w.Unchanged,
 		Members:          mapSlice(w.Members, memberFromWire),
 		Contacts:         mapSlice(w.Contacts, contactFromWire),
-		SilentDomains:    mapSlice(w.Silent, fromText[identifier.FailureDomain]),
-		ReachableDomains: mapSlice(w.Heard, fromText[identifier.FailureDomain]),
+		SilentDomains:    mapSlice(w.SilentDomains, fromText[identifier.FailureDomain]),
+		ReachableDomains: mapSlice(w.ReachableDomains, fromText[identifier.FailureDomain]),
 	}
 }
 
