--- a/internal/encoder/claims.go
+++ b/internal/encoder/claims.go
@@ -1,6 +1,6 @@
-// The wire forms of claims: the record on the log and the two messages between holder and witness.
+// Wire types of claims: the record on the log and the two messages between holder and witness.
 //
-// Example: a PromiseRequest for "ids/3" costs about twenty bytes, so a fleet's heartbeats cost little.
+// Example: a PromiseRequest for "ids/3" takes about twenty bytes, so that a fleet's heartbeats cost little.
 
 package encoder
 
--- a/internal/encoder/configuration.go
+++ b/internal/encoder/configuration.go
@@ -1,5 +1,5 @@
-// Configuration records outlive the version that wrote them, so their wire forms only ever grow at the end.
-// All matters' records travel within Tail as the bytes that were read, never encoded anew.
+// Configuration records outlive the version that wrote them, so fields are only added at the end of their wire types.
+// Tail carries the records of the log, of all kinds, as the bytes that were read; they are not encoded again.
 //
 // Example: Encode(configurer.SwitchPreset{…}) gives about 80 bytes, mostly the change's id and names.
 
@@ -191,7 +191,7 @@
 	register(kindConfigurationState, stateToWire, stateFromWire)
 }
 
-// mapSlice keeps nil as nil, so that a value survives the way to bytes and back unchanged.
+// mapSlice keeps nil as nil, so that encoding and decoding give back the same value.
 func mapSlice[A, B any](in []A, f func(A) B) []B {
 	if in == nil {
 		return nil
--- a/internal/encoder/configuration_test.go
+++ b/internal/encoder/configuration_test.go
@@ -10,7 +10,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/configurer"
 )
 
-// checkRoundTrip draws values of a type, with nil slices and pointers among them, and wants each back unchanged.
+// checkRoundTrip draws values of a type, some with nil slices and pointers, and checks that encoding and decoding give
+// back the same value.
 func checkRoundTrip[T any](t *testing.T) {
 	t.Helper()
 	g := rapid.Make[T]()
@@ -20,7 +21,7 @@
 		assert.NilError(t, err)
 		back, err := Decode(b)
 		assert.NilError(t, err)
-		assert.Assert(t, reflect.DeepEqual(any(v), back), "%#v\n%#v", v, back)
+		assert.Assert(t, reflect.DeepEqual(any(v), back), "encoded %#v,\ndecoded %#v", v, back)
 	})
 }
 
--- a/internal/encoder/doc.go
+++ b/internal/encoder/doc.go
@@ -1,2 +1,2 @@
-// Package encoder maps messages between nodes, and records on the platform's log, to bytes and back.
+// Package encoder encodes the messages between nodes and the records on the platform's log, and decodes them.
 package encoder
--- a/internal/encoder/grants.go
+++ b/internal/encoder/grants.go
@@ -1,7 +1,7 @@
-// The wire forms of the granter's messages. Asks and grants are the most frequent control messages of all, so they
-// are arrays of numbers but for the names of the team and the domain.
+// Wire types of the granter's messages. Ask and Grant are the most frequent control messages, so they consist of numbers
+// only, except for the names of the team and the failure domain.
 //
-// Example: an Ask without returned slices costs about thirty bytes.
+// Example: an Ask without returned slices takes about thirty bytes.
 
 package encoder
 
--- a/internal/encoder/grants_test.go
+++ b/internal/encoder/grants_test.go
@@ -1,4 +1,5 @@
-// Each message and record must come back from its bytes unchanged, so every field is drawn, also at odd values.
+// Each message and record must be the same after encoding and decoding, so every field is drawn, with unusual values
+// too.
 
 package encoder
 
@@ -13,8 +14,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/granter"
 )
 
-// A field that the codec forgets would come back as zero: a promise would never count, or a loan would be lost, and
-// operators would see claims that nobody holds.
+// Guards against a field that the codec omits and that is therefore zero after decoding: a promise would not count, or a
+// loan would be lost, and claims would have no holder.
 func TestClaimsAndGrantsRoundTrip(t *testing.T) {
 	generators := map[string]*rapid.Generator[any]{
 		"claim":          rapid.Make[claimer.Claim]().AsAny(),
@@ -38,7 +39,7 @@
 				w, err := Decode(b)
 				assert.NilError(t, err)
 				if !reflect.DeepEqual(emptyToNil(v), emptyToNil(w)) {
-					t.Fatalf("sent %+v, received %+v", v, w)
+					t.Fatalf("encoded %+v, decoded %+v", v, w)
 				}
 				for i := range reflect.TypeOf(v).NumField() {
 					nonZero[i] = nonZero[i] || !reflect.ValueOf(v).Field(i).IsZero()
@@ -46,13 +47,13 @@
 			}
 			assert.Equal(t, len(nonZero), reflect.TypeOf(g.Example(0)).NumField())
 			for i, f := range nonZero {
-				assert.Check(t, f, "field %d was never drawn", i)
+				assert.Check(t, f, "field %d was zero in all values drawn", i)
 			}
 		})
 	}
 }
 
-// emptyToNil makes an empty list and none alike, as they are on the wire.
+// emptyToNil replaces empty slices by nil, since the wire form doesn't distinguish the two.
 func emptyToNil(v any) any {
 	p := reflect.New(reflect.TypeOf(v)).Elem()
 	p.Set(reflect.ValueOf(v))
--- a/internal/encoder/idempotency.go
+++ b/internal/encoder/idempotency.go
@@ -1,4 +1,5 @@
-// Messages about idempotency ids carry the claim's name, since its holder may change while they travel.
+// Wire types of the messages about idempotency ids. Requests carry the claim's name, since the claim's holder may change
+// while a message is on its way.
 //
 // Example: Encode(deduplicator.BeginRequest{…}) gives about 110 bytes, Encode(deduplicator.BeginAnswer{…}) 30.
 
@@ -103,7 +104,7 @@
 	Records     []handoverRecordWire
 	UnknownUpTo int64
 	OpaqueUntil int64
-	LatestWall        int64
+	LatestWall  int64
 	RefusedAt   int64
 }
 
@@ -272,7 +273,7 @@
 		}),
 		UnknownUpTo: int64(m.UnknownUpTo),
 		OpaqueUntil: int64(m.OpaqueUntil),
-		LatestWall:        int64(m.LatestWall),
+		LatestWall:  int64(m.LatestWall),
 		RefusedAt:   int64(m.RefusedAt),
 	}
 }
--- a/internal/encoder/membership.go
+++ b/internal/encoder/membership.go
@@ -1,5 +1,5 @@
-// Member records are most of what pings carry, so their wire form is kept short: about 90 bytes with one
-// endpoint. Suspect and dead records repeat the endpoints' names to nobody.
+// Wire types of the membership protocol. Pings consist mostly of member records, so these are kept short: about 90 bytes
+// with one endpoint. Records of dead members and of members that have left carry no endpoints.
 //
 // Example: Encode(gossiper.Ping{…}) without updates gives about 40 bytes.
 
@@ -68,7 +68,7 @@
 type pingWire struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint32
-	Status     statusWire
+	Status   statusWire
 	Hash     uint64
 	Updates  []memberWire
 }
@@ -76,7 +76,7 @@
 type ackWire struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint32
-	Status     statusWire
+	Status   statusWire
 	Updates  []memberWire
 }
 
@@ -150,13 +150,13 @@
 }
 
 type subscriptionWire struct {
-	_        struct{} `cbor:",toarray"`
-	IsAnswer   bool
-	Unchanged     bool
-	Members  []memberWire
-	Contacts []contactWire
-	SilentDomains   []string
-	ReachableDomains    []string
+	_                struct{} `cbor:",toarray"`
+	IsAnswer         bool
+	Unchanged        bool
+	Members          []memberWire
+	Contacts         []contactWire
+	SilentDomains    []string
+	ReachableDomains []string
 }
 
 type joinedWire struct {
@@ -189,7 +189,7 @@
 	register(kindDeparted, departedToWire, departedFromWire)
 }
 
-// toText and fromText map lists of names to lists of plain strings and back.
+// toText and fromText convert a name to a string and back; mapSlice applies them to lists of names.
 func toText[S ~string](s S) string   { return string(s) }
 func fromText[S ~string](s string) S { return S(s) }
 
@@ -268,7 +268,7 @@
 func pingToWire(p gossiper.Ping) pingWire {
 	return pingWire{
 		Sequence: p.Sequence,
-		Status:     statusToWire(p.Status),
+		Status:   statusToWire(p.Status),
 		Hash:     p.Hash,
 		Updates:  mapSlice(p.Updates, memberToWire),
 	}
@@ -419,12 +419,12 @@
 
 func subscriptionToWire(s gossiper.Subscription) subscriptionWire {
 	return subscriptionWire{
-		IsAnswer:   s.IsAnswer,
-		Unchanged:     s.Unchanged,
-		Members:  mapSlice(s.Members, memberToWire),
-		Contacts: mapSlice(s.Contacts, contactToWire),
-		SilentDomains:   mapSlice(s.SilentDomains, toText[identifier.FailureDomain]),
-		ReachableDomains:    mapSlice(s.ReachableDomains, toText[identifier.FailureDomain]),
+		IsAnswer:         s.IsAnswer,
+		Unchanged:        s.Unchanged,
+		Members:          mapSlice(s.Members, memberToWire),
+		Contacts:         mapSlice(s.Contacts, contactToWire),
+		SilentDomains:    mapSlice(s.SilentDomains, toText[identifier.FailureDomain]),
+		ReachableDomains: mapSlice(s.ReachableDomains, toText[identifier.FailureDomain]),
 	}
 }
 
--- a/internal/encoder/registry.go
+++ b/internal/encoder/registry.go
@@ -1,10 +1,10 @@
-// Messages and records travel as CBOR: a kind number and a wire form made of arrays, so that field names
-// cost no bytes. Domain types carry no tags; each matter has a file here that maps its types by hand to a
-// wire type and registers the pair. A kind number is never used again for something else, since records
+// Messages and records are encoded as CBOR: a kind number and a wire value made of arrays, so that field names take no
+// bytes. Domain types have no CBOR tags; for each group of types a file of this package maps them by hand to wire types
+// and registers the functions. The number of a kind that is no longer used is not given to another one, since records
 // outlive the version that wrote them.
 //
-// Example: register(kindPromise, promiseToWire, promiseFromWire) in claims.go lets Encode(claimer.Promise{…})
-// and Decode of the resulting bytes give the same value.
+// Example: with register(kindPromise, promiseToWire, promiseFromWire) in claims.go, Decode returns the value of
+// claimer.Promise from the bytes that Encode made of it.
 
 package encoder
 
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind numbers one type of message or record.
+// Kind is the number of a type of message or record.
 type Kind uint16
 
 // UnknownTypeError reports a value for which no codec is registered.
@@ -56,8 +56,8 @@
 	decoderMode  = mustDecoderMode()
 )
 
-// Bytes from another node are bounded before they are trusted: a length field that asks for gigabytes
-// would otherwise end the process.
+// The decoder limits lengths, since a length field in bytes from another node could otherwise make the process allocate
+// gigabytes and run out of memory.
 func mustDecoderMode() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxArrayElements: 1 << 20,
