--- a/internal/certifier/authority.go
+++ b/internal/certifier/authority.go
@@ -1,7 +1,7 @@
 package certifier
 
-// The product needs certificates in every test and demo, and an operator needs them before the first node can
-// start. The authority here is meant for both; a fleet may as well use another CA that writes the same URI.
+// Tests and demos need certificates, and an operator needs them before the first node can start. This authority serves
+// both purposes; a fleet can also use another CA whose certificates contain the same URI.
 //
 // Example: a, err := NewAuthority(now, valid); p, err := a.Issue(Identity{Node, "portal-1"}, now, valid)
 
@@ -25,8 +25,8 @@
 	serialBits       = 127
 )
 
-// clockSkew is how far the clock of a VM may lag behind that of the CA before it takes a fresh certificate for
-// one of the future; without it, a new VM is refused by its peers for some minutes.
+// clockSkew is how far the clock of a VM may lag behind that of the CA before the VM rejects a new certificate as not yet
+// valid. Without this margin peers with late clocks would reject a new VM for some minutes.
 const clockSkew = 10 * time.Minute
 
 // Pair is a certificate and its private key, both PEM.
@@ -35,18 +35,18 @@
 	Key         []byte
 }
 
-// Authority is a certificate authority that can issue.
+// Authority is a certificate authority that issues certificates.
 type Authority struct {
 	Pair
 	certificate *x509.Certificate
 	key         crypto.Signer
 }
 
-// NewAuthority makes an authority that is valid for the given time from now.
+// NewAuthority creates an authority whose certificate is valid for the given time from now.
 func NewAuthority(now time.Time, valid time.Duration) (Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Authority{}, fmt.Errorf("make key of authority: %w", err)
+		return Authority{}, fmt.Errorf("generate key of authority: %w", err)
 	}
 	template, err := template("jackdawtide authority", now, valid)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return LoadAuthority(p)
 }
 
-// LoadAuthority returns the authority whose certificate and key are given.
+// LoadAuthority returns the authority with the given certificate and key.
 func LoadAuthority(p Pair) (Authority, error) {
 	block, _ := pem.Decode(p.Certificate)
 	if block == nil {
@@ -88,11 +88,11 @@
 	return Authority{Pair: p, certificate: c, key: signer}, nil
 }
 
-// Issue makes a certificate for the identity.
+// Issue creates a key and a certificate for the identity.
 func (a Authority) Issue(i Identity, now time.Time, valid time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("make key of %s: %w", i, err)
+		return Pair{}, fmt.Errorf("generate key of %s: %w", i, err)
 	}
 	template, err := template(i.Name, now, valid)
 	if err != nil {
@@ -104,17 +104,17 @@
 	return sign(template, a.certificate, key, a.key)
 }
 
-// PEMError reports a file that holds no PEM block of the wanted kind.
+// PEMError reports input that contains no PEM block of the expected kind.
 type PEMError struct {
 	What string
 }
 
-// Error names what was looked for.
+// Error names what was expected.
 func (e PEMError) Error() string {
 	return fmt.Sprintf("no PEM block for the %s", e.What)
 }
 
-// keyUsages lets only nodes serve: with an operator's stolen certificate nobody can pose as a node.
+// keyUsages permits only nodes to act as servers, so that a stolen operator's certificate can't impersonate a node.
 func keyUsages(r Role) []x509.ExtKeyUsage {
 	if r == Operator {
 		return []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
@@ -125,7 +125,7 @@
 func template(name string, now time.Time, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fmt.Errorf("make serial number: %w", err)
+		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -31,7 +31,7 @@
 	return trust
 }
 
-// handshake returns what each side says of the other, after one byte went each way.
+// handshake returns the error of each side after the handshake and the exchange of one byte in each direction.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -63,8 +63,8 @@
 	return err
 }
 
-// Somebody on the network poses as a node, with no certificate, one of another CA, an expired one, or an
-// operator's. Were it let in, it could grant itself every team's rate, and end users would pay for the calls.
+// A client on the network impersonates a node, with no certificate, one of another CA, an expired one or an operator's.
+// If it were accepted, it could grant itself every team's rate.
 func TestHandshakeChecksCertificateAndRole(t *testing.T) {
 	now := time.Now()
 	a, err := NewAuthority(now, valid)
@@ -78,7 +78,7 @@
 	cases := map[string]struct {
 		client *tls.Config
 		roles  []Role
-		// serverSays and clientSays are parts of the errors; empty means none.
+		// serverSays and clientSays are substrings of the expected errors; empty means that no error is expected.
 		serverSays string
 		clientSays string
 	}{
@@ -87,7 +87,7 @@
 		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, serverSays: "certificate", clientSays: "certificate"},
 		"another CA":     {client: issueTrust(t, foreign, node, now).Client(nil), roles: []Role{Node}, serverSays: "certificate", clientSays: "unknown authority"},
 		"expired":        {client: issueTrust(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, serverSays: "expired", clientSays: "certificate"},
-		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not let in", clientSays: "certificate"},
+		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not accepted here", clientSays: "certificate"},
 		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, serverSays: "unsupported versions", clientSays: "protocol version"},
 	}
 	for name, c := range cases {
--- a/internal/certifier/doc.go
+++ b/internal/certifier/doc.go
@@ -1,2 +1,2 @@
-// Package certifier makes a test CA and certificates, and loads the mutual TLS that nodes and operators speak.
+// Package certifier creates a CA, issues certificates, and provides the mutual TLS configurations of nodes and operators.
 package certifier
--- a/internal/certifier/identity.go
+++ b/internal/certifier/identity.go
@@ -1,7 +1,7 @@
 package certifier
 
-// VMs are replaced at any time and are reached by IP number, so a host name proves nothing. What a peer proves is
-// that the CA gave it a role and a name, which stand in one URI of its certificate.
+// VMs are replaced at any time and are reached by IP address, so a host name identifies no peer. Instead a peer's
+// certificate has a URI with the role and the name that the CA assigned to it.
 //
 // Example: spiffe://jackdawtide/node/portal-1 is the node portal-1.
 
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Role is what a certificate lets its owner do.
+// Role determines what the owner of a certificate may do.
 type Role string
 
 // The roles.
@@ -21,7 +21,7 @@
 	Operator Role = "operator"
 )
 
-// Identity is who the CA says that the owner of a certificate is.
+// Identity is the role and the name that the CA assigned to the owner of a certificate.
 type Identity struct {
 	Role Role
 	Name string
@@ -41,13 +41,13 @@
 	return &url.URL{Scheme: identityScheme, Host: identityHost, Path: "/" + string(i.Role) + "/" + i.Name}
 }
 
-// IdentityError reports a certificate that names no identity of this system, or one of the wrong role.
+// IdentityError reports a certificate without an identity of this system, or with a role that is not accepted.
 type IdentityError struct {
 	Subject string
 	Problem string
 }
 
-// Error names the certificate's subject and what is wrong.
+// Error names the certificate's subject and the problem.
 func (e IdentityError) Error() string {
 	return fmt.Sprintf("certificate of %q: %s", e.Subject, e.Problem)
 }
--- a/internal/certifier/trust.go
+++ b/internal/certifier/trust.go
@@ -1,7 +1,7 @@
 package certifier
 
-// Between nodes, and from an operator to an admin endpoint, both sides show a certificate of the one CA. Nothing
-// else than these two TLS configurations is used, so that no listener can be left without the check.
+// Between nodes, and between an operator and an admin endpoint, both sides present a certificate of the same CA. All
+// listeners and clients use one of the two TLS configurations of this file, so that none omits the check.
 //
 // Example: t, err := Load(Files{Authority: "ca.pem", Certificate: "node.pem", Key: "node.key"}); the peers' QUIC
 // listener takes t.Server([]string{"jackdawtide/1"}, Node).
@@ -14,7 +14,7 @@
 	"slices"
 )
 
-// Files names the PEM files of one process.
+// Files holds the paths of the PEM files of one process.
 type Files struct {
 	Authority   string
 	Certificate string
@@ -45,7 +45,7 @@
 	return NewTrust(authority, Pair{Certificate: certificate, Key: key})
 }
 
-// NewTrust returns the trust made of a CA's certificate and an own certificate, all PEM.
+// NewTrust returns a Trust of the CA's certificate and the process's own certificate and key, all PEM.
 func NewTrust(authority []byte, own Pair) (Trust, error) {
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(authority) {
@@ -62,12 +62,12 @@
 	return Trust{own: c, identity: i, roots: roots}, nil
 }
 
-// Identity returns who this process is to its peers.
+// Identity returns the identity in this process's certificate.
 func (t Trust) Identity() Identity {
 	return t.identity
 }
 
-// Server returns the configuration of a listener that lets in only peers of the given roles.
+// Server returns the configuration of a listener that accepts only peers with one of the given roles.
 func (t Trust) Server(protocols []string, roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -82,9 +82,9 @@
 
 // Client returns the configuration for connections to nodes.
 //
-// The library's own check is off because it asks for a host name, which an IP number of a replaced VM cannot
-// give; verify checks the chain and the role instead. It stands in VerifyConnection, which also runs when a
-// session is resumed: in VerifyPeerCertificate a resumed session would pass unchecked.
+// The check of crypto/tls is off because it requires a matching host name or IP address, which the certificate of a
+// replaced VM does not have; verify checks the chain and the role instead. VerifyConnection calls it because that
+// function also runs when a session is resumed; VerifyPeerCertificate would not check a resumed session.
 func (t Trust) Client(protocols []string) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -97,10 +97,10 @@
 	}
 }
 
-// Peer returns the identity at the other end of a connection that one of the two configurations let through.
+// Peer returns the peer's identity on a connection that was verified by one of the two configurations.
 func Peer(s tls.ConnectionState) (Identity, error) {
 	if len(s.PeerCertificates) == 0 {
-		return Identity{}, IdentityError{Problem: "the peer showed no certificate"}
+		return Identity{}, IdentityError{Problem: "the peer presented no certificate"}
 	}
 	return IdentityOf(s.PeerCertificates[0])
 }
@@ -124,7 +124,7 @@
 		return fmt.Errorf("verify %s: %w", i, err)
 	}
 	if !slices.Contains(roles, i.Role) {
-		return IdentityError{Subject: leaf.Subject.String(), Problem: fmt.Sprintf("role %s is not let in here", i.Role)}
+		return IdentityError{Subject: leaf.Subject.String(), Problem: fmt.Sprintf("role %s is not accepted here", i.Role)}
 	}
 	return nil
 }
