--- a/internal/identifier/doc.go
+++ b/internal/identifier/doc.go
@@ -1,2 +1,2 @@
-// Package identifier names the ids and units that pass between the other packages, each as its own type.
+// Package identifier defines the ids and units that the other packages exchange, each as a type of its own.
 package identifier
--- a/internal/identifier/identifier.go
+++ b/internal/identifier/identifier.go
@@ -1,5 +1,6 @@
-// Two strings that mean different things must not be mixed up by a careless call: a team's name passed
-// where a service's belongs is an error for the compiler, not for an end user.
+// Each kind of id has a type of its own, so that the compiler rejects a team's name where a service's name is expected.
+//
+// Example: a func(Team) does not accept a Service.
 
 package identifier
 
@@ -24,19 +25,19 @@
 // Endpoint is the id of one backend server, unique while it is announced.
 type Endpoint string
 
-// Request is the id of one call, given by the node that took it in.
+// Request is the id of one call, assigned by the node at which it entered.
 type Request string
 
 // Preset is the name of a preset.
 type Preset string
 
-// Version counts the accepted configuration changes.
+// Version is the number of configuration changes accepted so far.
 type Version int64
 
 // Offset is the position of a record on the platform's log.
 type Offset int64
 
-// Epoch counts the holders of one claim.
+// Epoch is the number of a term of a claim's holder; it grows with each new holder.
 type Epoch int64
 
 // KeyHash is the SHA-256 of a team's key, in lower-case hexadecimal.
@@ -45,8 +46,8 @@
 // Idempotency is the id by which a caller names a request that must run at most once.
 type Idempotency string
 
-// Tokens counts a team's right to send calls, in thousandths of a call, so that shares stay whole numbers.
+// Tokens is an amount of a team's quota, in thousandths of a call, so that quota shares are whole numbers.
 type Tokens int64
 
-// TokensPerCall is what one call costs.
+// TokensPerCall is the number of tokens that one call takes.
 const TokensPerCall Tokens = 1000
--- a/internal/identifier/priority.go
+++ b/internal/identifier/priority.go
@@ -1,4 +1,5 @@
-// Priority classes are few and ordered, so that every hop makes the same choice about a call.
+// Priority classes are few and ordered, so that every hop makes the same decision about a call.
+//
 // Example: under overload a Normal call is shed before an Urgent one, at every hop.
 
 package identifier
--- a/internal/identifier/rank.go
+++ b/internal/identifier/rank.go
@@ -1,15 +1,15 @@
-// A rank orders all calls from most to least important. It is set once, at the entry, and travels with the
-// call and all calls nested in it, so that every hop sheds the same requests and none works in vain on a
-// request that another hop refuses.
+// A rank orders all calls from most to least important. It is set once, at the entry node, and propagated with the
+// call and all calls nested in it, so that every hop sheds the same requests and none does work for a request that
+// another hop refuses.
 //
 // Example: MakeRank(Urgent, 0, h) < MakeRank(Normal, 0, h) < MakeRank(Normal, 3, h).
 
 package identifier
 
-// Rank is the place of a call in the order of shedding; the highest ranks are shed first.
+// Rank is the position of a call in the order of shedding; the highest ranks are shed first.
 type Rank uint16
 
-// Threshold is the highest rank that a service still takes.
+// Threshold is the highest rank that a service admits.
 type Threshold = Rank
 
 // The parts of a rank: 2 bits of priority, 5 bits of the team's overuse, 9 bits of the root request's hash.
@@ -22,7 +22,7 @@
 	MaxRank Rank = 1<<16 - 1
 )
 
-// MakeRank puts the parts of a rank together; overuse above MaxOveruse counts as MaxOveruse.
+// MakeRank combines the parts of a rank; overuse above MaxOveruse counts as MaxOveruse.
 func MakeRank(p Priority, overuse uint8, rootHash uint64) Rank {
 	u := Rank(min(overuse, MaxOveruse))
 	h := Rank(rootHash & (1<<hashBits - 1))
