--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -1,8 +1,8 @@
 package clock
 
-// The monotonic clock stands still while a VM is suspended. A node that was frozen for a minute would take what it
-// knew a minute ago for fresh, and go on serving a key that was withdrawn meanwhile. The boot-time clock counts the
-// suspended time as well, so whatever proves freshness is judged by it.
+// The monotonic clock stands still while a VM is suspended. A node that was suspended for a minute would treat data that
+// is a minute old as fresh, and accept a key that was withdrawn in the meantime. The boot-time clock includes the time of
+// a suspension, so the age of data is measured with it.
 //
 // Example: after a suspension of 60 s, Clock.Now has moved by 0 and Boot.Now by 60000.
 
@@ -17,7 +17,7 @@
 func (Boot) Now() Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Without this clock nothing can be proved fresh: Never is later than any proof.
+		// Without this clock no data can be proved fresh: Never is later than the expiry of any data.
 		return Never
 	}
 	return Time(t.Nano() / nanosPerMilli)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
-// Reducers never ask what time it is: each event carries the moment at which its process took it in.
-// That makes a run repeatable from its events, and lets a test pause a process for an hour without waiting.
+// Reducers never read a clock: each event carries the time at which its process received it. That makes a run
+// reproducible from its events, and lets a test pause a process for an hour without waiting.
 //
-// A lease must be judged by a clock that no time server can set back, so Time counts from the start of
-// the process. Only what leaves the process and outlives it (records, UUIDv7 ids) carries Wall time.
+// The expiry of a lease must be measured with a clock that no time server can set back, so Time counts from the start
+// of the process. Only data that leaves the process and outlives it (records, UUIDv7 ids) has Wall time.
 //
-// Example: a lease taken at Time(1000) for Duration(5000) has ended at Time(6000).
+// Example: a lease acquired at Time(1000) for Duration(5000) has expired at Time(6000).
 
 package clock
 
@@ -22,7 +22,7 @@
 // Duration is a span of time in milliseconds.
 type Duration int64
 
-// Spans that settings and defaults are written in.
+// Units of Duration for settings and defaults.
 const (
 	Millisecond Duration = 1
 	Second      Duration = 1000
@@ -63,11 +63,11 @@
 	return Duration(d.Milliseconds())
 }
 
-// Clock reads the time; the zero value is not usable, make one with New.
+// Clock reads the time; create one with New, the zero value is not usable.
 type Clock struct {
 	start time.Time
-	// shift is added to every monotonic reading: tests use it to let a process find, from one reading
-	// to the next, that it was paused past its leases.
+	// shift is added to every monotonic reading; tests use it to simulate a pause that is longer than the process's
+	// leases.
 	shift atomic.Int64
 }
 
--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,2 +1,2 @@
-// Package clock is the product's one time type: milliseconds as whole numbers, monotonic or wall.
+// Package clock defines the project's types for time: monotonic time, wall-clock time and spans, in whole milliseconds.
 package clock
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -1,5 +1,5 @@
-// Waiting has to end when what it is for has ended. A bare time.Sleep in a program that was asked to stop holds up the stop,
-// and its callers with it; these two give up with the context.
+// A wait must end when its purpose has ended. A plain time.Sleep delays the stop of a program, and so all who wait for
+// that stop; these two functions return early when the context ends.
 //
 // Example: if !clock.Sleep(ctx, time.Second) { return ctx.Err() }
 
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Sleep waits for d and tells whether it could; it could not if ctx ended first.
+// Sleep waits for d and reports true, or false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -1,21 +1,21 @@
 package clock
 
-// A process notices that its VM was suspended only by comparing the two clocks: the boot clock moved on and the
-// monotonic one did not.
+// A process can detect a suspension of its VM only by comparing two clocks: the boot-time clock advances during the
+// suspension and the monotonic clock does not.
 //
-// Example: the boot clock is 5000 ahead at one look and 8000 at the next: suspended for 3000.
+// Example: the boot-time clock is 5000 ahead at one reading and 8000 at the next: the VM was suspended for 3000.
 
-// Suspension finds out for how long the VM was suspended; the zero value is ready to use.
+// Suspension measures how long the VM was suspended; the zero value is ready to use.
 type Suspension struct {
 	offset Duration
-	known bool
+	known  bool
 }
 
-// minSuspension is the difference from which a suspension is told: the two clocks are not read at the same instant,
-// and a busy processor may put some tens of milliseconds between them.
+// minSuspension is the smallest difference that is reported as a suspension: the two clocks are not read at the same
+// instant, and on a busy processor some tens of milliseconds may pass between the readings.
 const minSuspension = 300 * Millisecond
 
-// Since returns for how long the VM was suspended since the last call, 0 for not at all.
+// Since returns how long the VM was suspended since the last call, or 0 on the first call and without a suspension.
 func (s *Suspension) Since(now, boot Time) Duration {
 	offset := boot.Sub(now)
 	gap := offset - s.offset
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A VM is suspended for three seconds and its process does not see them pass. Whoever asks for what it believes would
-// get news of before as if they were of now.
+// A VM is suspended for three seconds, which the process's monotonic clock does not count. If the suspension were not
+// reported, data from before it would be treated as current.
 func TestSuspensionIsReportedOnce(t *testing.T) {
 	var s Suspension
 	assert.Equal(t, s.Since(100, 5100), Duration(0))
