--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -26,9 +26,9 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 	// ended is created by New but neither closed nor read.
-	ended  chan struct{}
+	ended     chan struct{}
 	cancelAll context.CancelFunc
-	wait   sync.WaitGroup
+	wait      sync.WaitGroup
 
 	mu      sync.Mutex
 	closing bool
