--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -78,23 +78,23 @@
 	cases := map[string]struct {
 		client *tls.Config
 		roles  []Role
-		// serverSays and clientSays are substrings of the expected errors; empty means that no error is expected.
-		serverSays string
-		clientSays string
+		// wantServerError and wantClientError are substrings of the expected errors; empty means that no error is expected.
+		wantServerError string
+		wantClientError string
 	}{
 		"node":           {client: issueTrust(t, a, Identity{Node, "portal-2"}, now).Client(nil), roles: []Role{Node}},
 		"operator":       {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node, Operator}},
-		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, serverSays: "certificate", clientSays: "certificate"},
-		"another CA":     {client: issueTrust(t, foreign, node, now).Client(nil), roles: []Role{Node}, serverSays: "certificate", clientSays: "unknown authority"},
-		"expired":        {client: issueTrust(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, serverSays: "expired", clientSays: "certificate"},
-		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not accepted here", clientSays: "certificate"},
-		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, serverSays: "unsupported versions", clientSays: "protocol version"},
+		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, wantServerError: "certificate", wantClientError: "certificate"},
+		"another CA":     {client: issueTrust(t, foreign, node, now).Client(nil), roles: []Role{Node}, wantServerError: "certificate", wantClientError: "unknown authority"},
+		"expired":        {client: issueTrust(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, wantServerError: "expired", wantClientError: "certificate"},
+		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, wantServerError: "role operator is not accepted here", wantClientError: "certificate"},
+		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, wantServerError: "unsupported versions", wantClientError: "protocol version"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			serverErr, clientErr := handshake(t, trust.Server(nil, c.roles...), c.client)
-			check(t, serverErr, c.serverSays)
-			check(t, clientErr, c.clientSays)
+			check(t, serverErr, c.wantServerError)
+			check(t, clientErr, c.wantClientError)
 		})
 	}
 	t.Run("operator as server", func(t *testing.T) {
