--- a/internal/transporter/errors.go
+++ b/internal/transporter/errors.go
@@ -59,7 +59,7 @@
 
 // Error names the peer.
 func (e PartitionedError) Error() string {
-	return fmt.Sprintf("node %s is unreachable behind a simulated partition", e.Node)
+	return fmt.Sprintf("node %s is cut off", e.Node)
 }
 
 // WrongNodeError reports that a node other than the expected one listens at an address.
--- a/internal/transporter/latency_test.go
+++ b/internal/transporter/latency_test.go
@@ -29,7 +29,7 @@
 
 const (
 	smallBody    = 256
-	callsASecond = 400
+	callsPerSecond = 400
 )
 
 func benchHead() CallHead {
@@ -212,7 +212,7 @@
 	for name, call := range ways {
 		h := hdrhistogram.New(1, int64(time.Minute), 3)
 		results[name] = h
-		wait.Go(func() { paced(b, call, h) })
+		wait.Go(func() { sendAtRandomTimes(b, call, h) })
 	}
 	wait.Wait()
 	for name, h := range results {
@@ -222,13 +222,13 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// paced sends b.N calls whose starts do not wait for each other's answers.
-func paced(b *testing.B, call func() error, h *hdrhistogram.Histogram) {
+// sendAtRandomTimes sends b.N calls whose starts do not wait for each other's answers.
+func sendAtRandomTimes(b *testing.B, call func() error, h *hdrhistogram.Histogram) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := time.Now()
 	for range b.N {
-		next = next.Add(time.Duration(rand.ExpFloat64() * float64(time.Second) / callsASecond))
+		next = next.Add(time.Duration(rand.ExpFloat64() * float64(time.Second) / callsPerSecond))
 		time.Sleep(time.Until(next))
 		wait.Go(func() {
 			start := time.Now()
