--- a/internal/transporter/latency_test.go
+++ b/internal/transporter/latency_test.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	smallBody    = 256
+	smallBody      = 256
 	callsPerSecond = 400
 )
 
