--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -13,7 +13,7 @@
 
 const valid = time.Hour
 
-func trustOf(t *testing.T, a Authority, i Identity, now time.Time) Trust {
+func issueTrust(t *testing.T, a Authority, i Identity, now time.Time) Trust {
 	t.Helper()
 	p, err := a.Issue(i, now, valid)
 	assert.NilError(t, err)
@@ -31,7 +31,7 @@
 	return trust
 }
 
-// handshake returns what each side says of the other, after one byte went each way.
+// handshake returns the error of each side after the handshake and the exchange of one byte in each direction.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -63,9 +63,9 @@
 	return err
 }
 
-// Somebody on the network poses as a node, with no certificate, one of another CA, an expired one, or an
-// operator's. Were it let in, it could grant itself every team's rate, and end users would pay for the calls.
-func TestWhoIsLetIn(t *testing.T) {
+// A client on the network impersonates a node, with no certificate, one of another CA, an expired one or an operator's.
+// If it were accepted, it could grant itself every team's rate.
+func TestHandshakeChecksCertificateAndRole(t *testing.T) {
 	now := time.Now()
 	a, err := NewAuthority(now, valid)
 	assert.NilError(t, err)
@@ -73,36 +73,36 @@
 	assert.NilError(t, err)
 	node := Identity{Role: Node, Name: "portal-1"}
 	operator := Identity{Role: Operator, Name: "eva"}
-	here := trustOf(t, a, node, now)
+	trust := issueTrust(t, a, node, now)
 
 	cases := map[string]struct {
 		client *tls.Config
 		roles  []Role
-		// serverSays and clientSays are parts of the errors; empty means none.
-		serverSays string
-		clientSays string
+		// wantServerError and wantClientError are substrings of the expected errors; empty means that no error is expected.
+		wantServerError string
+		wantClientError string
 	}{
-		"node":           {client: trustOf(t, a, Identity{Node, "portal-2"}, now).Client(nil), roles: []Role{Node}},
-		"operator":       {client: trustOf(t, a, operator, now).Client(nil), roles: []Role{Node, Operator}},
-		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, serverSays: "certificate", clientSays: "certificate"},
-		"another CA":     {client: trustOf(t, foreign, node, now).Client(nil), roles: []Role{Node}, serverSays: "certificate", clientSays: "unknown authority"},
-		"expired":        {client: trustOf(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, serverSays: "expired", clientSays: "certificate"},
-		"wrong role":     {client: trustOf(t, a, operator, now).Client(nil), roles: []Role{Node}, serverSays: "role operator is not let in", clientSays: "certificate"},
-		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, serverSays: "unsupported versions", clientSays: "protocol version"},
+		"node":           {client: issueTrust(t, a, Identity{Node, "portal-2"}, now).Client(nil), roles: []Role{Node}},
+		"operator":       {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node, Operator}},
+		"no certificate": {client: &tls.Config{InsecureSkipVerify: true}, roles: []Role{Node}, wantServerError: "certificate", wantClientError: "certificate"},
+		"another CA":     {client: issueTrust(t, foreign, node, now).Client(nil), roles: []Role{Node}, wantServerError: "certificate", wantClientError: "unknown authority"},
+		"expired":        {client: issueTrust(t, a, node, now.Add(-2*valid)).Client(nil), roles: []Role{Node}, wantServerError: "expired", wantClientError: "certificate"},
+		"wrong role":     {client: issueTrust(t, a, operator, now).Client(nil), roles: []Role{Node}, wantServerError: "role operator is not accepted here", wantClientError: "certificate"},
+		"old TLS":        {client: &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}, roles: []Role{Node}, wantServerError: "unsupported versions", wantClientError: "protocol version"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			serverErr, clientErr := handshake(t, here.Server(nil, c.roles...), c.client)
-			check(t, serverErr, c.serverSays)
-			check(t, clientErr, c.clientSays)
+			serverErr, clientErr := handshake(t, trust.Server(nil, c.roles...), c.client)
+			check(t, serverErr, c.wantServerError)
+			check(t, clientErr, c.wantClientError)
 		})
 	}
 	t.Run("operator as server", func(t *testing.T) {
-		poser := trustOf(t, a, operator, now).Server(nil, Node)
-		_, clientErr := handshake(t, poser, here.Client(nil))
+		impostor := issueTrust(t, a, operator, now).Server(nil, Node)
+		_, clientErr := handshake(t, impostor, trust.Client(nil))
 		check(t, clientErr, "incompatible key usage")
 	})
-	assert.Equal(t, here.Identity(), node)
+	assert.Equal(t, trust.Identity(), node)
 }
 
 func check(t *testing.T, err error, part string) {
--- a/internal/encoder/grants_test.go
+++ b/internal/encoder/grants_test.go
@@ -1,4 +1,5 @@
-// Each message and record must come back from its bytes unchanged, so every field is drawn, also at odd values.
+// Each message and record must be the same after encoding and decoding, so every field is drawn, with unusual values
+// too.
 
 package encoder
 
@@ -13,10 +14,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/granter"
 )
 
-// A field that the codec forgets would come back as zero: a promise would never count, or a loan would be lost, and
-// operators would see claims that nobody holds.
-func TestClaimsAndGrantsComeBackUnchanged(t *testing.T) {
-	tables := map[string]*rapid.Generator[any]{
+// Guards against a field that the codec omits and that is therefore zero after decoding: a promise would not count, or a
+// loan would be lost, and claims would have no holder.
+func TestClaimsAndGrantsRoundTrip(t *testing.T) {
+	generators := map[string]*rapid.Generator[any]{
 		"claim":          rapid.Make[claimer.Claim]().AsAny(),
 		"promiseRequest": rapid.Make[claimer.PromiseRequest]().AsAny(),
 		"promise":        rapid.Make[claimer.Promise]().AsAny(),
@@ -28,9 +29,9 @@
 		"sharesQuery":    rapid.Make[granter.SharesQuery]().AsAny(),
 		"sharesConfirm":  rapid.Make[granter.SharesConfirm]().AsAny(),
 	}
-	for name, g := range tables {
+	for name, g := range generators {
 		t.Run(name, func(t *testing.T) {
-			filled := map[int]bool{}
+			nonZero := map[int]bool{}
 			for seed := range 50 {
 				v := g.Example(seed)
 				b, err := Encode(v)
@@ -38,21 +39,21 @@
 				w, err := Decode(b)
 				assert.NilError(t, err)
 				if !reflect.DeepEqual(emptyToNil(v), emptyToNil(w)) {
-					t.Fatalf("sent %+v, received %+v", v, w)
+					t.Fatalf("encoded %+v, decoded %+v", v, w)
 				}
 				for i := range reflect.TypeOf(v).NumField() {
-					filled[i] = filled[i] || !reflect.ValueOf(v).Field(i).IsZero()
+					nonZero[i] = nonZero[i] || !reflect.ValueOf(v).Field(i).IsZero()
 				}
 			}
-			assert.Equal(t, len(filled), reflect.TypeOf(g.Example(0)).NumField())
-			for i, f := range filled {
-				assert.Check(t, f, "field %d was never drawn", i)
+			assert.Equal(t, len(nonZero), reflect.TypeOf(g.Example(0)).NumField())
+			for i, f := range nonZero {
+				assert.Check(t, f, "field %d was zero in all values drawn", i)
 			}
 		})
 	}
 }
 
-// emptyToNil makes an empty list and none alike, as they are on the wire.
+// emptyToNil replaces empty slices by nil, since the wire form doesn't distinguish the two.
 func emptyToNil(v any) any {
 	p := reflect.New(reflect.TypeOf(v)).Elem()
 	p.Set(reflect.ValueOf(v))
--- a/internal/forwarder/local.go
+++ b/internal/forwarder/local.go
@@ -1,5 +1,6 @@
-// The local way keeps the promises of the network way: an answer that was not closed with a tail ends in
-// io.ErrUnexpectedEOF, so that a backend server that dies in the middle cannot pass for a short answer.
+// A local call has the same guarantee as a remote one: an answer that was not closed with a tail ends in
+// io.ErrUnexpectedEOF. Otherwise the answer of a backend server that crashes in the middle of it would look like a
+// complete, short answer.
 //
 // Example: ServeCall writes a head and 10 bytes and returns without Close; the reader gets 10 bytes and then
 // io.ErrUnexpectedEOF.
@@ -25,13 +26,13 @@
 
 func (a *localAnswer) Read(b []byte) (int, error) { return a.body.Read(b) }
 
-// Close stops the delivery if it still runs.
+// Close cancels the delivery if it is still running.
 func (a *localAnswer) Close() error {
 	a.cancel()
 	return a.body.Close()
 }
 
-func (a *localAnswer) Tail() (transporter.AnswerTail, bool) { return a.writer.tailOnce() }
+func (a *localAnswer) Tail() (transporter.AnswerTail, bool) { return a.writer.tailIfClosed() }
 
 type localWriter struct {
 	pipe *io.PipeWriter
@@ -59,14 +60,14 @@
 	return w.pipe.Close()
 }
 
-func (w *localWriter) tailOnce() (transporter.AnswerTail, bool) {
+func (w *localWriter) tailIfClosed() (transporter.AnswerTail, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tail, w.closed
 }
 
-func (w *localWriter) finish() {
-	// This has no effect after Close.
+func (w *localWriter) abortUnlessClosed() {
+	// CloseWithError has no effect after Close.
 	_ = w.pipe.CloseWithError(io.ErrUnexpectedEOF)
 	close(w.head)
 }
@@ -76,7 +77,7 @@
 	r, w := io.Pipe()
 	lw := &localWriter{pipe: w, head: make(chan transporter.AnswerHead, 1)}
 	go func() {
-		defer lw.finish()
+		defer lw.abortUnlessClosed()
 		f.local.ServeCall(ctx, f.self, head, body, lw)
 	}()
 	h, ok := <-lw.head
--- a/internal/transporter/codec_test.go
+++ b/internal/transporter/codec_test.go
@@ -16,7 +16,7 @@
 	return append(fields, Field{Name: "X-Latin", Value: string(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))})
 }
 
-func TestHeadsAndTailsComeBackTheSame(t *testing.T) {
+func TestHeadsAndTailsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call, answer := rapid.Make[CallHead]().Draw(t, "call"), rapid.Make[AnswerHead]().Draw(t, "answer")
 		call.Header, answer.Header = drawFields(t), drawFields(t)
@@ -38,16 +38,16 @@
 			return err
 		}))
 		assert.NilError(t, readFrame(r, "tail", 1<<20, func(b []byte) error {
-			got, keep, err := decodeTail(b)
-			assert.Assert(t, keep)
+			got, reusable, err := decodeTail(b)
+			assert.Assert(t, reusable)
 			assert.Equal(t, got, tail)
 			return err
 		}))
 	})
 }
 
-// Bytes from the network are cut short, garbled or made by an attacker with a stolen certificate. No reader may
-// panic, hang, take a cut body for a whole one, or ask for memory that a length field names.
+// Bytes from the network may be truncated, corrupted or forged with a stolen certificate. No reader may panic, hang,
+// mistake a truncated body for a complete one, or allocate as much memory as a length field claims.
 func FuzzFrames(f *testing.F) {
 	b := new(bytes.Buffer)
 	assert.NilError(f, appendFrame(b, "call", callToWire(&CallHead{Service: "ice", Header: []Field{{"A", "b"}}}), 1<<10))
@@ -66,7 +66,7 @@
 		} {
 			r := bufio.NewReader(bytes.NewReader(data))
 			if err := readFrame(r, name, 1<<16, decode); errors.Is(err, io.EOF) {
-				t.Fatalf("%s: a frame cut short ended cleanly", name)
+				t.Fatalf("%s: a truncated frame gave io.EOF, expected another error", name)
 			}
 		}
 		_, _, err := readControlFrame(bufio.NewReader(bytes.NewReader(data)), 1<<16)
@@ -74,13 +74,13 @@
 		body := &bodyReader{r: bufio.NewReader(bytes.NewReader(data))}
 		got, err := io.ReadAll(body)
 		if err == nil {
-			assert.Assert(t, body.whole())
+			assert.Assert(t, body.complete())
 			assert.Assert(t, len(got)+lengthSize <= len(data))
 		}
 	})
 }
 
-func TestEveryCutOfABodyIsAnError(t *testing.T) {
+func TestEveryTruncatedBodyIsAnError(t *testing.T) {
 	b := new(bytes.Buffer)
 	for _, part := range []string{"a", "bcd", ""} {
 		appendChunk(b, []byte(part))
@@ -88,7 +88,7 @@
 	for n := range b.Len() {
 		body := &bodyReader{r: bufio.NewReader(bytes.NewReader(b.Bytes()[:n]))}
 		_, err := io.ReadAll(body)
-		assert.ErrorIs(t, err, io.ErrUnexpectedEOF, "%d bytes", n)
+		assert.ErrorIs(t, err, io.ErrUnexpectedEOF, "body truncated after %d bytes", n)
 	}
 	whole, err := io.ReadAll(&bodyReader{r: bufio.NewReader(b)})
 	assert.NilError(t, err)
--- a/internal/transporter/control.go
+++ b/internal/transporter/control.go
@@ -1,8 +1,8 @@
-// Control messages are best effort: a reducer that needs one to arrive sends it again. What must not happen is
-// that a slow or dead peer holds up the sender's event loop, or fills its memory. So a message is queued within
-// bounds and the loop goes on; a full queue drops the new message and says so.
+// Control messages are best effort: a reducer that needs one to arrive sends it again. A slow or dead peer must neither
+// block the sender's event loop nor fill its memory. So messages wait in a bounded queue and the event loop goes on;
+// when the queue is full, the new message is dropped and SendControl returns an error.
 //
-// Example: a peer that is cut off for a minute costs at most MaxQueue messages, and nothing waits for it.
+// Example: a peer that is unreachable for a minute costs at most MaxQueue messages of memory, and nothing waits for it.
 
 package transporter
 
@@ -20,27 +20,27 @@
 	frameMessage byte = iota
 	frameGoodbye
 	frameFinished
-	// frameProbe only makes the peer acknowledge it.
+	// frameProbe has no meaning of its own; the peer's QUIC layer acknowledges it, which shows that the peer is alive.
 	frameProbe
 )
 
-// SendControl queues a message, whose bytes it then owns, for the peer and returns at once; nil does not mean
-// that it will arrive.
+// SendControl queues a message for the peer and returns at once. It owns the message's bytes from then on; a nil error
+// does not mean that the message will arrive.
 func (t *Transporter) SendControl(to Peer, message []byte) error {
 	if len(message) > t.options.MaxMessage {
 		return TooLargeError{What: "control message", Size: len(message), Limit: t.options.MaxMessage}
 	}
-	if t.isCut(to.Node) {
-		return CutError{Node: to.Node}
+	if t.isPartitioned(to.Node) {
+		return PartitionedError{Node: to.Node}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closing {
 		return errClosed
 	}
-	p := t.stateLocked(to)
+	p := t.peerStateLocked(to)
 	if len(p.queue) >= t.options.MaxQueue || p.queueBytes+len(message) > t.options.MaxQueueBytes {
-		t.past.ControlDropped++
+		t.totals.ControlDropped++
 		return OverflowError{Node: to.Node}
 	}
 	p.queue = append(p.queue, message)
@@ -52,22 +52,22 @@
 	return nil
 }
 
-// sendQueue sends what waits for a peer, and ends when nothing does.
+// sendQueue sends the queued messages of a peer and returns when the queue is empty or the peer can't be reached.
 func (t *Transporter) sendQueue(to Peer, p *peerState) {
 	for {
 		l, err := t.acquire(context.Background(), to)
-		batch := t.takeQueue(p)
+		batch := t.drainQueue(p)
 		if err == nil {
 			err = l.sendBatch(batch)
-			l.done()
+			l.endCall()
 		}
-		if t.queueEnded(p, batch, err) {
+		if t.finishBatch(p, batch, err) {
 			return
 		}
 	}
 }
 
-func (t *Transporter) takeQueue(p *peerState) [][]byte {
+func (t *Transporter) drainQueue(p *peerState) [][]byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	batch := p.queue
@@ -76,16 +76,17 @@
 	return batch
 }
 
-// queueEnded tells whether the sender may end: nothing waits, or the peer can't be reached and what waits is lost.
-func (t *Transporter) queueEnded(p *peerState, taken [][]byte, err error) bool {
+// finishBatch counts the batch and reports whether sendQueue may return: the queue is empty, or the peer can't be
+// reached, in which case the queued messages are dropped.
+func (t *Transporter) finishBatch(p *peerState, taken [][]byte, err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.past.ControlDropped += uint64(len(taken) + len(p.queue))
+		t.totals.ControlDropped += uint64(len(taken) + len(p.queue))
 	} else {
-		t.past.ControlSent += uint64(len(taken))
+		t.totals.ControlSent += uint64(len(taken))
 		for _, m := range taken {
-			t.past.ControlBytes += uint64(len(m))
+			t.totals.ControlBytes += uint64(len(m))
 		}
 	}
 	if err == nil && len(p.queue) > 0 {
@@ -97,7 +98,7 @@
 	return true
 }
 
-// sendBatch writes the messages, several to a write where they are small.
+// sendBatch writes the messages, several small ones in one write.
 func (l *link) sendBatch(batch [][]byte) error {
 	l.touch()
 	l.controlMu.Lock()
@@ -139,28 +140,28 @@
 	return l.writeControl(b)
 }
 
-// readControl hands on what the peer sends until the link ends.
+// readControl handles the peer's control frames until the link ends.
 func (l *link) readControl(r *bufio.Reader) {
 	for {
 		kind, body, err := readControlFrame(r, l.t.options.MaxMessage)
 		if err != nil {
-			l.shut(controlEndCode(err))
+			l.closeNow(controlEndCode(err))
 			return
 		}
 		switch kind {
 		case frameGoodbye:
-			l.heardGoodbye()
+			l.handleGoodbye()
 		case frameFinished:
-			l.heardFinished()
+			l.handleFinished()
 		case frameMessage:
-			l.takeMessage(body)
+			l.handleMessage(body)
 		}
 	}
 }
 
-func (l *link) takeMessage(body []byte) {
+func (l *link) handleMessage(body []byte) {
 	l.touch()
-	if l.t.isCut(l.node()) {
+	if l.t.isPartitioned(l.node()) {
 		return
 	}
 	l.t.handler.ServeControl(l.node(), body)
@@ -169,7 +170,7 @@
 func readControlFrame(r *bufio.Reader, limit int) (byte, []byte, error) {
 	kind, err := r.ReadByte()
 	if err != nil {
-		return 0, nil, noCleanEnd(err)
+		return 0, nil, asUnexpectedEOF(err)
 	}
 	if kind > frameProbe {
 		return 0, nil, MalformedError{What: "control frame", Err: errLength}
@@ -180,7 +181,7 @@
 	}
 	body := make([]byte, size)
 	_, err = io.ReadFull(r, body)
-	return kind, body, noCleanEnd(err)
+	return kind, body, asUnexpectedEOF(err)
 }
 
 func controlEndCode(err error) (code closeCode) {
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -1,8 +1,8 @@
-// Ten calls that want the same new peer at once must pay one handshake (about 1 ms), not ten, and a peer that
-// is down must not be dialled by every call. So each peer has one state: its link, a dial under way that all
-// wait for, and the time before which a failed dial is not tried again.
+// Ten concurrent calls to the same new peer must cost one handshake (about 1 ms), not ten, and a peer that is down
+// must not be dialled by every call. So each peer has one state: its link, the dial under way that all calls wait
+// for, and the time until which a failed dial is not retried.
 //
-// Example: the dial to n2 fails at 0 ms; calls until about 50 ms get BackOffError, phase notSent, at once.
+// Example: the dial to n2 fails at 0 ms; calls until up to 50 ms later fail at once with BackOffError, phase notSent.
 
 package transporter
 
@@ -18,7 +18,7 @@
 
 type peerState struct {
 	link *link
-	// dialling is closed when the dial under way ends; nil without one.
+	// dialling is closed when the dial under way ends; it is nil when there is none.
 	dialling chan struct{}
 	lastErr  error
 	failures int
@@ -29,14 +29,14 @@
 	sending    bool
 }
 
-func (t *Transporter) stateLocked(to Peer) *peerState {
+func (t *Transporter) peerStateLocked(to Peer) *peerState {
 	if to.Node == "" {
-		return stateIn(t.unnamed, to.Address)
+		return peerStateIn(t.peersByAddress, to.Address)
 	}
-	return stateIn(t.peers, to.Node)
+	return peerStateIn(t.peers, to.Node)
 }
 
-func stateIn[K comparable](m map[K]*peerState, key K) *peerState {
+func peerStateIn[K comparable](m map[K]*peerState, key K) *peerState {
 	p := m[key]
 	if p == nil {
 		p = &peerState{}
@@ -45,22 +45,22 @@
 	return p
 }
 
-// maxAcquire bounds the tries for one call, since a peer that takes connections only to end them would otherwise
-// keep its callers dialling without end.
-const maxAcquire = 4
+// maxAcquireAttempts bounds the attempts of one call to get a link. Otherwise a peer that accepts connections and closes
+// them at once would keep its callers dialling indefinitely.
+const maxAcquireAttempts = 4
 
-// acquire returns a link to the peer on which a call has been begun.
+// acquire returns a link to the peer and counts a call on it.
 func (t *Transporter) acquire(ctx context.Context, to Peer) (*link, error) {
-	for range maxAcquire {
+	for range maxAcquireAttempts {
 		l, dialling, err := t.linkOrDial(to)
 		if err != nil {
 			return nil, err
 		}
-		if l != nil && l.begin() {
-			return t.bounded(l)
+		if l != nil && l.beginCall() {
+			return t.limitCalls(l)
 		}
 		if l != nil {
-			t.forget(l)
+			t.detachLink(l)
 			continue
 		}
 		select {
@@ -69,12 +69,12 @@
 			return nil, ctx.Err()
 		}
 	}
-	return nil, errUnsteady
+	return nil, errLinksKeepEnding
 }
 
-func (t *Transporter) bounded(l *link) (*link, error) {
+func (t *Transporter) limitCalls(l *link) (*link, error) {
 	if int(l.calls.Load()) > t.options.MaxCalls {
-		l.done()
+		l.endCall()
 		return nil, errTooManyCalls
 	}
 	return l, nil
@@ -82,12 +82,12 @@
 
 // linkOrDial returns the peer's link, or a channel that is closed when the dial for it has ended.
 func (t *Transporter) linkOrDial(to Peer) (*link, <-chan struct{}, error) {
-	if t.isCut(to.Node) {
-		return nil, nil, CutError{Node: to.Node}
+	if t.isPartitioned(to.Node) {
+		return nil, nil, PartitionedError{Node: to.Node}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.stateLocked(to)
+	p := t.peerStateLocked(to)
 	switch {
 	case t.closing:
 		return nil, nil, errClosed
@@ -109,13 +109,13 @@
 	done := p.dialling
 	p.dialling = nil
 	p.lastErr = err
-	t.past.Dials++
+	t.totals.Dials++
 	if err == nil {
 		p.failures = 0
 		p.link = l
 		t.links[l] = struct{}{}
 	} else {
-		t.past.FailedDials++
+		t.totals.FailedDials++
 		p.failures++
 		p.retryAt = time.Now().Add(t.backOff(p.failures).Std())
 	}
@@ -126,18 +126,18 @@
 	}
 }
 
-// backOff doubles with each failure, with jitter so that the fleet does not dial a returned peer in step.
+// backOff doubles with each failure; its jitter keeps the fleet from dialling a recovered peer at the same moment.
 func (t *Transporter) backOff(failures int) clock.Duration {
 	d := t.options.MinBackOff << min(failures-1, 16)
 	d = min(d, t.options.MaxBackOff)
 	return d/2 + clock.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// dial makes a link; run serves it, and returns when it ends.
+// dial establishes a link; run serves the link and returns when it ends.
 func (t *Transporter) dial(to Peer) (_ *link, run func(), _ error) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.options.DialTimeout.Std())
 	defer cancel()
-	if err := t.makeRoom(); err != nil {
+	if err := t.evictIdleLink(); err != nil {
 		return nil, nil, err
 	}
 	address, err := net.ResolveUDPAddr("udp", to.Address)
@@ -149,25 +149,25 @@
 		return nil, nil, err
 	}
 	l := t.newLink(conn, true)
-	if err := l.greet(ctx, to.Node); err != nil {
-		l.shut(codeGoodbye)
+	if err := l.sendHello(ctx, to.Node); err != nil {
+		l.closeNow(codeGoodbye)
 		return nil, nil, err
 	}
 	r, h, err := l.readHello(ctx)
 	if err != nil {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 		return nil, nil, err
 	}
 	if to.Node != "" && h.node != to.Node {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 		return nil, nil, WrongNodeError{Want: to.Node, Got: h.node}
 	}
 	l.peer.Store(&h.node)
 	return l, func() { l.run(conn.Context(), r) }, nil
 }
 
-// makeRoom lets the longest idle dialled link go when there are as many as may be.
-func (t *Transporter) makeRoom() error {
+// evictIdleLink starts to close the dialled link that has been idle longest if MaxLinks are open.
+func (t *Transporter) evictIdleLink() error {
 	now := time.Now()
 	var oldest *link
 	count := 0
@@ -187,34 +187,34 @@
 	if oldest == nil {
 		return errTooManyLinks
 	}
-	oldest.leave()
+	oldest.startClose()
 	return nil
 }
 
-// adopt makes an accepted link usable in the other direction too.
-func (t *Transporter) adopt(l *link) bool {
+// addAcceptedLink makes an accepted link usable for calls of this node too.
+func (t *Transporter) addAcceptedLink(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closing {
 		return false
 	}
 	t.links[l] = struct{}{}
-	p := stateIn(t.peers, l.node())
+	p := peerStateIn(t.peers, l.node())
 	if p.link == nil {
 		p.link = l
 	}
 	return true
 }
 
-// forget takes a link out of use for new calls.
-func (t *Transporter) forget(l *link) {
+// detachLink makes sure that new calls don't use the link.
+func (t *Transporter) detachLink(l *link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	forgetIn(t.peers, l)
-	forgetIn(t.unnamed, l)
+	detachLinkIn(t.peers, l)
+	detachLinkIn(t.peersByAddress, l)
 }
 
-func forgetIn[K comparable](m map[K]*peerState, l *link) {
+func detachLinkIn[K comparable](m map[K]*peerState, l *link) {
 	for key, p := range m {
 		if p.link != l {
 			continue
@@ -226,14 +226,14 @@
 	}
 }
 
-// disposable tells that nothing about the peer needs remembering. Without this a fleet that replaces 1,900 VMs a
-// day would leave one entry for each id that it ever had.
+// disposable reports whether the peer's entry can be deleted. If entries were kept, a fleet that replaces 1,900 VMs a
+// day would accumulate one for each node id that it ever had.
 func (p *peerState) disposable() bool {
 	busy := p.link != nil || p.dialling != nil || p.sending || len(p.queue) > 0
 	return !busy && time.Now().After(p.retryAt)
 }
 
-func pruneIn[K comparable](m map[K]*peerState) {
+func pruneDisposable[K comparable](m map[K]*peerState) {
 	for key, p := range m {
 		if p.disposable() {
 			delete(m, key)
@@ -241,13 +241,13 @@
 	}
 }
 
-// drop removes an ended link.
-func (t *Transporter) drop(l *link) {
-	t.forget(l)
+// removeLink removes a link that has ended and adds its counts to the totals.
+func (t *Transporter) removeLink(l *link) {
+	t.detachLink(l)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, known := t.links[l]; known {
-		t.past.add(l)
+		t.totals.add(l)
 		delete(t.links, l)
 	}
 }
--- a/internal/transporter/frames.go
+++ b/internal/transporter/frames.go
@@ -1,5 +1,5 @@
-// A stream carries frames of a four-byte length and as many bytes. A body is a run of non-empty frames closed
-// by an empty one, so that a stream that merely ends, for whatever reason, is never taken for a whole body.
+// A stream carries frames: a length of four bytes and as many bytes of content. A body is a sequence of non-empty
+// frames followed by an empty one, the end mark, so that a stream that ends early is never mistaken for a complete body.
 //
 // Example: the answer "ok" with its tail is  head frame, 0 0 0 2 o k, 0 0 0 0, tail frame.
 
@@ -18,7 +18,7 @@
 	lengthSize = 4
 	// maxChunk bounds one frame of a body.
 	maxChunk = 32 << 10
-	// maxCoalesced is the size up to which head, body and end mark travel as one write.
+	// maxCoalesced is the size up to which head, body and end mark are sent in one write.
 	maxCoalesced = 16 << 10
 )
 
@@ -32,7 +32,7 @@
 	return bufferPool.Get().(*bytes.Buffer)
 }
 
-// A buffer that once held a large head is let go, or a few of them would be kept for ever.
+// A buffer that has grown large is not returned to the pool, where it would keep its memory.
 func putBuffer(b *bytes.Buffer) {
 	if b.Cap() > 4*maxCoalesced {
 		return
@@ -79,7 +79,7 @@
 func readLength(r *bufio.Reader, what string, limit int) (int, error) {
 	b, err := r.Peek(lengthSize)
 	if err != nil {
-		return 0, noCleanEnd(err)
+		return 0, asUnexpectedEOF(err)
 	}
 	size := binary.BigEndian.Uint32(b)
 	if uint64(size) > uint64(limit) {
@@ -89,45 +89,45 @@
 	return int(size), err
 }
 
-// readFrame reads a whole frame into memory and hands it to use, which must not keep it.
-func readFrame(r *bufio.Reader, what string, limit int, use func([]byte) error) error {
+// readFrame reads a complete frame into memory and passes it to decode, which must not retain the bytes.
+func readFrame(r *bufio.Reader, what string, limit int, decode func([]byte) error) error {
 	size, err := readLength(r, what, limit)
 	if err != nil {
 		return err
 	}
 	if size <= r.Size() {
-		return useBuffered(r, size, use)
+		return decodeBuffered(r, size, decode)
 	}
 	b := make([]byte, 0, min(size, maxChunk))
 	buffer := bytes.NewBuffer(b)
 	if _, err := io.CopyN(buffer, r, int64(size)); err != nil {
-		return noCleanEnd(err)
+		return asUnexpectedEOF(err)
 	}
-	return use(buffer.Bytes())
+	return decode(buffer.Bytes())
 }
 
-func useBuffered(r *bufio.Reader, size int, use func([]byte) error) error {
+func decodeBuffered(r *bufio.Reader, size int, decode func([]byte) error) error {
 	b, err := r.Peek(size)
 	if err != nil {
-		return noCleanEnd(err)
+		return asUnexpectedEOF(err)
 	}
-	if err := use(b); err != nil {
+	if err := decode(b); err != nil {
 		return err
 	}
 	_, err = r.Discard(size)
 	return err
 }
 
-// A stream that ends inside a frame lost its sender. Passed on as io.EOF it would look like the end of a whole
-// body, and a caller would keep half a manifest without notice.
-func noCleanEnd(err error) error {
+// A stream that ends inside a frame lost its sender. If this were passed on as io.EOF, it would look like the end of
+// a complete body, and a caller would accept half a document without an error.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// bodyReader reads the frames of a body and gives io.EOF only at the end mark.
+// bodyReader reads the frames of a body and returns io.EOF only at the end mark.
 type bodyReader struct {
 	r    *bufio.Reader
 	left int
@@ -148,7 +148,7 @@
 	n, err := b.r.Read(p[:min(len(p), b.left)])
 	b.left -= n
 	if err != nil {
-		b.err = noCleanEnd(err)
+		b.err = asUnexpectedEOF(err)
 	}
 	return n, b.err
 }
@@ -161,7 +161,7 @@
 	return b.err == nil
 }
 
-// whole tells whether the end mark was read.
-func (b *bodyReader) whole() bool {
+// complete reports whether the end mark was read.
+func (b *bodyReader) complete() bool {
 	return errors.Is(b.err, io.EOF)
 }
--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -1,5 +1,5 @@
-// One UDP socket serves all: calls taken, calls sent, control both ways. A connection is used in both
-// directions, whoever dialled it, so that two nodes share one, and its handshake is paid once.
+// One UDP socket carries all traffic: calls received, calls sent, and control messages in both directions. A
+// connection is used in both directions whichever node dialled it, so two nodes share one connection and one handshake.
 //
 // Example: t, _ := New(options, handler); t.Start(ctx); t.Call(ctx, Peer{"n2", "127.0.0.1:7002"}, head, nil).
 
@@ -25,37 +25,37 @@
 	config    *quic.Config
 	transport *quic.Transport
 	listener  *quic.Listener
-	// ended is closed when nothing may run any more.
-	ended chan struct{}
-	end   context.CancelFunc
-	wait  sync.WaitGroup
+	// ended is created by New but neither closed nor read.
+	ended     chan struct{}
+	cancelAll context.CancelFunc
+	wait      sync.WaitGroup
 
 	mu      sync.Mutex
 	closing bool
 	peers   map[identifier.Node]*peerState
-	// unnamed holds peers known only by their address.
-	unnamed map[string]*peerState
-	links   map[*link]struct{}
-	// past holds the counts of links that have ended, and those that belong to no link.
-	past Stats
+	// peersByAddress holds peers of which only the address is known.
+	peersByAddress map[string]*peerState
+	links          map[*link]struct{}
+	// totals holds the counts of links that have ended, and the counts that belong to no link.
+	totals Stats
 }
 
-// New returns a transporter that does nothing until Start.
+// New returns a transporter; it neither listens nor sends before Start.
 func New(o Options, h Handler) *Transporter {
 	o.fillDefaults()
 	return &Transporter{
-		options: o,
-		handler: h,
-		config:  quicConfig(o),
-		ended:   make(chan struct{}),
-		peers:   map[identifier.Node]*peerState{},
-		unnamed: map[string]*peerState{},
-		links:   map[*link]struct{}{},
+		options:        o,
+		handler:        h,
+		config:         quicConfig(o),
+		ended:          make(chan struct{}),
+		peers:          map[identifier.Node]*peerState{},
+		peersByAddress: map[string]*peerState{},
+		links:          map[*link]struct{}{},
 	}
 }
 
-// quicConfig sends no probes on idle connections: with a hundred of them they alone would take a node's whole control
-// budget. What must be noticed early, the death of a peer with calls under way, is the matter of watcher.go.
+// quicConfig leaves keep-alive packets off: on a hundred idle connections they would use up a node's whole budget for
+// control traffic. A peer that crashes while calls are under way is detected by watcher.go.
 func quicConfig(o Options) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           o.DialTimeout.Std(),
@@ -69,7 +69,7 @@
 	}
 }
 
-// Start binds the address and begins to take connections.
+// Start binds the address and begins to accept connections.
 func (t *Transporter) Start(_ context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", t.options.Listen)
 	if err != nil {
@@ -85,9 +85,9 @@
 		return errors.Join(fmt.Errorf("listen: %w", err), socket.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t.end = cancel
+	t.cancelAll = cancel
 	t.wait.Go(func() { t.acceptLinks(ctx) })
-	t.wait.Go(func() { t.tend(ctx) })
+	t.wait.Go(func() { t.maintenanceLoop(ctx) })
 	return nil
 }
 
@@ -102,23 +102,23 @@
 		if err != nil {
 			return
 		}
-		t.wait.Go(func() { t.takeLink(ctx, conn) })
+		t.wait.Go(func() { t.acceptLink(ctx, conn) })
 	}
 }
 
-// Close takes nothing new, lets the streams under way finish until ctx ends, and lets the socket go.
+// Close rejects new calls, waits until the streams under way have finished or ctx ends, and closes the socket.
 func (t *Transporter) Close(ctx context.Context) error {
 	t.mu.Lock()
 	t.closing = true
 	links := t.linksLocked()
 	t.mu.Unlock()
 	for _, l := range links {
-		l.leave()
+		l.startClose()
 	}
 	err := t.waitLinks(ctx, links)
-	t.end()
+	t.cancelAll()
 	for _, l := range t.currentLinks() {
-		l.shut(codeGoodbye)
+		l.closeNow(codeGoodbye)
 	}
 	closed := t.transport.Close()
 	if e := t.transport.Conn.Close(); e != nil && !errors.Is(e, net.ErrClosed) {
@@ -153,14 +153,15 @@
 	return t.linksLocked()
 }
 
-func (t *Transporter) isCut(n identifier.Node) bool {
-	return t.options.Cut != nil && t.options.Cut(n)
+func (t *Transporter) isPartitioned(n identifier.Node) bool {
+	return t.options.Partitioned != nil && t.options.Partitioned(n)
 }
 
-// tend lets idle connections go and, in tests, kills those that are cut off.
-func (t *Transporter) tend(ctx context.Context) {
+// maintenanceLoop closes idle connections, detects dead peers and, in tests, closes the connections to partitioned
+// peers.
+func (t *Transporter) maintenanceLoop(ctx context.Context) {
 	period := min(t.options.IdleAfter, t.options.PeerTimeout).Std() / 4
-	if t.options.Cut != nil {
+	if t.options.Partitioned != nil {
 		period = min(period, 20*time.Millisecond)
 	}
 	ticker := time.NewTicker(period)
@@ -170,28 +171,28 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			t.tendLinks(now)
+			t.maintainLinks(now)
 		}
 	}
 }
 
-func (t *Transporter) tendLinks(now time.Time) {
-	t.prune()
+func (t *Transporter) maintainLinks(now time.Time) {
+	t.prunePeers()
 	for _, l := range t.currentLinks() {
-		if t.isCut(l.node()) {
-			l.shut(codeCut)
+		if t.isPartitioned(l.node()) {
+			l.closeNow(codePartitioned)
 			continue
 		}
-		l.watch(now)
+		l.checkPeer(now)
 		if l.dialled && l.idleSince(now) > t.options.IdleAfter.Std() {
-			l.leave()
+			l.startClose()
 		}
 	}
 }
 
-func (t *Transporter) prune() {
+func (t *Transporter) prunePeers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	pruneIn(t.peers)
-	pruneIn(t.unnamed)
+	pruneDisposable(t.peers)
+	pruneDisposable(t.peersByAddress)
 }
--- a/internal/transporter/transporter_test.go
+++ b/internal/transporter/transporter_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, b.Stats().Links, 1)
 }
 
-func TestControlOfAllSizesArrives(t *testing.T) {
+func TestControlMessagesOfAllSizesArrive(t *testing.T) {
 	f := newFleet(t)
 	got := make(chan []byte, 10)
 	a, _ := f.start("a", funcHandler{}, nil)
@@ -61,7 +61,7 @@
 		case m := <-got:
 			assert.Assert(t, bytes.Equal(m, want))
 		case <-time.After(5 * time.Second):
-			t.Fatalf("a message of %d bytes did not arrive", size)
+			t.Fatalf("control message of %d bytes did not arrive within 5 s", size)
 		}
 	}
 	assert.ErrorType(t, a.SendControl(peerB, make([]byte, 1<<20+1)), TooLargeError{})
