--- a/internal/commander/logflags.go
+++ b/internal/commander/logflags.go
@@ -84,7 +84,7 @@
 		Operator:   operator,
 		Wall:       func() clock.Wall { return clock.Wall(c.Now().UnixMilli()) },
 		Random:     c.Random,
-		TryTimeout: clock.FromStd(f.timeout / triesPerTimeout),
+		AttemptTimeout: clock.FromStd(f.timeout / triesPerTimeout),
 		RetryPause: retryPause,
 	})
 	v, err := p.Load(ctx)
--- a/internal/configurer/taker.go
+++ b/internal/configurer/applier.go
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-func (c *Configurer) take(r Record, now clock.Time, wall clock.Wall) []Effect {
+func (c *Configurer) applyRecord(r Record, now clock.Time, wall clock.Wall) []Effect {
 	if r.Offset < c.tail.next {
 		return nil
 	}
@@ -28,12 +28,12 @@
 	}
 	switch v := value.(type) {
 	case Snapshot:
-		return c.takeSnapshot(r.Offset, v, now, wall)
+		return c.applySnapshot(r.Offset, v, now, wall)
 	case PublishPreset, SwitchPreset, IssueKey, WithdrawKey:
-		c.oldest.note(wallOf(v), now, wall)
-		return c.takeChange(r.Offset, v)
+		c.oldest.recordRead(wallOf(v), now, wall)
+		return c.applyChange(r.Offset, v)
 	}
-	c.oldest.note(wall, now, wall)
+	c.oldest.recordRead(wall, now, wall)
 	c.advance(r.Offset)
 	return []Effect{Deliver{Offset: r.Offset, Value: value}}
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-func (c *Configurer) takeChange(offset identifier.Offset, record any) []Effect {
+func (c *Configurer) applyChange(offset identifier.Offset, record any) []Effect {
 	if c.waiting {
 		return c.hold(offset, record)
 	}
@@ -53,7 +53,7 @@
 		return nil
 	}
 	c.through = offset
-	changed, ok := c.folder.apply(record)
+	changed, ok := c.configuration.apply(record)
 	if !ok {
 		return nil
 	}
@@ -69,7 +69,7 @@
 		return nil
 	}
 	c.suspended[w.Hash] = true
-	return []Effect{Changed{Version: c.folder.version, Withdrawn: []identifier.KeyHash{w.Hash}}}
+	return []Effect{Changed{Version: c.configuration.version, Withdrawn: []identifier.KeyHash{w.Hash}}}
 }
 
 func (c *Configurer) skip(to identifier.Offset) []Effect {
@@ -84,8 +84,8 @@
 	return []Effect{Skipped{From: from, To: to}}
 }
 
-func (c *Configurer) takeSnapshot(offset identifier.Offset, s Snapshot, now clock.Time, wall clock.Wall) []Effect {
-	c.oldest.renew(s.Wall, now, wall)
+func (c *Configurer) applySnapshot(offset identifier.Offset, s Snapshot, now clock.Time, wall clock.Wall) []Effect {
+	c.oldest.snapshotRead(s.Wall, now, wall)
 	effects := c.adopt(s)
 	c.advance(offset)
 	return effects
@@ -96,7 +96,7 @@
 	if s.Through <= c.through || (c.waiting && s.Through < c.needed) {
 		return nil
 	}
-	changed := c.folder.replace(s)
+	changed := c.configuration.replace(s)
 	c.through = s.Through
 	c.waiting = false
 	clear(c.suspended)
@@ -104,7 +104,7 @@
 	held := c.held
 	c.held = nil
 	for _, h := range held {
-		effects = append(effects, c.takeChange(h.offset, h.record)...)
+		effects = append(effects, c.applyChange(h.offset, h.record)...)
 	}
 	c.through = max(c.through, c.tail.next-1)
 	return slices.Clip(effects)
--- a/internal/configurer/folder.go
+++ b/internal/configurer/configuration.go
@@ -20,7 +20,7 @@
 // its base is older than the version it made itself.
 const maxOutcomes = 512
 
-type folder struct {
+type configuration struct {
 	version        identifier.Version
 	presets        map[identifier.Preset]VersionedPreset
 	inForce        *definer.Preset
@@ -31,8 +31,8 @@
 	outcomeByID    map[ChangeID]Outcome
 }
 
-func newFolder() folder {
-	return folder{
+func newConfiguration() configuration {
+	return configuration{
 		presets:     map[identifier.Preset]VersionedPreset{},
 		keys:        map[identifier.KeyHash]*VersionedKey{},
 		outcomeByID: map[ChangeID]Outcome{},
@@ -40,37 +40,37 @@
 }
 
 // apply judges a change and tells what it changed; a record that is no change gives the zero Changed.
-func (f *folder) apply(record any) (Changed, bool) {
+func (f *configuration) apply(record any) (Changed, bool) {
 	switch r := record.(type) {
 	case PublishPreset:
-		return f.judge(r.Change, f.publishConflict(r), func() Changed { return f.publish(r) })
+		return f.decide(r.Change, f.publishConflict(r), func() Changed { return f.publish(r) })
 	case SwitchPreset:
-		return f.judge(r.Change, f.switchConflict(r), func() Changed { return f.switchTo(r) })
+		return f.decide(r.Change, f.switchConflict(r), func() Changed { return f.switchTo(r) })
 	case IssueKey:
-		return f.judge(r.Change, f.issueConflict(r), func() Changed { return f.issue(r) })
+		return f.decide(r.Change, f.issueConflict(r), func() Changed { return f.issue(r) })
 	case WithdrawKey:
-		return f.judge(r.Change, f.withdrawConflict(r), func() Changed { return f.withdraw(r) })
+		return f.decide(r.Change, f.withdrawConflict(r), func() Changed { return f.withdraw(r) })
 	}
 	return Changed{}, false
 }
 
-func (f *folder) judge(c Change, conflict *Conflict, accept func() Changed) (Changed, bool) {
+func (f *configuration) decide(c Change, conflict *Conflict, accept func() Changed) (Changed, bool) {
 	// An operator whose append answer got lost appends the same change again; the first judgement stays.
-	if _, judged := f.outcomeByID[c.ID]; judged {
+	if _, decided := f.outcomeByID[c.ID]; decided {
 		return Changed{}, false
 	}
 	if conflict != nil {
-		f.remember(Outcome{ID: c.ID, Conflict: conflict})
+		f.recordOutcome(Outcome{ID: c.ID, Conflict: conflict})
 		return Changed{}, false
 	}
 	f.version++
-	f.remember(Outcome{ID: c.ID, Version: f.version})
+	f.recordOutcome(Outcome{ID: c.ID, Version: f.version})
 	changed := accept()
 	changed.Version = f.version
 	return changed, true
 }
 
-func (f *folder) remember(o Outcome) {
+func (f *configuration) recordOutcome(o Outcome) {
 	if len(f.outcomes) == maxOutcomes {
 		delete(f.outcomeByID, f.outcomes[0].ID)
 		f.outcomes = slices.Delete(f.outcomes, 0, 1)
@@ -92,7 +92,7 @@
 	return &Conflict{Subject: Subject{Kind: kind, Name: name}, Reason: reason, Base: c.Base, Current: current}
 }
 
-func (f *folder) publishConflict(r PublishPreset) *Conflict {
+func (f *configuration) publishConflict(r PublishPreset) *Conflict {
 	var reason Reason
 	if r.Preset.Name == "" {
 		reason = ReasonInvalid
@@ -100,7 +100,7 @@
 	return conflictOf(SubjectPreset, string(r.Preset.Name), r.Change, f.presets[r.Preset.Name].Version, reason)
 }
 
-func (f *folder) publish(r PublishPreset) Changed {
+func (f *configuration) publish(r PublishPreset) Changed {
 	p := r.Preset
 	f.presets[p.Name] = VersionedPreset{Preset: &p, Version: f.version}
 	if f.inForceName != p.Name {
@@ -110,7 +110,7 @@
 	return Changed{InForce: true}
 }
 
-func (f *folder) switchConflict(r SwitchPreset) *Conflict {
+func (f *configuration) switchConflict(r SwitchPreset) *Conflict {
 	var reason Reason
 	if _, known := f.presets[r.Preset]; !known {
 		reason = ReasonUnknownPreset
@@ -118,14 +118,14 @@
 	return conflictOf(SubjectInForce, "", r.Change, f.inForceVersion, reason)
 }
 
-func (f *folder) switchTo(r SwitchPreset) Changed {
+func (f *configuration) switchTo(r SwitchPreset) Changed {
 	f.inForceName = r.Preset
 	f.inForce = f.presets[r.Preset].Preset
 	f.inForceVersion = f.version
 	return Changed{InForce: true}
 }
 
-func (f *folder) issueConflict(r IssueKey) *Conflict {
+func (f *configuration) issueConflict(r IssueKey) *Conflict {
 	var reason Reason
 	var current identifier.Version
 	if r.Key.Hash == "" || r.Key.Team == "" {
@@ -140,12 +140,12 @@
 	return conflictOf(SubjectKey, string(r.Key.Hash), r.Change, current, reason)
 }
 
-func (f *folder) issue(r IssueKey) Changed {
+func (f *configuration) issue(r IssueKey) Changed {
 	f.keys[r.Key.Hash] = &VersionedKey{Key: r.Key, Version: f.version}
 	return Changed{}
 }
 
-func (f *folder) withdrawConflict(r WithdrawKey) *Conflict {
+func (f *configuration) withdrawConflict(r WithdrawKey) *Conflict {
 	k := f.keys[r.Hash]
 	if k == nil {
 		return conflictOf(SubjectKey, string(r.Hash), r.Change, 0, ReasonUnknownKey)
@@ -158,13 +158,13 @@
 }
 
 // withdraw keeps the hash for good: forgotten, it would come back by a repeated IssueKey.
-func (f *folder) withdraw(r WithdrawKey) Changed {
+func (f *configuration) withdraw(r WithdrawKey) Changed {
 	k := f.keys[r.Hash]
 	f.keys[r.Hash] = &VersionedKey{Key: k.Key, Version: f.version, Withdrawn: true}
 	return Changed{Withdrawn: []identifier.KeyHash{r.Hash}}
 }
 
-func (f *folder) snapshot(through identifier.Offset) Snapshot {
+func (f *configuration) snapshot(through identifier.Offset) Snapshot {
 	return Snapshot{
 		Through:        through,
 		Version:        f.version,
@@ -176,7 +176,7 @@
 	}
 }
 
-func (f *folder) sortedPresets() []VersionedPreset {
+func (f *configuration) sortedPresets() []VersionedPreset {
 	presets := make([]VersionedPreset, 0, len(f.presets))
 	for _, p := range f.presets {
 		presets = append(presets, p)
@@ -185,7 +185,7 @@
 	return presets
 }
 
-func (f *folder) sortedKeys() []VersionedKey {
+func (f *configuration) sortedKeys() []VersionedKey {
 	keys := make([]VersionedKey, 0, len(f.keys))
 	for _, k := range f.keys {
 		keys = append(keys, *k)
@@ -195,9 +195,9 @@
 }
 
 // replace takes over the whole state of a snapshot and tells what changed by it.
-func (f *folder) replace(s Snapshot) Changed {
+func (f *configuration) replace(s Snapshot) Changed {
 	old := *f
-	*f = newFolder()
+	*f = newConfiguration()
 	f.version = s.Version
 	f.inForceName = s.InForce
 	f.inForceVersion = s.InForceVersion
@@ -209,19 +209,19 @@
 		f.keys[k.Key.Hash] = &k
 	}
 	for _, o := range s.Outcomes {
-		f.remember(o)
+		f.recordOutcome(o)
 	}
-	return Changed{Version: f.version, InForce: true, Withdrawn: old.endedIn(f)}
+	return Changed{Version: f.version, InForce: true, Withdrawn: old.withdrawnIn(f)}
 }
 
-func (f *folder) endedIn(later *folder) []identifier.KeyHash {
-	var ended []identifier.KeyHash
+func (f *configuration) withdrawnIn(later *configuration) []identifier.KeyHash {
+	var withdrawn []identifier.KeyHash
 	for hash, k := range f.keys {
 		l := later.keys[hash]
 		if !k.Withdrawn && (l == nil || l.Withdrawn) {
-			ended = append(ended, hash)
+			withdrawn = append(withdrawn, hash)
 		}
 	}
-	slices.Sort(ended)
-	return ended
+	slices.Sort(withdrawn)
+	return withdrawn
 }
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -48,7 +48,7 @@
 // Configurer is the reducer of one node.
 type Configurer struct {
 	options Options
-	folder  folder
+	configuration  configuration
 	// through is the offset up to which the configuration is folded.
 	through identifier.Offset
 	// needed is the least Through of a snapshot that closes a gap; waiting tells that there is a gap.
@@ -57,7 +57,7 @@
 	held      []heldChange
 	suspended map[identifier.KeyHash]bool
 	tail      tail
-	passer    passer
+	relay    relay
 	reader    reader
 	contact   contact
 	oldest    oldest
@@ -79,7 +79,7 @@
 	o.MaxBytes = orDefault(o.MaxBytes, DefaultMaxBytes)
 	return &Configurer{
 		options:   o,
-		folder:    newFolder(),
+		configuration:    newConfiguration(),
 		through:   o.First - 1,
 		suspended: map[identifier.KeyHash]bool{},
 		tail:      tail{start: o.First, next: o.First},
@@ -96,7 +96,7 @@
 
 // Resolve returns the team of a valid key.
 func (c *Configurer) Resolve(hash identifier.KeyHash) (identifier.Team, bool) {
-	k := c.folder.keys[hash]
+	k := c.configuration.keys[hash]
 	if k == nil || k.Withdrawn {
 		return "", false
 	}
@@ -108,24 +108,24 @@
 
 // InForce returns the preset in force, nil before the first switch, and the version of its last change.
 func (c *Configurer) InForce() (*definer.Preset, identifier.Version) {
-	f := &c.folder
+	f := &c.configuration
 	return f.inForce, max(f.inForceVersion, f.presets[f.inForceName].Version)
 }
 
 // Version returns how many changes were accepted.
 func (c *Configurer) Version() identifier.Version {
-	return c.folder.version
+	return c.configuration.version
 }
 
 // Base returns the version that a change of the subject must be made against.
 func (c *Configurer) Base(s Subject) identifier.Version {
 	switch s.Kind {
 	case SubjectPreset:
-		return c.folder.presets[identifier.Preset(s.Name)].Version
+		return c.configuration.presets[identifier.Preset(s.Name)].Version
 	case SubjectInForce:
-		return c.folder.inForceVersion
+		return c.configuration.inForceVersion
 	case SubjectKey:
-		if k := c.folder.keys[identifier.KeyHash(s.Name)]; k != nil {
+		if k := c.configuration.keys[identifier.KeyHash(s.Name)]; k != nil {
 			return k.Version
 		}
 	}
@@ -134,18 +134,18 @@
 
 // Preset returns a published preset.
 func (c *Configurer) Preset(name identifier.Preset) (VersionedPreset, bool) {
-	p, ok := c.folder.presets[name]
+	p, ok := c.configuration.presets[name]
 	return p, ok
 }
 
 // Presets returns all published presets by name.
 func (c *Configurer) Presets() []VersionedPreset {
-	return c.folder.sortedPresets()
+	return c.configuration.sortedPresets()
 }
 
 // Keys returns all keys that were ever issued, by hash.
 func (c *Configurer) Keys() []VersionedKey {
-	return c.folder.sortedKeys()
+	return c.configuration.sortedKeys()
 }
 
 // Offset returns the offset of the last record delivered.
@@ -165,12 +165,12 @@
 
 // OutcomeOf returns the judgement on a change, once its record was read.
 func (c *Configurer) OutcomeOf(id ChangeID) (Outcome, bool) {
-	o, ok := c.folder.outcomeByID[id]
+	o, ok := c.configuration.outcomeByID[id]
 	return o, ok
 }
 
 // VersionOf returns the version that an accepted change made.
 func (c *Configurer) VersionOf(id ChangeID) (identifier.Version, bool) {
-	o := c.folder.outcomeByID[id]
+	o := c.configuration.outcomeByID[id]
 	return o.Version, o.Version > 0
 }
--- a/internal/configurer/measure_test.go
+++ b/internal/configurer/configurer_test.go
@@ -14,13 +14,13 @@
 )
 
 // settle publishes and switches, and waits until every node has the preset in force.
-func settle(t *testing.T, w *world) {
+func settle(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(3 * clock.Second)
 	w.append(configurer.PublishPreset{Change: configurer.Change{ID: "p", Wall: w.wall()}, Preset: definer.Preset{Name: "ordinary"}})
 	w.append(configurer.SwitchPreset{Change: configurer.Change{ID: "s", Wall: w.wall()}, Preset: "ordinary"})
 	w.run(4 * clock.Second)
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		p, version := m.c.InForce()
 		assert.Assert(t, p != nil && version == 2, "%s", m.id)
 	}
@@ -28,7 +28,7 @@
 
 // A key is withdrawn while one message in five is lost; a slow or missed node would go on taking it, which
 // its team's former member notices and nobody else. The figures go to docs/design/configuration.md.
-func TestWithdrawnKeyStopsEverywhere(t *testing.T) {
+func TestWithdrawnKeyRejectedByAllNodes(t *testing.T) {
 	tests := map[string]struct {
 		domains []int
 		loss    float64
@@ -44,7 +44,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(7, test.domains...)
+			w := newSimulation(7, test.domains...)
 			w.loss = test.loss
 			settle(t, w)
 			var worst clock.Duration
@@ -53,12 +53,12 @@
 				id := configurer.ChangeID("issue " + hash)
 				w.append(configurer.IssueKey{Change: configurer.Change{ID: id, Wall: w.wall()}, Key: definer.Key{Hash: hash, Team: "team"}})
 				w.run(3 * clock.Second)
-				base := w.machines[0].c.Base(configurer.Subject{Kind: configurer.SubjectKey, Name: string(hash)})
+				base := w.nodes[0].c.Base(configurer.Subject{Kind: configurer.SubjectKey, Name: string(hash)})
 				withdrawal := configurer.Change{ID: "withdraw " + id, Base: base, Wall: w.wall()}
 				w.append(configurer.WithdrawKey{Change: withdrawal, Hash: hash})
 				start := w.now
 				w.run(3 * clock.Second)
-				for _, m := range w.machines {
+				for _, m := range w.nodes {
 					_, ok := m.c.Resolve(hash)
 					assert.Assert(t, !ok, "%s still takes the key", m.id)
 					worst = max(worst, m.changed.Sub(start))
@@ -73,7 +73,7 @@
 				w.append(configurer.State{Snapshot: configurer.Snapshot{InForce: "a record of a hundred bytes, as those of claims are: name, holder, epoch, witness, time"}})
 				w.run(100 * clock.Millisecond)
 			}
-			n := 2 * len(w.machines)
+			n := 2 * len(w.nodes)
 			t.Logf("withdrawn everywhere after %d ms; per node and second: idle %.2f messages, %d bytes; at 10 records a second %.1f messages, %d bytes",
 				worst, float64(idle)/float64(n), idleBytes/n, float64(w.messages)/float64(n), w.bytes/n)
 			assert.Assert(t, w.bytes/n <= test.bytes)
@@ -83,17 +83,17 @@
 
 // Every VM is replaced at once, longer after the last change than the log keeps records. Without snapshots in
 // time the fleet would find no preset and no key, and refuse everyone.
-func TestReplacedFleetFindsItsConfiguration(t *testing.T) {
-	w := newWorld(3, 2, 2)
+func TestReplacedFleetRecoversConfiguration(t *testing.T) {
+	w := newSimulation(3, 2, 2)
 	settle(t, w)
 	w.run(5 * w.retention / 2)
 	assert.Assert(t, w.earliest > 1)
-	for i, m := range w.machines {
-		w.machines[i] = w.start(m.domain)
+	for i, m := range w.nodes {
+		w.nodes[i] = w.start(m.domain)
 	}
-	w.introduce()
+	w.updatePeers()
 	w.run(3 * clock.Second)
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		p, version := m.c.InForce()
 		assert.Assert(t, p != nil && p.Name == "ordinary" && version == 2)
 	}
@@ -103,12 +103,12 @@
 
 // The hints of a change are lost on the way to one node. Pings alone must bring it up to date, or it would
 // serve by the old rules until the next change.
-func TestPingBringsMissedRecord(t *testing.T) {
-	w := newWorld(5, 4)
+func TestPingRecoversMissedRecord(t *testing.T) {
+	w := newSimulation(5, 4)
 	settle(t, w)
-	m := w.machines[0]
+	m := w.nodes[0]
 	if m.c.Reads() {
-		m = w.machines[1]
+		m = w.nodes[1]
 	}
 	m.paused = w.now.Add(500)
 	w.append(configurer.IssueKey{Change: configurer.Change{ID: "k", Wall: w.wall()}, Key: definer.Key{Hash: "h", Team: "team"}})
@@ -118,7 +118,7 @@
 }
 
 // A node without any news serves on with the keys it knows, unless its settings bound the silence.
-func TestSilenceIsBoundedOnlyBySetting(t *testing.T) {
+func TestMaxSilenceLimitsServing(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit clock.Duration
 		want  bool
@@ -135,23 +135,23 @@
 
 // A node comes back after its records have expired. It reads the log's end, but can't know what was withdrawn
 // in between; calling its news fresh would hide that from the operator.
-func TestGapIsNotFresh(t *testing.T) {
+func TestFreshnessUnknownAfterGap(t *testing.T) {
 	c := configurer.New(configurer.Options{Node: "n1", Rand: rand.New(rand.NewPCG(1, 1))})
 	c.LogRead(configurer.Batch{Earliest: 10, Next: 10, Asked: 1}, 5, 0)
 	assert.Assert(t, !c.Complete())
-	assert.Equal(t, c.Freshness(6), configurer.NeverHeard)
+	assert.Equal(t, c.Freshness(6), configurer.NoContact)
 }
 
 func BenchmarkResolve(b *testing.B) {
 	for _, keys := range []int{8, 1000} {
 		b.Run(fmt.Sprintf("%d keys", keys), func(b *testing.B) {
-			w := newWorld(1, 1)
+			w := newSimulation(1, 1)
 			for i := range keys {
 				hash := identifier.KeyHash(rune(i + 1000))
 				w.append(configurer.IssueKey{Change: configurer.Change{ID: configurer.ChangeID(hash)}, Key: definer.Key{Hash: hash, Team: "team"}})
 			}
 			w.run(10 * clock.Second)
-			c := w.machines[0].c
+			c := w.nodes[0].c
 			assert.Equal(b, c.Version(), identifier.Version(keys))
 			hash := identifier.KeyHash(rune(1000 + keys/2))
 			b.ReportAllocs()
--- a/internal/configurer/freshness.go
+++ b/internal/configurer/freshness.go
@@ -16,11 +16,11 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// NeverHeard is the freshness of a node without any news.
-const NeverHeard clock.Duration = 1<<62 - 1
+// NoContact is the freshness of a node without any news.
+const NoContact clock.Duration = 1<<62 - 1
 
-// maxHeard bounds the readers whose stamps are remembered.
-const maxHeard = 1024
+// maxStamps bounds the readers whose stamps are remembered.
+const maxStamps = 1024
 
 // Contact tells of one node's contact with the log, as it is passed on.
 type Contact struct {
@@ -35,22 +35,22 @@
 	at     clock.Time
 	reader identifier.Node
 	stamp  clock.Time
-	heard  map[identifier.Node]clock.Time
+	stamps  map[identifier.Node]clock.Time
 }
 
-// hear counts only for a node without a gap: one with a gap may lack withdrawals that it has no news of.
-func (c *Configurer) hear(n Contact, now clock.Time) {
+// recordContact counts only for a node without a gap: one with a gap may lack withdrawals that it has no news of.
+func (c *Configurer) recordContact(n Contact, now clock.Time) {
 	o := &c.contact
-	if c.waiting || n.Reader == "" || n.Age < 0 || n.Age >= NeverHeard {
+	if c.waiting || n.Reader == "" || n.Age < 0 || n.Age >= NoContact {
 		return
 	}
-	if last, known := o.heard[n.Reader]; known && n.Stamp <= last {
+	if last, known := o.stamps[n.Reader]; known && n.Stamp <= last {
 		return
 	}
-	if o.heard == nil || len(o.heard) >= maxHeard {
-		o.heard = map[identifier.Node]clock.Time{o.reader: o.stamp}
+	if o.stamps == nil || len(o.stamps) >= maxStamps {
+		o.stamps = map[identifier.Node]clock.Time{o.reader: o.stamp}
 	}
-	o.heard[n.Reader] = n.Stamp
+	o.stamps[n.Reader] = n.Stamp
 	at := now.Add(-n.Age)
 	if o.known && at <= o.at {
 		return
@@ -69,7 +69,7 @@
 // Freshness returns how long ago the log was known to hold nothing newer than this node has.
 func (c *Configurer) Freshness(now clock.Time) clock.Duration {
 	if !c.contact.known {
-		return NeverHeard
+		return NoContact
 	}
 	return now.Sub(c.contact.at)
 }
--- a/internal/configurer/fuzz_test.go
+++ b/internal/configurer/fuzz_test.go
@@ -13,40 +13,40 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// account is what a single reader of the whole log would hold in force after each record.
-type account struct {
+// model is what a single reader of the whole log would hold in force after each record.
+type model struct {
 	version  identifier.Version
 	subjects map[string]identifier.Version
 	content  map[identifier.Preset]uint8
 	inForce  identifier.Preset
 	teams    map[identifier.KeyHash]identifier.Team
-	gone     map[identifier.KeyHash]identifier.Offset
+	withdrawnAt     map[identifier.KeyHash]identifier.Offset
 	accepted map[configurer.ChangeID]identifier.Version
 	refused  map[configurer.ChangeID]bool
-	// at holds version, preset in force with its content, and the valid keys, by offset.
-	at []string
+	// states holds version, preset in force with its content, and the valid keys, by offset.
+	states []string
 }
 
-func newAccount() *account {
-	return &account{
+func newModel() *model {
+	return &model{
 		subjects: map[string]identifier.Version{}, content: map[identifier.Preset]uint8{},
-		teams: map[identifier.KeyHash]identifier.Team{}, gone: map[identifier.KeyHash]identifier.Offset{},
+		teams: map[identifier.KeyHash]identifier.Team{}, withdrawnAt: map[identifier.KeyHash]identifier.Offset{},
 		accepted: map[configurer.ChangeID]identifier.Version{}, refused: map[configurer.ChangeID]bool{},
 	}
 }
 
-func (a *account) catchUp(log []logged) {
-	for o := len(a.at); o < len(log); o++ {
+func (a *model) catchUp(log []logged) {
+	for o := len(a.states); o < len(log); o++ {
 		a.read(identifier.Offset(o), log[o].value)
-		a.at = append(a.at, a.String())
+		a.states = append(a.states, a.String())
 	}
 }
 
-func (a *account) String() string {
+func (a *model) String() string {
 	return fmt.Sprint(a.version, a.inForce, a.content[a.inForce], a.teams)
 }
 
-func (a *account) read(o identifier.Offset, value any) {
+func (a *model) read(o identifier.Offset, value any) {
 	switch r := value.(type) {
 	case configurer.PublishPreset:
 		if a.accept(r.Change, "preset "+string(r.Preset.Name), true) {
@@ -57,19 +57,19 @@
 			a.inForce = r.Preset
 		}
 	case configurer.IssueKey:
-		_, gone := a.gone[r.Key.Hash]
+		_, gone := a.withdrawnAt[r.Key.Hash]
 		if a.accept(r.Change, "key "+string(r.Key.Hash), !gone) {
 			a.teams[r.Key.Hash] = r.Key.Team
 		}
 	case configurer.WithdrawKey:
 		if a.accept(r.Change, "key "+string(r.Hash), a.teams[r.Hash] != "") {
 			delete(a.teams, r.Hash)
-			a.gone[r.Hash] = o
+			a.withdrawnAt[r.Hash] = o
 		}
 	}
 }
 
-func (a *account) accept(c configurer.Change, subject string, allowed bool) bool {
+func (a *model) accept(c configurer.Change, subject string, allowed bool) bool {
 	if a.accepted[c.ID] > 0 || a.refused[c.ID] {
 		return false
 	}
@@ -84,8 +84,8 @@
 }
 
 type fuzz struct {
-	w       *world
-	a       *account
+	w       *simulation
+	a       *model
 	changes int
 	sent    []any
 	keys    []identifier.KeyHash
@@ -93,7 +93,7 @@
 
 func (f *fuzz) change(t *rapid.T, subject configurer.Subject) configurer.Change {
 	f.changes++
-	m := f.w.machines[rapid.IntRange(0, len(f.w.machines)-1).Draw(t, "operator's node")]
+	m := f.w.nodes[rapid.IntRange(0, len(f.w.nodes)-1).Draw(t, "operator's node")]
 	return configurer.Change{
 		ID: configurer.ChangeID(fmt.Sprintf("change-%d", f.changes)), Wall: f.w.wall(), Base: m.c.Base(subject),
 	}
@@ -102,7 +102,7 @@
 func (f *fuzz) submit(t *rapid.T, value any) {
 	f.sent = append(f.sent, value)
 	delay := clock.Duration(rapid.IntRange(0, 5000).Draw(t, "append delay"))
-	f.w.late = append(f.w.late, logged{value: value, at: f.w.now.Add(delay)})
+	f.w.pendingAppends = append(f.w.pendingAppends, logged{value: value, at: f.w.now.Add(delay)})
 }
 
 func (f *fuzz) actions() map[string]func(*rapid.T) {
@@ -152,22 +152,22 @@
 			}
 		},
 		"outage":    func(*rapid.T) { w.outage = !w.outage },
-		"partition": func(*rapid.T) { w.split = !w.split },
+		"partition": func(*rapid.T) { w.partitioned = !w.partitioned },
 		"cut from log": func(t *rapid.T) {
 			d := rapid.IntRange(0, 2).Draw(t, "domain")
-			for _, m := range w.machines {
-				m.cut = m.domain == d
+			for _, m := range w.nodes {
+				m.logUnreachable = m.domain == d
 			}
 		},
 		"loss": func(t *rapid.T) { w.loss = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "loss") },
 		"pause": func(t *rapid.T) {
-			m := w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(t, "node")]
+			m := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 			m.paused = w.now.Add(clock.Duration(rapid.IntRange(100, 90_000).Draw(t, "pause")))
 		},
 		"replace": func(t *rapid.T) {
-			i := rapid.IntRange(0, len(w.machines)-1).Draw(t, "node")
-			w.machines[i] = w.start(w.machines[i].domain)
-			w.introduce()
+			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
+			w.nodes[i] = w.start(w.nodes[i].domain)
+			w.updatePeers()
 		},
 		"wait":      func(t *rapid.T) { f.wait(clock.Duration(rapid.IntRange(50, 2000).Draw(t, "span"))) },
 		"wait long": func(t *rapid.T) { f.wait(clock.Duration(rapid.IntRange(5000, 40_000).Draw(t, "span"))) },
@@ -180,12 +180,12 @@
 func (f *fuzz) check(t *rapid.T) {
 	f.a.catchUp(f.w.log)
 	assert.Equal(t, f.w.fault, "")
-	for _, m := range f.w.machines {
+	for _, m := range f.w.nodes {
 		f.checkNode(t, m)
 	}
 }
 
-func (f *fuzz) checkNode(t *rapid.T, m *machine) {
+func (f *fuzz) checkNode(t *rapid.T, m *simulatedNode) {
 	offset := m.c.Offset()
 	version := m.c.Version()
 	assert.Assert(t, version >= m.version, "%s went back from %d to %d", m.id, m.version, version)
@@ -196,10 +196,10 @@
 		if team, ok := m.c.Resolve(h); ok {
 			teams[h] = team
 		}
-		gone, withdrawn := f.a.gone[h]
+		withdrawnAt, withdrawn := f.a.withdrawnAt[h]
 		_, valid := teams[h]
-		read := withdrawn && gone <= offset && (!m.skipped[gone] || m.c.Complete())
-		assert.Assert(t, !valid || !read, "%s at %d takes key %s, withdrawn at %d", m.id, offset, h, gone)
+		read := withdrawn && withdrawnAt <= offset && (!m.skipped[withdrawnAt] || m.c.Complete())
+		assert.Assert(t, !valid || !read, "%s at %d takes key %s, withdrawn at %d", m.id, offset, h, withdrawnAt)
 	}
 	if !m.c.Complete() {
 		return
@@ -215,52 +215,52 @@
 		return
 	}
 	// A node may be ahead of its position by a peer's state, never behind it.
-	for o := max(offset, 0); int(o) < len(f.a.at); o++ {
-		if f.a.at[o] == got {
+	for o := max(offset, 0); int(o) < len(f.a.states); o++ {
+		if f.a.states[o] == got {
 			return
 		}
 	}
-	t.Fatalf("%s at offset %d holds %s, the log says %s", m.id, offset, got, f.a.at[max(offset, 0)])
+	t.Fatalf("%s at offset %d holds %s, the log says %s", m.id, offset, got, f.a.states[max(offset, 0)])
 }
 
 // checkFreshness holds the age that a node reports against the records that it lacks. News may be older than
 // it looks by the time that its messages were under way, here up to 4 s at each hop once there were losses.
 // Without losses the few hops of this small fleet take milliseconds, however long an outage lasts.
-func (f *fuzz) checkFreshness(t *rapid.T, m *machine, offset identifier.Offset) {
-	underWay := 200 * clock.Millisecond
+func (f *fuzz) checkFreshness(t *rapid.T, m *simulatedNode, offset identifier.Offset) {
+	inTransit := 200 * clock.Millisecond
 	if f.w.delayed {
-		underWay = 20 * clock.Second
+		inTransit = 20 * clock.Second
 	}
 	missing := int(offset) + 1
 	age := m.c.Freshness(f.w.now)
-	if missing >= len(f.w.log) || age == configurer.NeverHeard {
+	if missing >= len(f.w.log) || age == configurer.NoContact {
 		return
 	}
 	lacked := f.w.now.Sub(f.w.log[missing].at)
-	assert.Assert(t, lacked <= age+underWay, "%s lacks %d for %d ms and says %d", m.id, missing, lacked, age)
+	assert.Assert(t, lacked <= age+inTransit, "%s lacks %d for %d ms and says %d", m.id, missing, lacked, age)
 }
 
 // heal ends all faults; every node that can learn the configuration must then agree with the log's end.
 func (f *fuzz) heal(t *rapid.T) {
 	w := f.w
-	w.outage, w.split, w.loss = false, false, 0
-	for _, m := range w.machines {
-		m.cut = false
+	w.outage, w.partitioned, w.loss = false, false, 0
+	for _, m := range w.nodes {
+		m.logUnreachable = false
 		m.paused = 0
 	}
 	w.run(35 * clock.Second)
-	w.closed = true
+	w.appendsClosed = true
 	w.run(3 * clock.Second)
 	f.check(t)
 	known := false
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		known = known || m.c.Complete()
 	}
 	if !known {
 		return
 	}
 	end := identifier.Offset(len(w.log) - 1)
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		assert.Assert(t, m.c.Complete() && m.c.Offset() == end, "%s is at %d of %d", m.id, m.c.Offset(), end)
 		assert.Assert(t, m.c.Freshness(w.now) < 3*clock.Second)
 		for o := identifier.Offset(0); o <= end; o++ {
@@ -283,7 +283,7 @@
 // A user would notice two domains under different rules, or a withdrawn key that works again.
 func TestFuzzConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fuzz{w: newWorld(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), a: newAccount()}
+		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), a: newModel()}
 		t.Repeat(f.actions())
 		f.heal(t)
 	})
--- a/internal/configurer/world_test.go
+++ b/internal/configurer/helpers_test.go
@@ -38,11 +38,11 @@
 	message  any
 }
 
-type machine struct {
+type simulatedNode struct {
 	id      identifier.Node
 	domain  int
 	c       *configurer.Configurer
-	cut     bool
+	logUnreachable     bool
 	paused  clock.Time
 	last    identifier.Offset
 	covered map[identifier.Offset]bool
@@ -51,58 +51,58 @@
 	changed clock.Time
 }
 
-type world struct {
+type simulation struct {
 	rand      *rand.Rand
 	now       clock.Time
 	log       []logged
 	earliest  identifier.Offset
 	outage    bool
-	closed    bool
+	appendsClosed    bool
 	delayed   bool
 	retention clock.Duration
-	machines  []*machine
-	byID      map[identifier.Node]*machine
-	mail      []envelope
-	late      []logged
+	nodes  []*simulatedNode
+	byID      map[identifier.Node]*simulatedNode
+	inFlight      []envelope
+	pendingAppends      []logged
 	loss      float64
-	split     bool
+	partitioned     bool
 	started   int
 	messages  int
 	bytes     int
 	fault     string
 }
 
-func newWorld(seed uint64, perDomain ...int) *world {
-	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), now: 1, retention: clock.Minute}
+func newSimulation(seed uint64, perDomain ...int) *simulation {
+	w := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), now: 1, retention: clock.Minute}
 	for d, count := range perDomain {
 		for range count {
-			w.machines = append(w.machines, w.start(d))
+			w.nodes = append(w.nodes, w.start(d))
 		}
 	}
-	w.introduce()
+	w.updatePeers()
 	return w
 }
 
-func (w *world) start(domain int) *machine {
+func (w *simulation) start(domain int) *simulatedNode {
 	w.started++
 	id := identifier.Node(fmt.Sprintf("n%d", w.started))
 	c := configurer.New(configurer.Options{
 		Node: id, Rand: rand.New(rand.NewPCG(uint64(w.started), 2)), Decode: encoder.Decode, Retention: w.retention,
 	})
-	return &machine{
+	return &simulatedNode{
 		id: id, domain: domain, last: -1, c: c,
 		covered: map[identifier.Offset]bool{}, skipped: map[identifier.Offset]bool{},
 	}
 }
 
-func (w *world) introduce() {
-	w.byID = map[identifier.Node]*machine{}
-	for _, m := range w.machines {
+func (w *simulation) updatePeers() {
+	w.byID = map[identifier.Node]*simulatedNode{}
+	for _, m := range w.nodes {
 		w.byID[m.id] = m
 	}
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		var local, remote []identifier.Node
-		for _, o := range w.machines {
+		for _, o := range w.nodes {
 			switch {
 			case o == m:
 			case o.domain == m.domain:
@@ -115,9 +115,9 @@
 	}
 }
 
-func (w *world) wall() clock.Wall { return clock.Wall(1_700_000_000_000 + int64(w.now)) }
+func (w *simulation) wall() clock.Wall { return clock.Wall(1_700_000_000_000 + int64(w.now)) }
 
-func (w *world) append(value any) {
+func (w *simulation) append(value any) {
 	raw, err := encoder.Encode(value)
 	if err != nil {
 		panic(err)
@@ -126,7 +126,7 @@
 	w.log = append(w.log, logged{record: configurer.Record{Offset: o, Raw: raw}, value: value, at: w.now})
 }
 
-func (w *world) perform(m *machine, effects []configurer.Effect) {
+func (w *simulation) perform(m *simulatedNode, effects []configurer.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case configurer.Send:
@@ -134,9 +134,9 @@
 		case configurer.ReadLog:
 			w.read(m, e)
 		case configurer.Append:
-			w.late = append(w.late, logged{value: e.Record, at: w.now.Add(clock.Duration(w.rand.IntN(3000)))})
+			w.pendingAppends = append(w.pendingAppends, logged{value: e.Record, at: w.now.Add(clock.Duration(w.rand.IntN(3000)))})
 			if w.rand.IntN(3) == 0 {
-				w.late = append(w.late, logged{value: e.Record, at: w.now.Add(clock.Duration(w.rand.IntN(20000)))})
+				w.pendingAppends = append(w.pendingAppends, logged{value: e.Record, at: w.now.Add(clock.Duration(w.rand.IntN(20000)))})
 			}
 		case configurer.Deliver:
 			if e.Offset <= m.last {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (w *world) send(from identifier.Node, e configurer.Send) {
+func (w *simulation) send(from identifier.Node, e configurer.Send) {
 	raw, err := encoder.Encode(e.Message)
 	if err != nil {
 		panic(err)
@@ -169,13 +169,13 @@
 	if w.loss > 0 && w.rand.IntN(20) == 0 {
 		w.delayed = true
 		delay = clock.Duration(w.rand.IntN(4000))
-		w.mail = append(w.mail, envelope{due: w.now.Add(1), from: from, to: e.To, message: e.Message})
+		w.inFlight = append(w.inFlight, envelope{due: w.now.Add(1), from: from, to: e.To, message: e.Message})
 	}
-	w.mail = append(w.mail, envelope{due: w.now.Add(delay), from: from, to: e.To, message: e.Message})
+	w.inFlight = append(w.inFlight, envelope{due: w.now.Add(delay), from: from, to: e.To, message: e.Message})
 }
 
-func (w *world) read(m *machine, e configurer.ReadLog) {
-	if w.outage || m.cut {
+func (w *simulation) read(m *simulatedNode, e configurer.ReadLog) {
+	if w.outage || m.logUnreachable {
 		w.perform(m, m.c.LogFailed(w.now))
 		return
 	}
@@ -186,11 +186,11 @@
 	w.perform(m, m.c.LogRead(b, w.now, w.wall()))
 }
 
-func (w *world) find(id identifier.Node) *machine {
+func (w *simulation) find(id identifier.Node) *simulatedNode {
 	return w.byID[id]
 }
 
-func (w *world) run(span clock.Duration) {
+func (w *simulation) run(span clock.Duration) {
 	end := w.now.Add(span)
 	for w.now < end {
 		w.now++
@@ -201,38 +201,38 @@
 	}
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	var rest []envelope
-	due := w.mail
-	w.mail = nil
+	due := w.inFlight
+	w.inFlight = nil
 	for _, e := range due {
 		if e.due > w.now {
 			rest = append(rest, e)
 			continue
 		}
 		from, to := w.find(e.from), w.find(e.to)
-		if to == nil || from == nil || to.paused > w.now || (w.split && from.domain != to.domain) {
+		if to == nil || from == nil || to.paused > w.now || (w.partitioned && from.domain != to.domain) {
 			continue
 		}
 		w.perform(to, to.c.Receive(e.from, e.message, w.now, w.wall()))
 	}
-	w.mail = append(w.mail, rest...)
+	w.inFlight = append(w.inFlight, rest...)
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	var late []logged
-	for _, l := range w.late {
-		if l.at > w.now || w.outage || w.closed {
+	for _, l := range w.pendingAppends {
+		if l.at > w.now || w.outage || w.appendsClosed {
 			late = append(late, l)
 			continue
 		}
 		w.append(l.value)
 	}
-	w.late = late
+	w.pendingAppends = late
 	for int(w.earliest) < len(w.log) && w.now.Sub(w.log[w.earliest].at) > w.retention {
 		w.earliest++
 	}
-	for i, m := range w.machines {
+	for i, m := range w.nodes {
 		if m.paused > w.now {
 			continue
 		}
@@ -244,16 +244,16 @@
 }
 
 // ping stands for the membership's pings and their answers, which carry the position and the age.
-func (w *world) ping(m *machine) {
-	o := w.machines[w.rand.IntN(len(w.machines))]
+func (w *simulation) ping(m *simulatedNode) {
+	o := w.nodes[w.rand.IntN(len(w.nodes))]
 	if o == m || o.domain != m.domain || o.paused > w.now {
 		return
 	}
-	for _, pair := range [][2]*machine{{m, o}, {o, m}} {
+	for _, pair := range [][2]*simulatedNode{{m, o}, {o, m}} {
 		from, to := pair[0], pair[1]
 		if w.rand.Float64() < w.loss {
 			return
 		}
-		w.perform(to, to.c.PeerNews(from.id, from.c.Offset(), from.c.Contact(w.now), w.now))
+		w.perform(to, to.c.PeerStatus(from.id, from.c.Offset(), from.c.Contact(w.now), w.now))
 	}
 }
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -18,7 +18,7 @@
 const (
 	readInterval = 200 * clock.Millisecond
 	readTimeout  = 5 * clock.Second
-	staleNews    = 3 * clock.Second
+	staleContactAge    = 3 * clock.Second
 	// Elected readers look often whether the log is back; the others must not add thousands of reads a second.
 	maxBackoffElected = clock.Second
 	maxBackoff        = 30 * clock.Second
@@ -35,15 +35,15 @@
 	failed  bool
 	// failedSince is the first failure after the last success.
 	failedSince clock.Time
-	// alarmed tells that the news is stale and the random wait before an own read has begun.
-	alarmed bool
+	// readScheduled tells that the news is stale and the random wait before an own read has begun.
+	readScheduled bool
 }
 
 // SetPeers tells which other nodes live in the own failure domain, and some nodes of other domains.
 func (c *Configurer) SetPeers(local, remote []identifier.Node) {
-	c.passer.local = local
-	c.passer.remote = remote
-	c.passer.next = nextByName(c.options.Node, local)
+	c.relay.local = local
+	c.relay.remote = remote
+	c.relay.next = nextByName(c.options.Node, local)
 	own := electionHash(c.options.Node)
 	ahead := 0
 	for _, n := range local {
@@ -98,12 +98,12 @@
 	if r.elected || r.catchingUp {
 		return true
 	}
-	if c.Freshness(now) <= staleNews {
-		r.alarmed = false
+	if c.Freshness(now) <= staleContactAge {
+		r.readScheduled = false
 		return false
 	}
-	if !r.alarmed {
-		r.alarmed = true
+	if !r.readScheduled {
+		r.readScheduled = true
 		r.due = now.Add(c.jitter(maxBackoff / 3))
 		return false
 	}
@@ -139,18 +139,18 @@
 	r.backoff = 0
 	r.due = now.Add(readInterval)
 	if !r.elected {
-		r.due = now.Add(staleNews/2 + c.jitter(staleNews))
+		r.due = now.Add(staleContactAge/2 + c.jitter(staleContactAge))
 	}
 	var effects []Effect
 	if b.Earliest > c.tail.next {
 		effects = c.skip(b.Earliest)
 	}
 	for _, record := range b.Records {
-		effects = append(effects, c.take(record, now, wall)...)
+		effects = append(effects, c.applyRecord(record, now, wall)...)
 	}
 	if c.tail.next >= b.Next {
 		r.catchingUp = false
-		c.hear(Contact{Reader: c.options.Node, Stamp: b.Asked, Age: now.Sub(b.Asked)}, now)
+		c.recordContact(Contact{Reader: c.options.Node, Stamp: b.Asked, Age: now.Sub(b.Asked)}, now)
 	} else {
 		r.due = now
 	}
--- a/internal/configurer/passer.go
+++ b/internal/configurer/relay.go
@@ -20,10 +20,10 @@
 	remoteFanout       = 4
 	pullTimeout        = 150 * clock.Millisecond
 	idlePullInterval   = 2 * clock.Second
-	skipPatience       = 3 * clock.Second
+	skipDelay       = 3 * clock.Second
 )
 
-type passer struct {
+type relay struct {
 	local, remote []identifier.Node
 	// next is the local peer that follows this node by name, around the end of the list.
 	next identifier.Node
@@ -32,8 +32,8 @@
 	rounds     int
 	nextHint   clock.Time
 	nextRemote clock.Time
-	// pulling is the moment until which an answer to a TailRequest is awaited.
-	pulling  clock.Time
+	// pullDeadline is the moment until which an answer to a TailRequest is awaited.
+	pullDeadline  clock.Time
 	nextIdle clock.Time
 	// newest is the furthest position heard of, and the peer that has it.
 	newest     identifier.Offset
@@ -46,30 +46,30 @@
 	effects = append(effects, c.tickSnapshot(now, wall)...)
 	effects = append(effects, c.hintIfNew(now)...)
 	effects = append(effects, c.hintRemote(now)...)
-	if c.passer.newest >= c.tail.next {
-		effects = append(effects, c.request(c.passer.newestPeer, now)...)
+	if c.relay.newest >= c.tail.next {
+		effects = append(effects, c.request(c.relay.newestPeer, now)...)
 	}
-	if c.lost(now) && now >= c.passer.nextIdle {
-		c.passer.nextIdle = now.Add(idlePullInterval/2 + c.jitter(idlePullInterval))
+	if c.needsPull(now) && now >= c.relay.nextIdle {
+		c.relay.nextIdle = now.Add(idlePullInterval/2 + c.jitter(idlePullInterval))
 		effects = append(effects, c.pull(now)...)
 	}
 	return effects
 }
 
-// lost tells that this node can't expect the next news to come by itself.
-func (c *Configurer) lost(now clock.Time) bool {
-	return c.waiting || c.reader.catchingUp || c.Freshness(now) > staleNews
+// needsPull tells that this node can't expect the next news to come by itself.
+func (c *Configurer) needsPull(now clock.Time) bool {
+	return c.waiting || c.reader.catchingUp || c.Freshness(now) > staleContactAge
 }
 
 // Receive takes in a message from another node.
 func (c *Configurer) Receive(from identifier.Node, message any, now clock.Time, wall clock.Wall) []Effect {
 	switch m := message.(type) {
 	case Hint:
-		return c.PeerNews(from, m.Next-1, m.Contact, now)
+		return c.PeerStatus(from, m.Next-1, m.Contact, now)
 	case TailRequest:
 		return c.answer(from, m, now)
 	case Tail:
-		return c.takeTail(from, m, now, wall)
+		return c.receiveTail(from, m, now, wall)
 	case State:
 		effects := c.adopt(m.Snapshot)
 		return append(effects, c.hintIfNew(now)...)
@@ -77,45 +77,45 @@
 	return nil
 }
 
-// PeerNews takes in, from a ping, the offset that a peer has read up to and its newest contact with the log.
-func (c *Configurer) PeerNews(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
+// PeerStatus takes in, from a ping, the offset that a peer has read up to and its newest contact with the log.
+func (c *Configurer) PeerStatus(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
 	if offset < c.tail.next {
 		// Only one who has all that the peer had knows what the log's end was at that contact.
-		c.hear(n, now)
+		c.recordContact(n, now)
 		if !c.waiting {
 			return nil
 		}
 	}
-	if offset >= c.passer.newest {
-		c.passer.newest = offset
-		c.passer.newestPeer = from
+	if offset >= c.relay.newest {
+		c.relay.newest = offset
+		c.relay.newestPeer = from
 	}
 	return c.request(from, now)
 }
 
 func (c *Configurer) request(to identifier.Node, now clock.Time) []Effect {
-	if now < c.passer.pulling {
+	if now < c.relay.pullDeadline {
 		return nil
 	}
-	c.passer.pulling = now.Add(pullTimeout)
-	m := TailRequest{From: c.tail.next, State: c.waiting || c.newcomer(), Skip: c.maySkip(now)}
+	c.relay.pullDeadline = now.Add(pullTimeout)
+	m := TailRequest{From: c.tail.next, State: c.waiting || c.lacksConfiguration(), Skip: c.maySkip(now)}
 	return []Effect{Send{To: to, Message: m}}
 }
 
-func (c *Configurer) newcomer() bool {
+func (c *Configurer) lacksConfiguration() bool {
 	return c.reader.catchingUp && c.through < c.options.First
 }
 
 // maySkip tells that the log has been failing for long enough to go on without what only it may still have.
 func (c *Configurer) maySkip(now clock.Time) bool {
-	return c.reader.failed && now.Sub(c.reader.failedSince) >= skipPatience
+	return c.reader.failed && now.Sub(c.reader.failedSince) >= skipDelay
 }
 
 // pull asks a random peer, of another domain where there is none in the own or now and then.
 func (c *Configurer) pull(now clock.Time) []Effect {
-	peers := c.passer.local
-	if len(peers) == 0 || (len(c.passer.remote) > 0 && c.options.Rand.IntN(3) == 0) {
-		peers = c.passer.remote
+	peers := c.relay.local
+	if len(peers) == 0 || (len(c.relay.remote) > 0 && c.options.Rand.IntN(3) == 0) {
+		peers = c.relay.remote
 	}
 	if len(peers) == 0 {
 		return nil
@@ -128,7 +128,7 @@
 	from := m.From
 	behind := from < c.tail.start
 	if (m.State || behind) && !c.waiting && c.through >= c.options.First {
-		effects = append(effects, Send{To: to, Message: State{Snapshot: c.folder.snapshot(c.through)}})
+		effects = append(effects, Send{To: to, Message: State{Snapshot: c.configuration.snapshot(c.through)}})
 	}
 	if behind && m.Skip {
 		from = c.tail.start
@@ -142,8 +142,8 @@
 	return append(effects, Send{To: to, Message: t})
 }
 
-func (c *Configurer) takeTail(from identifier.Node, m Tail, now clock.Time, wall clock.Wall) []Effect {
-	c.passer.pulling = now
+func (c *Configurer) receiveTail(from identifier.Node, m Tail, now clock.Time, wall clock.Wall) []Effect {
+	c.relay.pullDeadline = now
 	var effects []Effect
 	if m.From > c.tail.next {
 		// A late answer to an older request; or the peer's tail begins too late while the log may still have
@@ -155,16 +155,16 @@
 		effects = c.skip(m.From)
 	}
 	for _, r := range m.Records {
-		effects = append(effects, c.take(r, now, wall)...)
+		effects = append(effects, c.applyRecord(r, now, wall)...)
 	}
 	if c.tail.next >= m.End {
-		c.hear(m.Contact, now)
-		c.reader.catchingUp = c.reader.catchingUp && m.Contact.Age > staleNews
+		c.recordContact(m.Contact, now)
+		c.reader.catchingUp = c.reader.catchingUp && m.Contact.Age > staleContactAge
 	} else {
 		effects = append(effects, c.request(from, now)...)
 	}
-	if c.passer.newest >= c.tail.next {
-		effects = append(effects, c.request(c.passer.newestPeer, now)...)
+	if c.relay.newest >= c.tail.next {
+		effects = append(effects, c.request(c.relay.newestPeer, now)...)
 	}
 	return append(effects, c.hintIfNew(now)...)
 }
@@ -174,7 +174,7 @@
 }
 
 func (c *Configurer) hintIfNew(now clock.Time) []Effect {
-	p := &c.passer
+	p := &c.relay
 	if p.hinted < c.tail.next {
 		p.hinted = c.tail.next
 		p.rounds = hintRounds
@@ -192,7 +192,7 @@
 
 // hintRemote keeps domains current that are cut off from the log but not from this one.
 func (c *Configurer) hintRemote(now clock.Time) []Effect {
-	p := &c.passer
+	p := &c.relay
 	if !c.reader.elected || now < p.nextRemote {
 		return nil
 	}
--- a/internal/configurer/snapshotter.go
+++ b/internal/configurer/snapshotter.go
@@ -17,15 +17,15 @@
 	due   clock.Time
 }
 
-// note takes in a record that is not a snapshot.
-func (o *oldest) note(written clock.Wall, now clock.Time, wall clock.Wall) {
+// recordRead takes in a record that is not a snapshot.
+func (o *oldest) recordRead(written clock.Wall, now clock.Time, wall clock.Wall) {
 	if o.known {
 		return
 	}
 	*o = oldest{known: true, wall: min(written, wall), read: now}
 }
 
-func (o *oldest) renew(written clock.Wall, now clock.Time, wall clock.Wall) {
+func (o *oldest) snapshotRead(written clock.Wall, now clock.Time, wall clock.Wall) {
 	*o = oldest{known: true, wall: min(written, wall), read: now}
 }
 
@@ -46,7 +46,7 @@
 		return nil
 	}
 	o.due = now.Add(c.options.Retention/32 + c.jitter(c.options.Retention/32))
-	s := c.folder.snapshot(c.through)
+	s := c.configuration.snapshot(c.through)
 	s.Wall = wall
 	return []Effect{Append{Record: s}}
 }
--- a/internal/launcher/fleet.go
+++ b/internal/launcher/fleet.go
@@ -142,7 +142,7 @@
 		Operator:   "launcher",
 		Wall:       func() clock.Wall { return clock.Wall(time.Now().UnixMilli()) },
 		Random:     rand.Reader,
-		TryTimeout: 2 * clock.Second,
+		AttemptTimeout: 2 * clock.Second,
 		RetryPause: 50 * clock.Millisecond,
 	})
 	return nil
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -41,18 +41,18 @@
 
 		Backoff: n.storeBackoff,
 		Now:     clock.Boot{}.Now,
-		Took:    n.takeOrders,
-		Lost: func(err error) {
+		OnUpdate:    n.takeOrders,
+		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "operators", "error", err.Error())
 		},
-		Regained: func() { n.recorder.Event("store regained", "topic", "operators") },
+		OnRegained: func() { n.recorder.Event("store regained", "topic", "operators") },
 	})
 }
 
 // coveredBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
 // come with the reports, soon after the collector has them. Trying like a collector, 195 nodes would make a thousand calls
 // in an outage of some seconds.
-var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Most: 4 * clock.Second, Factor: 20}
+var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Max: 4 * clock.Second, Factor: 20}
 
 func (n *node) storeBackoff() watcher.Backoff {
 	relied := false
@@ -148,11 +148,11 @@
 
 		Backoff: n.storeBackoff,
 		Now:     clock.Boot{}.Now,
-		Took:    n.takeMembers,
-		Lost: func(err error) {
+		OnUpdate:    n.takeMembers,
+		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "members", "error", err.Error())
 		},
-		Regained: func() { n.recorder.Event("store regained", "topic", "members") },
+		OnRegained: func() { n.recorder.Event("store regained", "topic", "members") },
 	})
 	w.Run(ctx)
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -36,8 +36,8 @@
 	Wall     func() clock.Wall
 	// Random gives keys and the ids of changes.
 	Random io.Reader
-	// TryTimeout bounds one request to the log, RetryPause is the time between two.
-	TryTimeout clock.Duration
+	// AttemptTimeout bounds one request to the log, RetryPause is the time between two.
+	AttemptTimeout clock.Duration
 	RetryPause clock.Duration
 }
 
@@ -72,7 +72,7 @@
 }
 
 func (p *Publisher) catchUp(ctx context.Context, v *View) error {
-	ctx, cancel := context.WithTimeout(ctx, p.options.TryTimeout.Std())
+	ctx, cancel := context.WithTimeout(ctx, p.options.AttemptTimeout.Std())
 	defer cancel()
 	return v.catchUp(ctx, p.options.Log)
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -28,7 +28,7 @@
 		Operator:   "eva",
 		Wall:       func() clock.Wall { return 1 },
 		Random:     random,
-		TryTimeout: clock.Second,
+		AttemptTimeout: clock.Second,
 	})
 }
 
@@ -39,20 +39,20 @@
 // model is the oracle: the version of each subject, counted by hand.
 type model struct {
 	version identifier.Version
-	of      map[configurer.Subject]identifier.Version
+	versions      map[configurer.Subject]identifier.Version
 }
 
-// judge tells what must become of a change made against base.
-func (m *model) judge(rt *rapid.T, s configurer.Subject, base, got identifier.Version, err error) {
+// checkOutcome tells what must become of a change made against base.
+func (m *model) checkOutcome(rt *rapid.T, s configurer.Subject, base, got identifier.Version, err error) {
 	var conflict configurer.Conflict
-	if base != m.of[s] {
+	if base != m.versions[s] {
 		assert.Assert(rt, errors.As(err, &conflict), "%v", err)
-		assert.Equal(rt, conflict.Current, m.of[s])
+		assert.Equal(rt, conflict.Current, m.versions[s])
 		return
 	}
 	assert.NilError(rt, err)
 	m.version++
-	m.of[s] = m.version
+	m.versions[s] = m.version
 	assert.Equal(rt, got, m.version)
 }
 
@@ -64,7 +64,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		k := logkeeper.New(logkeeper.Options{})
 		p := newPublisher(k, rand.Reader)
-		m := model{of: map[configurer.Subject]identifier.Version{}}
+		m := model{versions: map[configurer.Subject]identifier.Version{}}
 		views := make([]*View, 3)
 		for i := range views {
 			v, err := p.Load(ctx)
@@ -81,16 +81,16 @@
 				v, name := draw(rt), names.Draw(rt, "name")
 				base := v.Base(PresetSubject(name))
 				got, err := p.Publish(ctx, v, preset(name, int(m.version)+1), base)
-				m.judge(rt, PresetSubject(name), base, got, err)
+				m.checkOutcome(rt, PresetSubject(name), base, got, err)
 			},
 			"switch": func(rt *rapid.T) {
 				v, name := draw(rt), names.Draw(rt, "name")
-				if m.of[PresetSubject(name)] == 0 {
+				if m.versions[PresetSubject(name)] == 0 {
 					rt.Skip("never published")
 				}
 				base := v.Base(InForce)
 				got, err := p.Switch(ctx, v, name, base)
-				m.judge(rt, InForce, base, got, err)
+				m.checkOutcome(rt, InForce, base, got, err)
 			},
 			"refresh": func(rt *rapid.T) {
 				assert.NilError(rt, draw(rt).catchUp(ctx, k))
@@ -99,26 +99,26 @@
 				fresh, err := p.Load(ctx)
 				assert.NilError(rt, err)
 				assert.Equal(rt, fresh.Version(), m.version)
-				assert.Equal(rt, fresh.Base(InForce), m.of[InForce])
+				assert.Equal(rt, fresh.Base(InForce), m.versions[InForce])
 			},
 		})
 	})
 }
 
-// failing is a log whose appends or reads fail as told.
-type failing struct {
+// failingLog is a log whose appends or reads fail as told.
+type failingLog struct {
 	appender.Log
 	appendErr, readErr error
 }
 
-func (f *failing) Append(ctx context.Context, data []byte) (appender.Offset, error) {
+func (f *failingLog) Append(ctx context.Context, data []byte) (appender.Offset, error) {
 	if f.appendErr != nil {
 		return 0, f.appendErr
 	}
 	return f.Log.Append(ctx, data)
 }
 
-func (f *failing) Read(ctx context.Context, from appender.Offset, limit int, wait time.Duration) (appender.Batch, error) {
+func (f *failingLog) Read(ctx context.Context, from appender.Offset, limit int, wait time.Duration) (appender.Batch, error) {
 	if f.readErr != nil {
 		return appender.Batch{}, f.readErr
 	}
@@ -127,7 +127,7 @@
 
 // The log goes away in the middle of a change. The operator must be told whether certainly nothing was changed or
 // nobody can know; a wrong "nothing was changed" makes them publish something else over an accepted change.
-func TestLogGoesAway(t *testing.T) {
+func TestLogUnavailableDuringChange(t *testing.T) {
 	cause := errors.New("gone")
 	lost := appender.Unavailable{Operation: "append", Cause: cause}
 	cases := map[string]struct {
@@ -143,7 +143,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			log := &failing{Log: logkeeper.New(logkeeper.Options{})}
+			log := &failingLog{Log: logkeeper.New(logkeeper.Options{})}
 			p := newPublisher(log, rand.Reader)
 			v, err := p.Load(context.Background())
 			assert.NilError(t, err)
@@ -161,7 +161,7 @@
 
 // A log has dropped its first records before any node wrote a snapshot. Judged from the rest alone, a withdrawn key
 // could look valid and an old preset new, so the operator is told that nothing can be judged.
-func TestGapIsNotGuessedOver(t *testing.T) {
+func TestGapIsReported(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
 	p := newPublisher(k, rand.Reader)
--- a/internal/publisher/settler.go
+++ b/internal/publisher/settler.go
@@ -38,7 +38,7 @@
 		if err := p.tryAppend(ctx, data, &a); err != nil {
 			return 0, err
 		}
-		o, found, err := p.look(ctx, v, id)
+		o, found, err := p.findOutcome(ctx, v, id)
 		if found {
 			return result(o)
 		}
@@ -46,7 +46,7 @@
 			a.cause = err
 		}
 		if !clock.Sleep(ctx, p.options.RetryPause.Std()) {
-			return 0, a.unsettled(id, ctx.Err())
+			return 0, a.unsettledError(id, ctx.Err())
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	if a.added {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.options.TryTimeout.Std())
+	ctx, cancel := context.WithTimeout(ctx, p.options.AttemptTimeout.Std())
 	defer cancel()
 	_, err := p.options.Log.Append(ctx, data)
 	if err == nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (p *Publisher) look(ctx context.Context, v *View, id configurer.ChangeID) (configurer.Outcome, bool, error) {
+func (p *Publisher) findOutcome(ctx context.Context, v *View, id configurer.ChangeID) (configurer.Outcome, bool, error) {
 	if err := p.catchUp(ctx, v); err != nil {
 		return configurer.Outcome{}, false, err
 	}
@@ -80,7 +80,7 @@
 	return o, found, nil
 }
 
-func (a attempt) unsettled(id configurer.ChangeID, end error) error {
+func (a attempt) unsettledError(id configurer.ChangeID, end error) error {
 	if a.cause == nil {
 		a.cause = fmt.Errorf("the record can't be read back: %w", end)
 	}
--- a/internal/publisher/view.go
+++ b/internal/publisher/view.go
@@ -54,14 +54,14 @@
 		if err != nil {
 			return err
 		}
-		v.take(b)
+		v.applyBatch(b)
 		if b.Next >= b.End {
 			return v.checkComplete()
 		}
 	}
 }
 
-func (v *View) take(b appender.Batch) {
+func (v *View) applyBatch(b appender.Batch) {
 	records := make([]configurer.Record, 0, len(b.Records))
 	for _, r := range b.Records {
 		records = append(records, configurer.Record{Offset: identifier.Offset(r.Offset), Raw: r.Data})
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -193,7 +193,7 @@
 
 // stillReading reports whether this node, after its start, has not yet read the configuration to the end. What it has
 // read so far may be outdated.
-func (s *State) stillReading() bool { return s.configurer.Freshness(s.now) >= configurer.NeverHeard }
+func (s *State) stillReading() bool { return s.configurer.Freshness(s.now) >= configurer.NoContact }
 
 func (s *State) refuseIfNotReady(c *call) bool {
 	switch {
--- a/internal/reducer/dump.go
+++ b/internal/reducer/dump.go
@@ -123,7 +123,7 @@
 // Status returns the configuration in force; a node that has not yet read the configuration to the end has none.
 func (s *State) Status(now clock.Time) Status {
 	st := Status{Silence: s.configurer.Freshness(now)}
-	if st.Silence >= configurer.NeverHeard {
+	if st.Silence >= configurer.NoContact {
 		return st
 	}
 	st.Version = s.configurer.Version()
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -46,37 +46,37 @@
 	Rest clock.Duration
 	// Now reads the boot time.
 	Now func() clock.Time
-	// Took is called with each update, from one goroutine.
-	Took func(Update)
-	// Lost and Regained are called when the store stops and starts to answer.
-	Lost     func(error)
-	Regained func()
+	// OnUpdate is called with each update, from one goroutine.
+	OnUpdate func(Update)
+	// OnLost and Regained are called when the store stops and starts to answer.
+	OnLost     func(error)
+	OnRegained func()
 }
 
 // Backoff is the wait after the first failed try, the longest one, and how many times as long each is as the one before.
 type Backoff struct {
-	First, Most clock.Duration
+	First, Max clock.Duration
 	Factor      clock.Duration
 }
 
 // DefaultBackoff is short enough that a store which is back is read within half a second, and long enough that a fleet does
 // not press a store that is busy.
-var DefaultBackoff = Backoff{First: 60 * clock.Millisecond, Most: 500 * clock.Millisecond, Factor: 2}
+var DefaultBackoff = Backoff{First: 60 * clock.Millisecond, Max: 500 * clock.Millisecond, Factor: 2}
 
 const (
-	// needPause is the time between two looks whether a topic has to be followed again: a fifth of what a node takes to notice
+	// needCheckInterval is the time between two looks whether a topic has to be followed again: a fifth of what a node takes to notice
 	// that it must.
-	needPause = 300 * clock.Millisecond
+	needCheckInterval = 300 * clock.Millisecond
 )
 
 // Watcher follows one topic.
 type Watcher struct {
 	options Options
 	next    identifier.Offset
-	known   bool
+	positionKnown   bool
 	failing bool
-	// news tells that the last answer had records and came from the store.
-	news  bool
+	// hadRecords tells that the last answer had records and came from the store.
+	hadRecords  bool
 	pause clock.Duration
 
 	mu sync.Mutex
@@ -85,8 +85,8 @@
 	waiting   clock.Duration
 	// retry ends the wait after a failed try; nil while there is none.
 	retry context.CancelFunc
-	// hurried tells that the last read was interrupted.
-	hurried bool
+	// interrupted tells that the last read was interrupted.
+	interrupted bool
 }
 
 // New returns a watcher that has read nothing.
@@ -97,26 +97,26 @@
 // Run follows the topic until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if w.known && w.options.Need != nil && !w.options.Need() {
-			clock.Sleep(ctx, needPause.Std())
+		if w.positionKnown && w.options.Need != nil && !w.options.Need() {
+			clock.Sleep(ctx, needCheckInterval.Std())
 			continue
 		}
 		err := w.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		w.note(err)
+		w.reportState(err)
 		switch {
 		case err != nil:
-			w.pauseFor(ctx, w.backOff())
-		case w.news:
+			w.waitToRetry(ctx, w.backOff())
+		case w.hadRecords:
 			clock.Sleep(ctx, w.options.Rest.Std())
 		}
 	}
 }
 
-// pauseFor waits after a failed try, unless Retry ends it.
-func (w *Watcher) pauseFor(ctx context.Context, span clock.Duration) {
+// waitToRetry waits after a failed try, unless Retry ends it.
+func (w *Watcher) waitToRetry(ctx context.Context, span clock.Duration) {
 	limited, cancel := context.WithTimeout(ctx, span.Std())
 	defer cancel()
 	w.setRetry(cancel)
@@ -139,18 +139,18 @@
 	}
 }
 
-func (w *Watcher) note(err error) {
+func (w *Watcher) reportState(err error) {
 	failing := err != nil
 	if failing == w.failing {
 		return
 	}
 	w.failing = failing
 	if failing {
-		w.options.Lost(err)
+		w.options.OnLost(err)
 		return
 	}
 	w.pause = 0
-	w.options.Regained()
+	w.options.OnRegained()
 }
 
 func (w *Watcher) backOff() clock.Duration {
@@ -158,34 +158,34 @@
 	if w.options.Backoff != nil {
 		b = w.options.Backoff()
 	}
-	w.pause = min(b.Most, max(b.First, b.Factor*w.pause))
+	w.pause = min(b.Max, max(b.First, b.Factor*w.pause))
 	return w.pause/2 + clock.Duration(rand.Int64N(int64(w.pause)/2+1))
 }
 
 func (w *Watcher) step(ctx context.Context) error {
-	asked := w.options.Now()
-	w.news = false
-	if !w.known {
-		return w.readNewest(ctx, asked)
+	sentAt := w.options.Now()
+	w.hadRecords = false
+	if !w.positionKnown {
+		return w.readNewest(ctx, sentAt)
 	}
 	wait := w.options.Wait()
-	if w.failing || w.hurried {
+	if w.failing || w.interrupted {
 		// A read that waits can't tell a silent store from one with no news, so after a failure ask for an answer
 		// at once; and whoever interrupts a read is in a hurry.
 		wait = 0
 	}
-	w.hurried = false
+	w.interrupted = false
 	limited, cancel := context.WithTimeout(ctx, (wait + w.options.Slack).Std())
 	defer cancel()
-	w.begin(cancel, wait)
+	w.beginRead(cancel, wait)
 	b, err := w.options.Topic.Read(limited, w.next, wait)
-	if w.end() {
-		w.hurried = true
+	if w.endRead() {
+		w.interrupted = true
 		return nil
 	}
 	var dropped DroppedError
 	if errors.As(err, &dropped) {
-		w.known = false
+		w.positionKnown = false
 		return w.readNewest(ctx, w.options.Now())
 	}
 	if err != nil {
@@ -193,25 +193,25 @@
 	}
 	if b.End < w.next && !b.Relayed {
 		// The topic has been made anew; what was read no longer says where to go on.
-		w.known = false
+		w.positionKnown = false
 		return nil
 	}
 	if n := len(b.Records); n > 0 {
 		w.next = b.Records[n-1].Offset + 1
-		w.news = !b.Relayed
+		w.hadRecords = !b.Relayed
 	}
-	w.options.Took(Update{Records: b.Records, Next: w.next, AsOf: asked, Complete: w.next >= b.End && !b.Relayed})
+	w.options.OnUpdate(Update{Records: b.Records, Next: w.next, AsOf: sentAt, Complete: w.next >= b.End && !b.Relayed})
 	return nil
 }
 
-func (w *Watcher) begin(interrupt context.CancelFunc, wait clock.Duration) {
+func (w *Watcher) beginRead(interrupt context.CancelFunc, wait clock.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.interrupt, w.waiting = interrupt, wait
 }
 
-// end tells whether the read was interrupted.
-func (w *Watcher) end() bool {
+// endRead tells whether the read was interrupted.
+func (w *Watcher) endRead() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	interrupted := w.interrupt == nil
@@ -230,7 +230,7 @@
 	w.interrupt = nil
 }
 
-func (w *Watcher) readNewest(ctx context.Context, asked clock.Time) error {
+func (w *Watcher) readNewest(ctx context.Context, sentAt clock.Time) error {
 	limited, cancel := context.WithTimeout(ctx, (2 * w.options.Slack).Std())
 	defer cancel()
 	b, err := w.options.Topic.Newest(limited)
@@ -238,8 +238,8 @@
 		return err
 	}
 	w.next = b.End
-	w.known = true
-	w.news = true
-	w.options.Took(Update{Records: b.Records, Next: w.next, AsOf: asked, Complete: true, Snapshot: true})
+	w.positionKnown = true
+	w.hadRecords = true
+	w.options.OnUpdate(Update{Records: b.Records, Next: w.next, AsOf: sentAt, Complete: true, Snapshot: true})
 	return nil
 }
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -96,14 +96,14 @@
 
 func (f *fakeTopic) Write(context.Context, string, []byte) error { return nil }
 
-type seen struct {
+type updateRecorder struct {
 	mu             sync.Mutex
 	values         map[string]string
 	updates        []Update
 	lost, regained int
 }
 
-func (s *seen) took(u Update) {
+func (s *updateRecorder) took(u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updates = append(s.updates, u)
@@ -112,20 +112,20 @@
 	}
 }
 
-func (s *seen) value(key string) string {
+func (s *updateRecorder) value(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.values[key]
 }
 
-func watch(t *testing.T, f *fakeTopic) *seen {
+func watch(t *testing.T, f *fakeTopic) *updateRecorder {
 	t.Helper()
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	c := clock.New()
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, Took: s.took,
-		Lost:     func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() },
-		Regained: func() { s.mu.Lock(); s.regained++; s.mu.Unlock() },
+		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, OnUpdate: s.took,
+		OnLost:     func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() },
+		OnRegained: func() { s.mu.Lock(); s.regained++; s.mu.Unlock() },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -157,7 +157,7 @@
 
 // The store forgets its history while a node waits for the next record. A node that insisted on the records after its
 // last one would never see another configuration.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
+func TestDroppedHistoryIsReplacedBySnapshot(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -176,7 +176,7 @@
 
 // The store takes connections and answers nothing. A node that waited on would not notice its return; it asks again,
 // and then for an answer at once.
-func TestSilentStoreIsAskedAgain(t *testing.T) {
+func TestSilentStoreIsRetriedWithoutWait(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -206,7 +206,7 @@
 
 // An empty answer to a waiting read says nothing about the time at which it arrived: a key may have been withdrawn
 // just after the store looked. Taken as of its arrival, it would keep a withdrawn key alive for the length of the wait.
-func TestProofIsAsOfTheQuestion(t *testing.T) {
+func TestProofIsAsOfRequestTime(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -222,13 +222,13 @@
 
 // A node relies on another one's proofs and keeps one long read open; then the other one goes. The open read would prove
 // nothing before its end, so it is given up, and the next one is answered at once.
-func TestInterruptedReadIsFollowedByAQuickOne(t *testing.T) {
+func TestInterruptedReadIsFollowedByShortRead(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, Took: s.took,
-		Lost: func(err error) { t.Error(err) }, Regained: func() {},
+		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, OnUpdate: s.took,
+		OnLost: func(err error) { t.Error(err) }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -259,18 +259,18 @@
 func TestTopicIsFollowedOnlyWhileNeeded(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	var needed atomic.Bool
 	w := New(Options{
 		Topic: f, Wait: func() clock.Duration { return 20 }, Need: needed.Load, Slack: 200, Now: clock.Boot{}.Now,
-		Took: s.took, Lost: func(error) {}, Regained: func() {},
+		OnUpdate: s.took, OnLost: func(error) {}, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
 	eventually(t, "first", func() bool { return s.value("a") == "1" })
 	f.add("b", "2")
-	time.Sleep(2 * needPause.Std())
+	time.Sleep(2 * needCheckInterval.Std())
 	f.mu.Lock()
 	reads := f.reads
 	f.mu.Unlock()
@@ -281,16 +281,16 @@
 
 // The store is down and many nodes follow it. Each of their tries costs as much as one that is answered, so those that need
 // not be first to see it come back wait longer.
-func TestTriesAreBounded(t *testing.T) {
+func TestBackoffBoundsAttempts(t *testing.T) {
 	tries := map[clock.Duration]int{}
-	for _, b := range []Backoff{{First: 60, Most: 100, Factor: 2}, {First: 60, Most: 2000, Factor: 2}, {First: 100, Most: 4000, Factor: 8}} {
+	for _, b := range []Backoff{{First: 60, Max: 100, Factor: 2}, {First: 60, Max: 2000, Factor: 2}, {First: 100, Max: 4000, Factor: 8}} {
 		f := &fakeTopic{refuse: true}
 		w := New(Options{
 			Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now,
 			Backoff: func() Backoff { return b },
-			Took:    func(Update) {}, Lost: func(error) {}, Regained: func() {},
+			OnUpdate:    func(Update) {}, OnLost: func(error) {}, OnRegained: func() {},
 		})
-		for pause := clock.Duration(0); pause < 4000; tries[b.Most]++ {
+		for pause := clock.Duration(0); pause < 4000; tries[b.Max]++ {
 			pause += w.backOff()
 		}
 	}
@@ -299,14 +299,14 @@
 
 // A configuration follows the store's outage closely. A node that waits long between its tries must not sleep through it when
 // another node can tell it.
-func TestRetryEndsTheWaitAfterAFailedTry(t *testing.T) {
+func TestRetryEndsBackoff(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, Took: s.took,
-		Backoff: func() Backoff { return Backoff{First: 20_000, Most: 20_000, Factor: 2} },
-		Lost:    func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, Regained: func() {},
+		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, OnUpdate: s.took,
+		Backoff: func() Backoff { return Backoff{First: 20_000, Max: 20_000, Factor: 2} },
+		OnLost:    func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
