--- a/internal/checker/fault.go
+++ b/internal/checker/fault.go
@@ -32,8 +32,8 @@
 // Error names each fault on a line of its own.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, one := range f {
-		lines = append(lines, one.Error())
+	for _, fault := range f {
+		lines = append(lines, fault.Error())
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/checker/fields.go
+++ b/internal/checker/fields.go
@@ -25,7 +25,7 @@
 
 // Text returns a string; it must be given.
 func (t *Table) Text(key string) string {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		t.Fault(key, required)
 		return ""
@@ -40,7 +40,7 @@
 
 // Quantity returns a string that holds a number with its unit; want tells the operator its form.
 func (t *Table) Quantity(key, want string) string {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		t.Fault(key, required)
 		return ""
@@ -65,7 +65,7 @@
 
 // Texts returns a list of strings; one left out is empty.
 func (t *Table) Texts(key string) []string {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		return nil
 	}
@@ -85,7 +85,7 @@
 
 // Bool returns a truth value, or the default if it is left out.
 func (t *Table) Bool(key string, value bool) bool {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		return value
 	}
@@ -96,9 +96,9 @@
 	return b
 }
 
-// Whole returns a whole number within bounds, 0 if it is faulty; it must be given.
-func (t *Table) Whole(key string, low, high int64) int64 {
-	v, given := t.take(key)
+// Integer returns a whole number within bounds, 0 if it is faulty; it must be given.
+func (t *Table) Integer(key string, low, high int64) int64 {
+	v, given := t.lookUp(key)
 	if !given {
 		t.Fault(key, required)
 		return 0
@@ -115,17 +115,17 @@
 	return n
 }
 
-// WholeOr returns a whole number within bounds, or the default if it is left out.
-func (t *Table) WholeOr(key string, value, low, high int64) int64 {
+// IntegerOr returns a whole number within bounds, or the default if it is left out.
+func (t *Table) IntegerOr(key string, value, low, high int64) int64 {
 	if !t.Has(key) {
 		return value
 	}
-	return t.Whole(key, low, high)
+	return t.Integer(key, low, high)
 }
 
 // Duration returns a duration within bounds; it must be given.
 func (t *Table) Duration(key string, low, high clock.Duration) clock.Duration {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		t.Fault(key, required)
 		return low
@@ -157,7 +157,7 @@
 
 // Size returns a number of bytes within bounds; it must be given.
 func (t *Table) Size(key string, low, high int64) int64 {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		t.Fault(key, required)
 		return low
@@ -268,7 +268,7 @@
 
 // NumberOr returns a number within bounds, whole or with decimals, or the default if it is left out.
 func (t *Table) NumberOr(key string, value, low, high float64) float64 {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		return value
 	}
--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -21,8 +21,8 @@
 type Table struct {
 	path   string
 	values map[string]any
-	known  map[string]bool
-	inner  []*Table
+	requested  map[string]bool
+	children  []*Table
 	faults *Faults
 }
 
@@ -48,7 +48,7 @@
 }
 
 func newTable(path string, values map[string]any, faults *Faults) *Table {
-	return &Table{path: path, values: values, known: map[string]bool{}, faults: faults}
+	return &Table{path: path, values: values, requested: map[string]bool{}, faults: faults}
 }
 
 // Finish adds the unknown keys and returns all faults of the file, or nil.
@@ -59,11 +59,11 @@
 
 func (t *Table) addUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(t.values)) {
-		if !t.known[key] {
+		if !t.requested[key] {
 			t.Fault(key, "unknown key")
 		}
 	}
-	for _, i := range t.inner {
+	for _, i := range t.children {
 		i.addUnknown()
 	}
 }
@@ -90,13 +90,13 @@
 
 // Table returns the table under the key; one that is missing is empty, so that its required fields are named.
 func (t *Table) Table(key string) *Table {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	values, ok := v.(map[string]any)
 	if given && !ok {
 		t.Fault(key, "want a table")
 	}
 	inner := newTable(t.field(key), values, t.faults)
-	t.inner = append(t.inner, inner)
+	t.children = append(t.children, inner)
 	return inner
 }
 
@@ -107,7 +107,7 @@
 
 // Tables returns the tables of an array such as [[team]].
 func (t *Table) Tables(key string) []*Table {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		return nil
 	}
@@ -126,12 +126,12 @@
 		inner := newTable(fmt.Sprintf("%s[%d]", t.field(key), i+1), values, t.faults)
 		tables = append(tables, inner)
 	}
-	t.inner = append(t.inner, tables...)
+	t.children = append(t.children, tables...)
 	return tables
 }
 
-func (t *Table) take(key string) (any, bool) {
-	t.known[key] = true
+func (t *Table) lookUp(key string) (any, bool) {
+	t.requested[key] = true
 	v, ok := t.values[key]
 	return v, ok
 }
@@ -143,8 +143,8 @@
 	return t.path + "." + key
 }
 
-// longestLiteral keeps a value that was pasted in the wrong place from flooding the report.
-const longestLiteral = 60
+// maxLiteralRunes keeps a value that was pasted in the wrong place from flooding the report.
+const maxLiteralRunes = 60
 
 func literal(v any) string {
 	var text string
@@ -160,8 +160,8 @@
 	default:
 		text = fmt.Sprint(v)
 	}
-	if r := []rune(text); len(r) > longestLiteral {
-		return string(r[:longestLiteral]) + "…"
+	if r := []rune(text); len(r) > maxLiteralRunes {
+		return string(r[:maxLiteralRunes]) + "…"
 	}
 	return text
 }
--- a/internal/configurer/configurer_test.go
+++ b/internal/configurer/configurer_test.go
@@ -13,8 +13,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// settle publishes and switches, and waits until every node has the preset in force.
-func settle(t *testing.T, w *simulation) {
+// publishAndWait publishes and switches, and waits until every node has the preset in force.
+func publishAndWait(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(3 * clock.Second)
 	w.append(configurer.PublishPreset{Change: configurer.Change{ID: "p", Wall: w.wall()}, Preset: definer.Preset{Name: "ordinary"}})
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(7, test.domains...)
 			w.loss = test.loss
-			settle(t, w)
+			publishAndWait(t, w)
 			var worst clock.Duration
 			for round := range 3 {
 				hash := identifier.KeyHash(rune('a' + round))
@@ -85,7 +85,7 @@
 // time the fleet would find no preset and no key, and refuse everyone.
 func TestReplacedFleetRecoversConfiguration(t *testing.T) {
 	w := newSimulation(3, 2, 2)
-	settle(t, w)
+	publishAndWait(t, w)
 	w.run(5 * w.retention / 2)
 	assert.Assert(t, w.earliest > 1)
 	for i, m := range w.nodes {
@@ -105,7 +105,7 @@
 // serve by the old rules until the next change.
 func TestPingRecoversMissedRecord(t *testing.T) {
 	w := newSimulation(5, 4)
-	settle(t, w)
+	publishAndWait(t, w)
 	m := w.nodes[0]
 	if m.c.Reads() {
 		m = w.nodes[1]
--- a/internal/configurer/snapshotter.go
+++ b/internal/configurer/snapshotter.go
@@ -11,7 +11,7 @@
 
 // oldest tells how old the oldest record is that a new reader would need.
 type oldest struct {
-	known bool
+	recorded bool
 	wall  clock.Wall
 	read  clock.Time
 	due   clock.Time
@@ -19,14 +19,14 @@
 
 // recordRead takes in a record that is not a snapshot.
 func (o *oldest) recordRead(written clock.Wall, now clock.Time, wall clock.Wall) {
-	if o.known {
+	if o.recorded {
 		return
 	}
-	*o = oldest{known: true, wall: min(written, wall), read: now}
+	*o = oldest{recorded: true, wall: min(written, wall), read: now}
 }
 
 func (o *oldest) snapshotRead(written clock.Wall, now clock.Time, wall clock.Wall) {
-	*o = oldest{known: true, wall: min(written, wall), read: now}
+	*o = oldest{recorded: true, wall: min(written, wall), read: now}
 }
 
 // age takes the larger of two accounts: a writer's clock may be fast, and a node may have read late.
@@ -36,7 +36,7 @@
 
 func (c *Configurer) tickSnapshot(now clock.Time, wall clock.Wall) []Effect {
 	o := &c.oldest
-	if !c.reader.elected || c.reader.failed || c.waiting || !o.known || o.age(now, wall) < c.options.Retention/2 {
+	if !c.reader.elected || c.reader.failed || c.waiting || !o.recorded || o.age(now, wall) < c.options.Retention/2 {
 		return nil
 	}
 	if o.due == 0 {
--- a/internal/loader/follower.go
+++ b/internal/loader/follower.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// followPeriod is how often the file is looked at: a change without a signal is in force some seconds later.
-const followPeriod = 2 * time.Second
+// pollInterval is how often the file is looked at: a change without a signal is in force some seconds later.
+const pollInterval = 2 * time.Second
 
 // Follow calls took with each change of a settings file, and failed with each change that is faulty, until the context
 // ends. A value on hurry has the file looked at once.
-func Follow(ctx context.Context, file string, hurry <-chan os.Signal, took func(Sidecar), failed func(error)) {
+func Follow(ctx context.Context, file string, reload <-chan os.Signal, onChange func(Sidecar), onFailure func(error)) {
 	last, _ := os.ReadFile(file)
-	ticker := time.NewTicker(followPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hurry:
+		case <-reload:
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(file)
 		if err != nil {
-			failed(err)
+			onFailure(err)
 			continue
 		}
 		if bytes.Equal(data, last) {
@@ -39,9 +39,9 @@
 		last = data
 		s, err := ParseSidecar(data)
 		if err != nil {
-			failed(err)
+			onFailure(err)
 			continue
 		}
-		took(s)
+		onChange(s)
 	}
 }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -16,8 +16,8 @@
 
 // Bounds of the settings.
 const (
-	minHeader       = 4 << 10
-	maxHeader       = 1 << 20
+	minHeaderBytes       = 4 << 10
+	maxHeaderBytes       = 1 << 20
 	maxCount        = 1 << 20
 	minTimeout      = 100 * clock.Millisecond
 	maxTimeout      = clock.Hour
@@ -87,7 +87,7 @@
 		if !a.address.IsValid() || a.address.Port() == 0 {
 			continue
 		}
-		if other, twice := taken[a.address]; twice {
+		if other, duplicate := taken[a.address]; duplicate {
 			t.Faultf(a.key, "the same address as listen.%s", other)
 		}
 		taken[a.address] = a.key
@@ -122,9 +122,9 @@
 func readLimits(t *checker.Table) Limits {
 	d := DefaultLimits()
 	return Limits{
-		MaxHeader:         t.SizeOr("maxHeader", d.MaxHeader, minHeader, maxHeader),
-		MaxBodies:         t.WholeOr("maxBodies", d.MaxBodies, 1, maxCount),
-		MaxConnections:    t.WholeOr("maxConnections", d.MaxConnections, 1, maxCount),
+		MaxHeader:         t.SizeOr("maxHeader", d.MaxHeader, minHeaderBytes, maxHeaderBytes),
+		MaxBodies:         t.IntegerOr("maxBodies", d.MaxBodies, 1, maxCount),
+		MaxConnections:    t.IntegerOr("maxConnections", d.MaxConnections, 1, maxCount),
 		ReadHeaderTimeout: t.DurationOr("readHeaderTimeout", d.ReadHeaderTimeout, minTimeout, maxTimeout),
 		IdleTimeout:       t.DurationOr("idleTimeout", d.IdleTimeout, minTimeout, maxTimeout),
 		BodyIdleTimeout:   t.DurationOr("bodyIdleTimeout", d.BodyIdleTimeout, minTimeout, maxTimeout),
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -90,7 +90,7 @@
 
 // A value of the wrong type or a misspelt key stands somewhere in a file that is otherwise right. Any one that
 // passes silently leaves a default in force which the operator believes to have replaced.
-func TestNoFieldIsForgiving(t *testing.T) {
+func TestWrongTypesAndUnknownKeysAreRejected(t *testing.T) {
 	good := read(t, "good.toml")
 	lines := regexp.MustCompile(`(?m)^([A-Za-z]+) = .*$`).FindAllStringSubmatchIndex(good, -1)
 	assert.Equal(t, len(lines), 24)
--- a/internal/loader/sidecar.go
+++ b/internal/loader/sidecar.go
@@ -54,10 +54,10 @@
 	Drain clock.Duration
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace clock.Duration
-	// RepeatRatio of the requests for a service, and RepeatSlack more, may reach a second endpoint in RepeatWindow.
-	RepeatRatio  float64
-	RepeatSlack  float64
-	RepeatWindow clock.Duration
+	// RetryRatio of the requests for a service, and RepeatSlack more, may reach a second endpoint in RepeatWindow.
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow clock.Duration
 	// RateExcess is the part, and RateSlack the number of requests, by which a team may exceed its rate and burst in any
 	// RateWindow.
 	RateWindow clock.Duration
@@ -77,9 +77,9 @@
 	defaultInForce      = 2 * clock.Second
 	defaultDrain        = 2 * clock.Second
 	defaultGrace        = 6 * clock.Second
-	defaultRepeatWindow = 10 * clock.Second
-	defaultRepeatRatio  = 0.2
-	defaultRepeatSlack  = 50
+	defaultRetryWindow = 10 * clock.Second
+	defaultRetryRatio  = 0.2
+	defaultRetrySlack  = 50
 	defaultRateWindow   = 5 * clock.Second
 	defaultEvacuate     = 5 * clock.Second
 	minBound            = 100 * clock.Millisecond
@@ -88,8 +88,8 @@
 	defaultDescriptors  = 1024
 )
 
-// leastDescriptors is what a node needs to listen, follow the store and exchange reports.
-const leastDescriptors = 64
+// minDescriptors is what a node needs to listen, follow the store and exchange reports.
+const minDescriptors = 64
 
 // ParseSidecar returns the settings in a TOML file, or all of its faults.
 func ParseSidecar(data []byte) (Sidecar, error) {
@@ -116,8 +116,8 @@
 	}
 	s.Store = t.Table("store").Address("address")
 	limits := t.Table("limits")
-	s.MemoryMB = int(limits.WholeOr("memoryMb", defaultMemoryMB, 1, maxCount))
-	s.Descriptors = int(limits.WholeOr("descriptors", defaultDescriptors, leastDescriptors, maxCount))
+	s.MemoryMB = int(limits.IntegerOr("memoryMb", defaultMemoryMB, 1, maxCount))
+	s.Descriptors = int(limits.IntegerOr("descriptors", defaultDescriptors, minDescriptors, maxCount))
 	s.Bounds = readSidecarBounds(t.Table("bounds"))
 	if err := t.Finish(); err != nil {
 		return Sidecar{}, err
@@ -139,9 +139,9 @@
 		ConfigurationInForce: t.DurationOr("configurationInForce", defaultInForce, minBound, maxTimeout),
 		Drain:                t.DurationOr("drain", defaultDrain, minBound, maxTimeout),
 		Grace:                t.DurationOr("grace", defaultGrace, minBound, maxTimeout),
-		RepeatRatio:          t.NumberOr("repeatRatio", defaultRepeatRatio, 0, 1),
-		RepeatSlack:          t.NumberOr("repeatSlack", defaultRepeatSlack, 0, maxCount),
-		RepeatWindow:         t.DurationOr("repeatWindow", defaultRepeatWindow, minBound, maxTimeout),
+		RetryRatio:          t.NumberOr("repeatRatio", defaultRetryRatio, 0, 1),
+		RetrySlack:          t.NumberOr("repeatSlack", defaultRetrySlack, 0, maxCount),
+		RetryWindow:         t.DurationOr("repeatWindow", defaultRetryWindow, minBound, maxTimeout),
 		RateWindow:           t.DurationOr("rateWindow", defaultRateWindow, minBound, maxTimeout),
 		RateExcess:           t.NumberOr("rateExcess", 0, 0, 1),
 		RateSlack:            t.NumberOr("rateSlack", 0, 0, maxCount),
--- a/internal/loader/sidecar_test.go
+++ b/internal/loader/sidecar_test.go
@@ -67,8 +67,8 @@
 // A bound that is worked out may have a fraction; a node that does not start for it leaves its endpoint without service.
 func TestBoundsWithFractions(t *testing.T) {
 	tests := map[string]func(SidecarBounds) float64{
-		"repeatRatio": func(b SidecarBounds) float64 { return b.RepeatRatio },
-		"repeatSlack": func(b SidecarBounds) float64 { return b.RepeatSlack },
+		"repeatRatio": func(b SidecarBounds) float64 { return b.RetryRatio },
+		"repeatSlack": func(b SidecarBounds) float64 { return b.RetrySlack },
 		"rateExcess":  func(b SidecarBounds) float64 { return b.RateExcess },
 		"rateSlack":   func(b SidecarBounds) float64 { return b.RateSlack },
 		"coldExcess":  func(b SidecarBounds) float64 { return b.ColdExcess },
@@ -92,7 +92,7 @@
 		"configurationInForce": func(b SidecarBounds) clock.Duration { return b.ConfigurationInForce },
 		"drain":                func(b SidecarBounds) clock.Duration { return b.Drain },
 		"grace":                func(b SidecarBounds) clock.Duration { return b.Grace },
-		"repeatWindow":         func(b SidecarBounds) clock.Duration { return b.RepeatWindow },
+		"repeatWindow":         func(b SidecarBounds) clock.Duration { return b.RetryWindow },
 		"rateWindow":           func(b SidecarBounds) clock.Duration { return b.RateWindow },
 		"evacuate":             func(b SidecarBounds) clock.Duration { return b.Evacuate },
 	} {
@@ -138,23 +138,23 @@
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	write := func(text string) { assert.NilError(t, os.WriteFile(file, []byte(text), 0o600)) }
 	write(goodSidecar)
-	hurry := make(chan os.Signal, 1)
-	took := make(chan Sidecar, 1)
-	failed := make(chan error, 1)
+	reload := make(chan os.Signal, 1)
+	changes := make(chan Sidecar, 1)
+	failures := make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		Follow(ctx, file, hurry, func(s Sidecar) { took <- s }, func(err error) { failed <- err })
+		Follow(ctx, file, reload, func(s Sidecar) { changes <- s }, func(err error) { failures <- err })
 		close(done)
 	}()
 	// The follower must have seen the first content before it changes.
 	time.Sleep(50 * time.Millisecond)
 	write(strings.Replace(goodSidecar, `"4s"`, `"soon"`, 1))
-	hurry <- syscall.SIGHUP
-	assert.ErrorContains(t, <-failed, "bounds.revoke")
+	reload <- syscall.SIGHUP
+	assert.ErrorContains(t, <-failures, "bounds.revoke")
 	write(strings.Replace(goodSidecar, `"4s"`, `"3s"`, 1))
 	// Without a signal the change is seen at the next look.
-	assert.Equal(t, (<-took).Bounds.Revoke, 3*clock.Second)
+	assert.Equal(t, (<-changes).Bounds.Revoke, 3*clock.Second)
 	cancel()
 	<-done
 }
--- a/internal/logkeeper/handler.go
+++ b/internal/logkeeper/handler.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// maxBody bounds what the handler reads: a largest record in base64 with its field name.
-	maxBody = 2 * appender.MaxRecord
+	// maxBodyBytes bounds what the handler reads: a largest record in base64 with its field name.
+	maxBodyBytes = 2 * appender.MaxRecord
 	// maxWait bounds a waiting read, whatever the reader asks for.
 	maxWait = time.Minute
 )
@@ -52,7 +52,7 @@
 }
 
 func (k *Keeper) serveAppend(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		fail(w, http.StatusRequestEntityTooLarge, err)
 		return
@@ -72,17 +72,17 @@
 }
 
 func (k *Keeper) serveRead(w http.ResponseWriter, r *http.Request) {
-	from, err := number(r, "from")
+	from, err := queryNumber(r, "from")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	limit, err := number(r, "limit")
+	limit, err := queryNumber(r, "limit")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	waitMs, err := number(r, "waitMs")
+	waitMs, err := queryNumber(r, "waitMs")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
@@ -105,13 +105,13 @@
 
 func (k *Keeper) serveSet(w http.ResponseWriter, r *http.Request) {
 	var f switchesWire
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	k.Set(f.over(k.Switches()))
+	k.Set(f.applyTo(k.Switches()))
 	k.serveSwitches(w, r)
 }
 
@@ -122,7 +122,7 @@
 
 func (k *Keeper) serveForget(w http.ResponseWriter, r *http.Request) {
 	var f forgetWire
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&f); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&f); err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
@@ -130,7 +130,7 @@
 	reply(w, http.StatusOK, []byte("{}"), nil)
 }
 
-func (f switchesWire) over(s Switches) Switches {
+func (f switchesWire) applyTo(s Switches) Switches {
 	if f.Outage != nil {
 		s.Outage = *f.Outage
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// number returns a query parameter; one that is left out is zero.
-func number(r *http.Request, name string) (int64, error) {
+// queryNumber returns a query parameter; one that is left out is zero.
+func queryNumber(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
--- a/internal/logkeeper/keeper.go
+++ b/internal/logkeeper/keeper.go
@@ -74,7 +74,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		b, changed, err := k.look(from, limit)
+		b, changed, err := k.readAvailable(from, limit)
 		if err != nil || len(b.Records) > 0 {
 			return b, err
 		}
@@ -102,7 +102,7 @@
 	k.expire()
 	k.switches = s
 	k.expire()
-	k.wake()
+	k.wakeReaders()
 }
 
 // Forget drops every record before the given offset, as a log that has lost its past.
@@ -113,7 +113,7 @@
 	k.records = slices.DeleteFunc(k.records, func(r appender.Record) bool {
 		return r.Offset < before
 	})
-	k.wake()
+	k.wakeReaders()
 }
 
 // Next returns the offset that the next record will have.
@@ -132,7 +132,7 @@
 		Data:   slices.Clone(data),
 	})
 	k.expire()
-	k.wake()
+	k.wakeReaders()
 	return o
 }
 
@@ -146,7 +146,7 @@
 	return true
 }
 
-func (k *Keeper) look(from appender.Offset, limit int) (appender.Batch, <-chan struct{}, error) {
+func (k *Keeper) readAvailable(from appender.Offset, limit int) (appender.Batch, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.switches.Outage {
@@ -161,14 +161,14 @@
 		b.Next = k.next
 		return b, nil, appender.Expired{From: from, Earliest: b.Earliest}
 	}
-	b.Records = k.slice(from, limit)
+	b.Records = k.recordsFrom(from, limit)
 	if n := len(b.Records); n > 0 {
 		b.Next = b.Records[n-1].Offset + 1
 	}
 	return b, k.changed, nil
 }
 
-func (k *Keeper) slice(from appender.Offset, limit int) []appender.Record {
+func (k *Keeper) recordsFrom(from appender.Offset, limit int) []appender.Record {
 	if limit <= 0 || limit > appender.MaxLimit {
 		limit = appender.MaxLimit
 	}
@@ -206,7 +206,7 @@
 	k.records = slices.Delete(k.records, 0, drop)
 }
 
-func (k *Keeper) wake() {
+func (k *Keeper) wakeReaders() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -31,12 +31,12 @@
 	return k, c, s.URL
 }
 
-// direct calls the handler without a socket, so that thousands of steps cost no ports.
-type direct struct {
+// handlerTransport calls the handler without a socket, so that thousands of steps cost no ports.
+type handlerTransport struct {
 	handler http.Handler
 }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	d.handler.ServeHTTP(w, r)
 	return w.Result(), nil
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var o oracle
 		k := New(Options{Wall: func() clock.Wall { return o.now }})
-		c, err := appender.NewClient("http://log", &http.Client{Transport: direct{k.Handler()}})
+		c, err := appender.NewClient("http://log", &http.Client{Transport: handlerTransport{k.Handler()}})
 		assert.NilError(rt, err)
 		rt.Repeat(map[string]func(*rapid.T){
 			"append": func(rt *rapid.T) {
@@ -130,7 +130,7 @@
 
 // The log is down for a while and then comes back. A reader that waited must learn of the outage at once rather
 // than sit on a dead request, and a writer must not take silence for success.
-func TestOutageEndsWaitingReads(t *testing.T) {
+func TestOutageFailsWaitingReads(t *testing.T) {
 	k, c, url := serve(t, Options{})
 	failed := make(chan error, 1)
 	go func() {
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -144,9 +144,9 @@
 	return conductor.Bounds{
 		RevokeWithin: b.Revoke,
 		ApplyWithin:  b.ConfigurationInForce,
-		RetryRatio:   b.RepeatRatio,
-		RetrySlack:   b.RepeatSlack,
-		RetryWindow:  b.RepeatWindow,
+		RetryRatio:   b.RetryRatio,
+		RetrySlack:   b.RetrySlack,
+		RetryWindow:  b.RetryWindow,
 		Cold:         conductor.ColdBound{Excess: b.ColdExcess, Slack: b.ColdSlack},
 		Rate: apportioner.Tolerance{
 			Window:   float64(b.RateWindow) / float64(clock.Second),
--- a/internal/mesher/mesher_test.go
+++ b/internal/mesher/mesher_test.go
@@ -130,7 +130,7 @@
 		MemoryMB: 256, Descriptors: 128,
 		Bounds: loader.SidecarBounds{
 			Revoke: clock.Second, ConfigurationInForce: clock.Second, Drain: clock.Second, Grace: 6 * clock.Second,
-			RepeatRatio: 0.2, RepeatSlack: 50, RepeatWindow: 10 * clock.Second,
+			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * clock.Second,
 		},
 	}}
 	accepted := make(chan func(registrar.Announcement), 1)
--- a/internal/presetter/parser.go
+++ b/internal/presetter/parser.go
@@ -19,7 +19,7 @@
 
 // Bounds of a preset.
 const (
-	wholeShare        = 1000
+	maxPerMille        = 1000
 	maxRetryAllowance = 100
 	maxWeight         = 1000
 	minTimeout        = 10 * clock.Millisecond
@@ -40,7 +40,7 @@
 	}
 	p := definer.Preset{
 		Name:           identifier.Preset(t.Name("name")),
-		RetryAllowance: uint8(t.Whole("retryAllowance", 0, maxRetryAllowance)),
+		RetryAllowance: uint8(t.Integer("retryAllowance", 0, maxRetryAllowance)),
 		Domains:        readDomains(t),
 		Services:       readServices(t),
 	}
@@ -57,16 +57,16 @@
 	names := names{}
 	sum := 0
 	for _, d := range t.Tables("domain") {
-		one := definer.DomainShare{
-			Domain:   identifier.FailureDomain(names.read(d)),
+		domain := definer.DomainShare{
+			Domain:   identifier.FailureDomain(names.readUnique(d)),
 			PerMille: readShare(d, "share"),
 		}
 		before := sum
-		sum += one.PerMille
-		if sum > wholeShare && before <= wholeShare {
+		sum += domain.PerMille
+		if sum > maxPerMille && before <= maxPerMille {
 			d.Faultf("share", "the shares so far sum to %s, over the whole", formatShare(sum))
 		}
-		domains = append(domains, one)
+		domains = append(domains, domain)
 	}
 	if len(domains) == 0 && !t.Has("domain") {
 		t.Fault("domain", "required but missing: without a failure domain no team has any rate")
@@ -87,7 +87,7 @@
 	names := names{}
 	for _, s := range t.Tables("service") {
 		services = append(services, definer.Service{
-			Name:    identifier.Service(names.read(s)),
+			Name:    identifier.Service(names.readUnique(s)),
 			Timeout: s.Duration("timeout", minTimeout, maxTimeout),
 			MaxBody: s.Size("maxBody", 0, checker.MaxSize),
 		})
@@ -109,7 +109,7 @@
 			}
 			continue
 		}
-		if earlier := hiddenBy(route, services[i].Routes); earlier != nil {
+		if earlier := shadowedBy(route, services[i].Routes); earlier != nil {
 			r.Faultf("prefix", "never reached: the earlier route %s %s takes all its calls", earlier.Method, earlier.Prefix)
 		}
 		services[i].Routes = append(services[i].Routes, route)
@@ -124,16 +124,16 @@
 	if r.Prefix != "" && (!strings.HasPrefix(r.Prefix, "/") || strings.ContainsAny(r.Prefix, "?# ")) {
 		t.Fault("prefix", `want a path such as "/bulletins"`)
 	}
-	r.Prefix = normalPrefix(r.Prefix)
+	r.Prefix = normalizePrefix(r.Prefix)
 	r.Priority = readPriority(t)
 	safe := r.Method == http.MethodGet || r.Method == http.MethodHead
 	r.Idempotent = t.Bool("idempotent", safe)
 	return r
 }
 
-// normalPrefix drops a slash at the end: prefixes match whole segments, so it changes nothing but would hide
+// normalizePrefix drops a slash at the end: prefixes match whole segments, so it changes nothing but would hide
 // that two routes are the same.
-func normalPrefix(prefix string) string {
+func normalizePrefix(prefix string) string {
 	if trimmed := strings.TrimRight(prefix, "/"); trimmed != "" || prefix == "" {
 		return trimmed
 	}
@@ -152,8 +152,8 @@
 	return p
 }
 
-// hiddenBy returns the earlier route that takes every call that r would match, as the first match counts.
-func hiddenBy(r definer.Route, earlier []definer.Route) *definer.Route {
+// shadowedBy returns the earlier route that takes every call that r would match, as the first match counts.
+func shadowedBy(r definer.Route, earlier []definer.Route) *definer.Route {
 	for i, e := range earlier {
 		sameMethod := e.Method == anyMethod || e.Method == r.Method
 		inside := e.Prefix == "/" || r.Prefix == e.Prefix || strings.HasPrefix(r.Prefix, e.Prefix+"/")
@@ -169,14 +169,14 @@
 	names := names{}
 	for _, d := range t.Tables("team") {
 		team := definer.Team{
-			Name:   identifier.Team(names.read(d)),
+			Name:   identifier.Team(names.readUnique(d)),
 			Rate:   readRate(d, "rate"),
 			Burst:  readBurst(d, "burst"),
-			Weight: int(d.WholeOr("weight", 1, 1, maxWeight)),
+			Weight: int(d.IntegerOr("weight", 1, 1, maxWeight)),
 		}
 		// A failure domain whose part of the burst is below one call can never hold the right to one.
-		most := team.Burst * identifier.Tokens(largest) / wholeShare
-		if team.Burst > 0 && largest > 0 && most < identifier.TokensPerCall {
+		largestBurst := team.Burst * identifier.Tokens(largest) / maxPerMille
+		if team.Burst > 0 && largest > 0 && largestBurst < identifier.TokensPerCall {
 			d.Faultf("burst", "the largest share of a failure domain, %s, comes to less than one call", formatShare(largest))
 		}
 		teams = append(teams, team)
@@ -187,7 +187,7 @@
 // names finds names that are given twice.
 type names map[string]bool
 
-func (n names) read(t *checker.Table) string {
+func (n names) readUnique(t *checker.Table) string {
 	name := t.Name("name")
 	if name != "" && n[name] {
 		t.Fault("name", "given twice")
--- a/internal/presetter/presetter_test.go
+++ b/internal/presetter/presetter_test.go
@@ -69,7 +69,7 @@
 
 // A value of the wrong type or a misspelt key in an otherwise right preset must not pass: a team whose rate fell
 // back to a default would be throttled, or would throttle others, with nobody told why.
-func TestNoFieldIsForgiving(t *testing.T) {
+func TestWrongTypesAndUnknownKeysAreRejected(t *testing.T) {
 	good := read(t, "good.toml")
 	lines := regexp.MustCompile(`(?m)^([A-Za-z]+) = .*$`).FindAllStringSubmatchIndex(good, -1)
 	assert.Equal(t, len(lines), 33)
@@ -95,7 +95,7 @@
 			Priority:   rapid.SampledFrom(identifier.Priorities).Draw(rt, "priority"),
 			Idempotent: rapid.Bool().Draw(rt, "idempotent"),
 		}
-		if hiddenBy(r, routes) == nil {
+		if shadowedBy(r, routes) == nil {
 			routes = append(routes, r)
 		}
 	}
@@ -133,7 +133,7 @@
 
 // An operator reads back what is in force, changes one line and publishes it. If printing lost or rounded
 // anything, that would change rules which they never touched.
-func TestPrintedPresetReadsBack(t *testing.T) {
+func TestPrintedPresetParsesToTheSame(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPreset(rt)
 		text, err := Print(p)
--- a/internal/presetter/units.go
+++ b/internal/presetter/units.go
@@ -84,7 +84,7 @@
 	n, isNumber := parseThousandths(number)
 	// A per cent is 10 per mille, and n is in thousandths of a per cent.
 	const perMilleOf = 100
-	if !ok || !isNumber || n%perMilleOf != 0 || n/perMilleOf > wholeShare {
+	if !ok || !isNumber || n%perMilleOf != 0 || n/perMilleOf > maxPerMille {
 		t.Fault(key, wantShare)
 		return 0
 	}
@@ -96,5 +96,5 @@
 }
 
 func readBurst(t *checker.Table, key string) identifier.Tokens {
-	return identifier.Tokens(t.Whole(key, 1, math.MaxInt32)) * identifier.TokensPerCall
+	return identifier.Tokens(t.Integer(key, 1, math.MaxInt32)) * identifier.TokensPerCall
 }
--- a/internal/publisher/settler.go
+++ b/internal/publisher/confirmer.go
@@ -27,8 +27,8 @@
 	cause error
 }
 
-// settle appends a record until its outcome can be read, or ctx ends.
-func (p *Publisher) settle(ctx context.Context, v *View, id configurer.ChangeID, record any) (identifier.Version, error) {
+// appendAndConfirm appends a record until its outcome can be read, or ctx ends.
+func (p *Publisher) appendAndConfirm(ctx context.Context, v *View, id configurer.ChangeID, record any) (identifier.Version, error) {
 	data, err := encoder.Encode(record)
 	if err != nil {
 		return 0, NotAppendedError{Cause: err}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return p.settle(ctx, v, c.ID, configurer.PublishPreset{Change: c, Preset: preset})
+	return p.appendAndConfirm(ctx, v, c.ID, configurer.PublishPreset{Change: c, Preset: preset})
 }
 
 // Switch puts a preset in force, made against the given version of the pointer to it.
@@ -92,7 +92,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return p.settle(ctx, v, c.ID, configurer.SwitchPreset{Change: c, Preset: name})
+	return p.appendAndConfirm(ctx, v, c.ID, configurer.SwitchPreset{Change: c, Preset: name})
 }
 
 // Issued is an accepted key; the secret is nowhere else.
@@ -116,7 +116,7 @@
 		return Issued{}, err
 	}
 	key := definer.Key{Hash: secret.Hash(), Team: team, Label: label, Issued: c.Wall}
-	version, err := p.settle(ctx, v, c.ID, configurer.IssueKey{Change: c, Key: key})
+	version, err := p.appendAndConfirm(ctx, v, c.ID, configurer.IssueKey{Change: c, Key: key})
 	if err != nil {
 		return Issued{}, fmt.Errorf("key %s: %w", key.Hash, err)
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return p.settle(ctx, v, c.ID, configurer.WithdrawKey{Change: c, Hash: k.Key.Hash})
+	return p.appendAndConfirm(ctx, v, c.ID, configurer.WithdrawKey{Change: c, Hash: k.Key.Hash})
 }
 
 func (p *Publisher) change(base identifier.Version) (configurer.Change, error) {
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -151,10 +151,10 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 			defer cancel()
 			_, err = p.Publish(ctx, v, preset("peak", 1), 0)
-			var doubt InDoubtError
-			var not NotAppendedError
-			assert.Equal(t, errors.As(err, &doubt), c.doubt, "%v", err)
-			assert.Equal(t, errors.As(err, &not), !c.doubt, "%v", err)
+			var inDoubt InDoubtError
+			var notAppended NotAppendedError
+			assert.Equal(t, errors.As(err, &inDoubt), c.doubt, "%v", err)
+			assert.Equal(t, errors.As(err, &notAppended), !c.doubt, "%v", err)
 		})
 	}
 }
@@ -181,7 +181,7 @@
 }
 
 // Keys leak through what prints them. Whoever reads the log, or a value that holds a key, must not learn it.
-func TestKeyIsNowhere(t *testing.T) {
+func TestKeyIsNotExposed(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
 	p := newPublisher(k, rand.Reader)
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -31,7 +31,7 @@
 	f.records = append(f.records, Record{Key: key, Value: []byte(value), Offset: identifier.Offset(len(f.records))})
 }
 
-func (f *fakeTopic) state(ctx context.Context) error {
+func (f *fakeTopic) simulateFault(ctx context.Context) error {
 	f.mu.Lock()
 	silent, refuse := f.silent, f.refuse
 	f.mu.Unlock()
@@ -46,7 +46,7 @@
 }
 
 func (f *fakeTopic) Newest(ctx context.Context) (Batch, error) {
-	if err := f.state(ctx); err != nil {
+	if err := f.simulateFault(ctx); err != nil {
 		return Batch{}, err
 	}
 	f.mu.Lock()
@@ -72,7 +72,7 @@
 		if ctx.Err() != nil {
 			return Batch{}, ctx.Err()
 		}
-		if err := f.state(ctx); err != nil {
+		if err := f.simulateFault(ctx); err != nil {
 			return Batch{}, err
 		}
 		f.mu.Lock()
@@ -103,7 +103,7 @@
 	lost, regained int
 }
 
-func (s *updateRecorder) took(u Update) {
+func (s *updateRecorder) record(u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updates = append(s.updates, u)
@@ -123,7 +123,7 @@
 	s := &updateRecorder{values: map[string]string{}}
 	c := clock.New()
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, OnUpdate: s.took,
+		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, OnUpdate: s.record,
 		OnLost:     func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() },
 		OnRegained: func() { s.mu.Lock(); s.regained++; s.mu.Unlock() },
 	})
@@ -227,7 +227,7 @@
 	f.add("config", "1")
 	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, OnUpdate: s.took,
+		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, OnUpdate: s.record,
 		OnLost: func(err error) { t.Error(err) }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -263,7 +263,7 @@
 	var needed atomic.Bool
 	w := New(Options{
 		Topic: f, Wait: func() clock.Duration { return 20 }, Need: needed.Load, Slack: 200, Now: clock.Boot{}.Now,
-		OnUpdate: s.took, OnLost: func(error) {}, OnRegained: func() {},
+		OnUpdate: s.record, OnLost: func(error) {}, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -304,7 +304,7 @@
 	f.add("a", "1")
 	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, OnUpdate: s.took,
+		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, OnUpdate: s.record,
 		Backoff: func() Backoff { return Backoff{First: 20_000, Max: 20_000, Factor: 2} },
 		OnLost:    func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, OnRegained: func() {},
 	})
--- a/pkg/announcer/announcer.go
+++ b/pkg/announcer/announcer.go
@@ -100,7 +100,7 @@
 	if err := a.announce(ctx); err != nil {
 		return nil, err
 	}
-	go a.beat()
+	go a.sendHeartbeats()
 	return a, nil
 }
 
@@ -155,7 +155,7 @@
 
 // A node that was replaced does not know the backend server: it answers a heartbeat with 404, and the backend
 // server would get no work for ever after. So that answer leads to a new announcement.
-func (a *Announcement) beat() {
+func (a *Announcement) sendHeartbeats() {
 	defer close(a.stopped)
 	t := time.NewTicker(HeartbeatInterval)
 	defer t.Stop()
@@ -164,12 +164,12 @@
 		case <-a.stop:
 			return
 		case <-t.C:
-			a.beatOnce()
+			a.sendHeartbeat()
 		}
 	}
 }
 
-func (a *Announcement) beatOnce() {
+func (a *Announcement) sendHeartbeat() {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	err := a.request(ctx, http.MethodPost, a.path()+"/heartbeat", heartbeatBody{Load: a.load()}, nil)
--- a/pkg/announcer/leave_test.go
+++ b/pkg/announcer/leave_test.go
@@ -13,7 +13,7 @@
 )
 
 // A node that took a late backend server for gone must not make its planned stop fail: there is nothing left to wait for.
-func TestLeaveOfAForgottenServerEnds(t *testing.T) {
+func TestLeaveEndsWhenNodeHasRemovedTheServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		fails  bool
--- a/pkg/appender/client.go
+++ b/pkg/appender/client.go
@@ -22,8 +22,8 @@
 // answerMargin is how long a read waits for its answer beyond the wait that it asked for.
 const answerMargin = 5 * time.Second
 
-// maxAnswer bounds an answer in memory: a batch in base64, and some room for its field names.
-const maxAnswer = 4 * MaxBatchBytes
+// maxAnswerBytes bounds an answer in memory: a batch in base64, and some room for its field names.
+const maxAnswerBytes = 4 * MaxBatchBytes
 
 // Client is a Log reached over HTTP.
 type Client struct {
@@ -110,12 +110,12 @@
 		return 0, nil, Unavailable{Operation: operation, NotSent: notSent(err), Cause: err}
 	}
 	defer func() { _ = res.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err != nil {
 		return 0, nil, Unavailable{Operation: operation, Cause: err}
 	}
-	if len(answer) > maxAnswer {
-		return 0, nil, Unavailable{Operation: operation, Cause: fmt.Errorf("answer of more than %d bytes", maxAnswer)}
+	if len(answer) > maxAnswerBytes {
+		return 0, nil, Unavailable{Operation: operation, Cause: fmt.Errorf("answer of more than %d bytes", maxAnswerBytes)}
 	}
 	return res.StatusCode, answer, nil
 }
