--- a/internal/commander/logflags.go
+++ b/internal/commander/logflags.go
@@ -80,12 +80,12 @@
 		operator = c.User
 	}
 	p := publisher.New(publisher.Options{
-		Log:        client,
-		Operator:   operator,
-		Wall:       func() clock.Wall { return clock.Wall(c.Now().UnixMilli()) },
-		Random:     c.Random,
+		Log:            client,
+		Operator:       operator,
+		Wall:           func() clock.Wall { return clock.Wall(c.Now().UnixMilli()) },
+		Random:         c.Random,
 		AttemptTimeout: clock.FromStd(f.timeout / triesPerTimeout),
-		RetryPause: retryPause,
+		RetryPause:     retryPause,
 	})
 	v, err := p.Load(ctx)
 	if err != nil {
--- a/internal/configurer/applier.go
+++ b/internal/configurer/applier.go
@@ -1,9 +1,9 @@
-// Every record is taken exactly once and in the log's order, or a late copy could bring an old state back.
-// After a gap the configuration can't be folded from records alone: changes are then held until a snapshot
-// comes that reaches the gap's end. The old state stays in force meanwhile, but for withdrawn keys.
+// Every record is applied exactly once and in the log's order, because a late copy could otherwise restore an old state.
+// After a gap the configuration can't be built from records alone: changes are held until a snapshot arrives that reaches
+// the end of the gap. Until then the old state stays in force, except that withdrawals of keys take effect at once.
 //
-// Example: through 10, the log's earliest is 50: the changes at 60 and 70 are held; a snapshot Through 64
-// closes the gap, 60 is already in it, and 70 is folded on top.
+// Example: through is 10 and the log's earliest offset is 50: the changes at 60 and 70 are held. A snapshot with
+// Through 64 closes the gap: it already contains the change at 60, and the change at 70 is applied after it.
 
 package configurer
 
@@ -21,7 +21,7 @@
 	c.tail.add(r, c.options.MaxRecords, c.options.MaxBytes)
 	value, err := c.options.Decode(r.Raw)
 	if err != nil {
-		// A record of a newer version: passed on to peers, not understood here.
+		// A newer version wrote the record: it stays in the tail for peers, but is not applied here.
 		c.undecodable++
 		c.advance(r.Offset)
 		return nil
@@ -48,7 +48,7 @@
 	if c.waiting {
 		return c.hold(offset, record)
 	}
-	// A snapshot from a peer may already hold the change.
+	// A snapshot from a peer may already contain the change.
 	if offset <= c.through {
 		return nil
 	}
@@ -60,8 +60,8 @@
 	return []Effect{changed}
 }
 
-// hold keeps a change for the time after the gap. A withdrawal works at once: the key was issued only once,
-// so nothing in the gap can make it valid again, and waiting would let it be used after its record was read.
+// hold keeps a change until the gap is closed. A withdrawal takes effect at once: a key is issued only once, so nothing in
+// the gap can make it valid again, and if the withdrawal waited, the key could be used after the record was read.
 func (c *Configurer) hold(offset identifier.Offset, record any) []Effect {
 	c.held = append(c.held, heldChange{offset: offset, record: record})
 	w, ok := record.(WithdrawKey)
@@ -78,7 +78,7 @@
 	if c.through < to-1 {
 		c.waiting = true
 		c.needed = to - 1
-		// What was held before this gap has no unbroken history up to it.
+		// The changes held before this gap can't be applied: the records between them and the gap's end are missing.
 		c.held = nil
 	}
 	return []Effect{Skipped{From: from, To: to}}
@@ -91,7 +91,7 @@
 	return effects
 }
 
-// adopt takes over a snapshot only where it is ahead of the own state, so that none can turn it back.
+// adopt replaces the configuration by a snapshot only if the snapshot is newer, so that no snapshot restores an old state.
 func (c *Configurer) adopt(s Snapshot) []Effect {
 	if s.Through <= c.through || (c.waiting && s.Through < c.needed) {
 		return nil
--- a/internal/configurer/configuration.go
+++ b/internal/configurer/configuration.go
@@ -1,10 +1,9 @@
-// The fold must give the same state at the same offset on every node, or two domains would run different
-// presets for good and no one would notice before the teams' rates were broken. So it sees nothing but the
-// changes in their order: no clock, no node's name, and a bounded memory of outcomes that travels within
-// snapshots.
+// Applying the log must give the same state at the same offset on every node. Otherwise two failure domains would keep
+// running different presets, unnoticed until teams exceed their rates. The state therefore depends on nothing but the
+// changes in their order: on no clock and no node name. The bounded list of outcomes is part of each snapshot.
 //
-// Example: fold(PublishPreset{Base: 0}) gives version 1; the same record read again finds its own id and
-// changes nothing.
+// Example: apply(PublishPreset{Base: 0}) gives version 1; when the same record is read again, its id is found among the
+// outcomes and nothing changes.
 
 package configurer
 
@@ -16,8 +15,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// maxOutcomes bounds the memory of judged changes. A repeated change that was forgotten is still refused:
-// its base is older than the version it made itself.
+// maxOutcomes bounds the number of outcomes kept. A repeated change whose outcome was evicted is still refused: its base is
+// older than the version that the change itself created.
 const maxOutcomes = 512
 
 type configuration struct {
@@ -39,7 +38,7 @@
 	}
 }
 
-// apply judges a change and tells what it changed; a record that is no change gives the zero Changed.
+// apply decides on a change and returns its effect and true if it was accepted; any other record gives false.
 func (f *configuration) apply(record any) (Changed, bool) {
 	switch r := record.(type) {
 	case PublishPreset:
@@ -55,7 +54,7 @@
 }
 
 func (f *configuration) decide(c Change, conflict *Conflict, accept func() Changed) (Changed, bool) {
-	// An operator whose append answer got lost appends the same change again; the first judgement stays.
+	// An operator appends the same change again if the answer to the append was lost; the first decision stands.
 	if _, decided := f.outcomeByID[c.ID]; decided {
 		return Changed{}, false
 	}
@@ -157,7 +156,7 @@
 	return conflictOf(SubjectKey, string(r.Hash), r.Change, k.Version, reason)
 }
 
-// withdraw keeps the hash for good: forgotten, it would come back by a repeated IssueKey.
+// withdraw keeps the hash permanently: if it were deleted, a repeated IssueKey would make the key valid again.
 func (f *configuration) withdraw(r WithdrawKey) Changed {
 	k := f.keys[r.Hash]
 	f.keys[r.Hash] = &VersionedKey{Key: k.Key, Version: f.version, Withdrawn: true}
@@ -194,7 +193,7 @@
 	return keys
 }
 
-// replace takes over the whole state of a snapshot and tells what changed by it.
+// replace sets the whole state from a snapshot and returns what changed.
 func (f *configuration) replace(s Snapshot) Changed {
 	old := *f
 	*f = newConfiguration()
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -1,6 +1,6 @@
-// The tail and the fold are one reducer, so that a record is folded exactly when its turn on the log comes,
-// whichever way its bytes arrived. Two positions are kept apart: next, up to where records were delivered
-// to all matters, and through, up to where the configuration is folded; a snapshot moves only the second.
+// The tail of records and the configuration are in one reducer, so that a record is applied exactly in its place in the
+// log's order, whether its bytes came from the log or from a peer. Two positions are kept: tail.next, before which all
+// records were delivered, and through, up to which the configuration is applied. A snapshot moves only the second.
 //
 // Example: c.LogRead(Batch{Next: 3, Records: 0..2}, now, wall) returns Changed and Deliver effects and a
 // Send{Hint} to some peers; c.Resolve(hash) then gives the team.
@@ -21,17 +21,17 @@
 	Rand *rand.Rand
 	// Decode turns a record's bytes into the value that was encoded.
 	Decode func([]byte) (any, error)
-	// First is the offset of the first record that the log ever had.
+	// First is the offset of the first record ever written to the log.
 	First identifier.Offset
 	// Retention is how long the log keeps records.
 	Retention clock.Duration
-	// MaxSilence ends serving after that long without news from the log; 0 means never.
+	// MaxSilence is the greatest Freshness at which MayServe still holds; 0 sets no limit.
 	MaxSilence clock.Duration
 	// Readers is how many nodes per failure domain read the log.
 	Readers int
-	// Fanout is how many peers get a hint of new records.
+	// Fanout is how many peers of the own failure domain get each hint of new records.
 	Fanout int
-	// MaxRecords and MaxBytes bound the tail kept for peers.
+	// MaxRecords and MaxBytes are upper bounds of the tail kept for peers.
 	MaxRecords int
 	MaxBytes   int
 }
@@ -47,21 +47,21 @@
 
 // Configurer is the reducer of one node.
 type Configurer struct {
-	options Options
-	configuration  configuration
-	// through is the offset up to which the configuration is folded.
+	options       Options
+	configuration configuration
+	// through is the offset up to which records are applied to the configuration.
 	through identifier.Offset
-	// needed is the least Through of a snapshot that closes a gap; waiting tells that there is a gap.
+	// needed is the minimum Through of a snapshot that closes a gap; waiting is set while there is a gap.
 	needed    identifier.Offset
 	waiting   bool
 	held      []heldChange
 	suspended map[identifier.KeyHash]bool
 	tail      tail
-	relay    relay
+	relay     relay
 	reader    reader
 	contact   contact
 	oldest    oldest
-	// undecodable counts the records that this version can't read.
+	// undecodable counts the records that this version could not decode.
 	undecodable int64
 }
 
@@ -70,7 +70,7 @@
 	record any
 }
 
-// New returns a Configurer that knows nothing yet.
+// New returns a Configurer with an empty configuration that has read no records.
 func New(o Options) *Configurer {
 	o.Retention = orDefault(o.Retention, DefaultRetention)
 	o.Readers = orDefault(o.Readers, DefaultReaders)
@@ -78,12 +78,12 @@
 	o.MaxRecords = orDefault(o.MaxRecords, DefaultMaxRecords)
 	o.MaxBytes = orDefault(o.MaxBytes, DefaultMaxBytes)
 	return &Configurer{
-		options:   o,
-		configuration:    newConfiguration(),
-		through:   o.First - 1,
-		suspended: map[identifier.KeyHash]bool{},
-		tail:      tail{start: o.First, next: o.First},
-		reader:    reader{catchingUp: true},
+		options:       o,
+		configuration: newConfiguration(),
+		through:       o.First - 1,
+		suspended:     map[identifier.KeyHash]bool{},
+		tail:          tail{start: o.First, next: o.First},
+		reader:        reader{catchingUp: true},
 	}
 }
 
@@ -112,7 +112,7 @@
 	return f.inForce, max(f.inForceVersion, f.presets[f.inForceName].Version)
 }
 
-// Version returns how many changes were accepted.
+// Version returns the version of the configuration: the number of accepted changes.
 func (c *Configurer) Version() identifier.Version {
 	return c.configuration.version
 }
@@ -153,23 +153,23 @@
 	return c.tail.next - 1
 }
 
-// Complete tells whether the configuration is folded without a gap.
+// Complete reports whether the configuration was built without a gap in the log's records.
 func (c *Configurer) Complete() bool {
 	return !c.waiting
 }
 
-// Undecodable returns how many records this version could not read.
+// Undecodable returns how many records this version could not decode.
 func (c *Configurer) Undecodable() int64 {
 	return c.undecodable
 }
 
-// OutcomeOf returns the judgement on a change, once its record was read.
+// OutcomeOf returns the decision on a change, once its record was read.
 func (c *Configurer) OutcomeOf(id ChangeID) (Outcome, bool) {
 	o, ok := c.configuration.outcomeByID[id]
 	return o, ok
 }
 
-// VersionOf returns the version that an accepted change made.
+// VersionOf returns the version that an accepted change created.
 func (c *Configurer) VersionOf(id ChangeID) (identifier.Version, bool) {
 	o := c.configuration.outcomeByID[id]
 	return o.Version, o.Version > 0
--- a/internal/configurer/configurer_test.go
+++ b/internal/configurer/configurer_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// publishAndWait publishes and switches, and waits until every node has the preset in force.
+// publishAndWait publishes a preset, puts it in force, and waits until every node has it in force.
 func publishAndWait(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(3 * clock.Second)
@@ -26,13 +26,13 @@
 	}
 }
 
-// A key is withdrawn while one message in five is lost; a slow or missed node would go on taking it, which
-// its team's former member notices and nobody else. The figures go to docs/design/configuration.md.
+// A key is withdrawn while one message in five is lost. A node that gets the withdrawal late or not at all would continue to
+// accept the key, which only its holder could notice. The logged figures are for docs/design/configuration.md.
 func TestWithdrawnKeyRejectedByAllNodes(t *testing.T) {
 	tests := map[string]struct {
 		domains []int
 		loss    float64
-		// bytes bounds the control bytes per node and second while ten records a second are passed on.
+		// bytes is the upper bound of control bytes per node and second while ten records a second are relayed.
 		bytes int
 	}{
 		"14 nodes":                   {domains: []int{4, 4, 3, 3}, bytes: 4000},
@@ -60,7 +60,7 @@
 				w.run(3 * clock.Second)
 				for _, m := range w.nodes {
 					_, ok := m.c.Resolve(hash)
-					assert.Assert(t, !ok, "%s still takes the key", m.id)
+					assert.Assert(t, !ok, "%s still accepts the withdrawn key", m.id)
 					worst = max(worst, m.changed.Sub(start))
 				}
 			}
@@ -81,8 +81,8 @@
 	}
 }
 
-// Every VM is replaced at once, longer after the last change than the log keeps records. Without snapshots in
-// time the fleet would find no preset and no key, and refuse everyone.
+// Every VM is replaced at once, and the last change is older than the log's retention. Without timely snapshots the fleet
+// would find no preset and no key, and refuse all calls.
 func TestReplacedFleetRecoversConfiguration(t *testing.T) {
 	w := newSimulation(3, 2, 2)
 	publishAndWait(t, w)
@@ -101,8 +101,8 @@
 	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half terms from four readers, some appended twice", snapshots)
 }
 
-// The hints of a change are lost on the way to one node. Pings alone must bring it up to date, or it would
-// serve by the old rules until the next change.
+// One node misses the hints of a change. Pings alone must bring it up to date, because it would otherwise serve with the old
+// configuration until the next change.
 func TestPingRecoversMissedRecord(t *testing.T) {
 	w := newSimulation(5, 4)
 	publishAndWait(t, w)
@@ -117,7 +117,7 @@
 	assert.Assert(t, ok)
 }
 
-// A node without any news serves on with the keys it knows, unless its settings bound the silence.
+// A node without contact to the log continues to serve with the keys it knows, unless its settings limit that time.
 func TestMaxSilenceLimitsServing(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit clock.Duration
@@ -133,8 +133,8 @@
 	}
 }
 
-// A node comes back after its records have expired. It reads the log's end, but can't know what was withdrawn
-// in between; calling its news fresh would hide that from the operator.
+// A node reads the log after the records it needs have expired. It reaches the log's end, but can't know which keys were
+// withdrawn in between; if it reported a fresh contact, the operator would not see that.
 func TestFreshnessUnknownAfterGap(t *testing.T) {
 	c := configurer.New(configurer.Options{Node: "n1", Rand: rand.New(rand.NewPCG(1, 1))})
 	c.LogRead(configurer.Batch{Earliest: 10, Next: 10, Asked: 1}, 5, 0)
--- a/internal/configurer/doc.go
+++ b/internal/configurer/doc.go
@@ -1,2 +1,3 @@
-// Package configurer folds the log's order into the configuration in force and passes the log's tail on between nodes.
+// Package configurer applies the log's records in order to get the configuration in force, and relays the newest records
+// (the log's tail) between nodes.
 package configurer
--- a/internal/configurer/freshness.go
+++ b/internal/configurer/freshness.go
@@ -1,13 +1,13 @@
-// A node can't see the withdrawal of a key that it has had no news of. What it can know is how old its
-// news is: the moment of the newest contact with the log that it heard of, by itself or through peers, at
-// which it had everything that the log then had. Ages, not times, travel, as processes share no clock.
+// A node can't know of a key's withdrawal before its record arrives. It does know how old its configuration may be: the age
+// of the newest contact with the log, its own or a peer's, whose records it has completely. Messages carry ages and not
+// times, because processes share no clock.
 //
-// A contact is named by the node that had it and a stamp of that node's clock, and counts once at each node.
-// Without the name, nodes that tell each other the same old contact would make it a little younger at each
-// hop, and a domain cut off for an hour would report news of minutes.
+// A contact is identified by the node that read the log and a stamp of that node's clock, and each node counts it once.
+// Without this identity, nodes that pass the same old contact back and forth would make it a little younger at each hop, and
+// a failure domain partitioned for an hour would report an age of minutes.
 //
-// Example: a peer's ping says offset 41, contact {n7, 91200, age 300 ms}; a node that has 41 then has a
-// Freshness of 300 ms. A message that was long under way makes the news look younger by that time, once.
+// Example: a peer's ping carries offset 41 and contact {n7, 91200, age 300 ms}; a node that has the record at 41 then has a
+// Freshness of 300 ms. A message's transit time makes the contact look younger by that time, but only once.
 
 package configurer
 
@@ -16,16 +16,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// NoContact is the freshness of a node without any news.
+// NoContact is the freshness of a node that knows of no contact with the log.
 const NoContact clock.Duration = 1<<62 - 1
 
-// maxStamps bounds the readers whose stamps are remembered.
+// maxStamps bounds the number of readers whose newest stamps are kept.
 const maxStamps = 1024
 
-// Contact tells of one node's contact with the log, as it is passed on.
+// Contact is one node's contact with the log, as nodes report it to each other.
 type Contact struct {
 	Reader identifier.Node
-	// Stamp is the contact's moment on the reader's own clock.
+	// Stamp is the time of the contact on the reader's clock.
 	Stamp clock.Time
 	Age   clock.Duration
 }
@@ -35,10 +35,10 @@
 	at     clock.Time
 	reader identifier.Node
 	stamp  clock.Time
-	stamps  map[identifier.Node]clock.Time
+	stamps map[identifier.Node]clock.Time
 }
 
-// recordContact counts only for a node without a gap: one with a gap may lack withdrawals that it has no news of.
+// recordContact ignores contacts while there is a gap, because the gap may contain withdrawals that this node lacks.
 func (c *Configurer) recordContact(n Contact, now clock.Time) {
 	o := &c.contact
 	if c.waiting || n.Reader == "" || n.Age < 0 || n.Age >= NoContact {
@@ -61,12 +61,12 @@
 	o.stamp = n.Stamp
 }
 
-// Contact returns the newest contact with the log, to be passed on; its Reader is empty where there is none.
+// Contact returns the newest known contact with the log, for messages to peers; its Reader is empty if there is none.
 func (c *Configurer) Contact(now clock.Time) Contact {
 	return Contact{Reader: c.contact.reader, Stamp: c.contact.stamp, Age: c.Freshness(now)}
 }
 
-// Freshness returns how long ago the log was known to hold nothing newer than this node has.
+// Freshness returns how long ago the log is known to have held no record that this node lacks.
 func (c *Configurer) Freshness(now clock.Time) clock.Duration {
 	if !c.contact.known {
 		return NoContact
@@ -74,7 +74,7 @@
 	return now.Sub(c.contact.at)
 }
 
-// MayServe tells whether the news is fresh enough for calls to be taken.
+// MayServe reports whether the newest log contact is recent enough for the node to accept calls.
 func (c *Configurer) MayServe(now clock.Time) bool {
 	return c.options.MaxSilence == 0 || c.Freshness(now) <= c.options.MaxSilence
 }
--- a/internal/configurer/fuzz_test.go
+++ b/internal/configurer/fuzz_test.go
@@ -13,17 +13,17 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// model is what a single reader of the whole log would hold in force after each record.
+// model is the configuration that a single reader of the whole log would have after each record.
 type model struct {
-	version  identifier.Version
-	subjects map[string]identifier.Version
-	content  map[identifier.Preset]uint8
-	inForce  identifier.Preset
-	teams    map[identifier.KeyHash]identifier.Team
-	withdrawnAt     map[identifier.KeyHash]identifier.Offset
-	accepted map[configurer.ChangeID]identifier.Version
-	refused  map[configurer.ChangeID]bool
-	// states holds version, preset in force with its content, and the valid keys, by offset.
+	version     identifier.Version
+	subjects    map[string]identifier.Version
+	content     map[identifier.Preset]uint8
+	inForce     identifier.Preset
+	teams       map[identifier.KeyHash]identifier.Team
+	withdrawnAt map[identifier.KeyHash]identifier.Offset
+	accepted    map[configurer.ChangeID]identifier.Version
+	refused     map[configurer.ChangeID]bool
+	// states holds the version, the preset in force with its content, and the valid keys, by offset.
 	states []string
 }
 
@@ -188,7 +188,7 @@
 func (f *fuzz) checkNode(t *rapid.T, m *simulatedNode) {
 	offset := m.c.Offset()
 	version := m.c.Version()
-	assert.Assert(t, version >= m.version, "%s went back from %d to %d", m.id, m.version, version)
+	assert.Assert(t, version >= m.version, "%s went back from version %d to %d", m.id, m.version, version)
 	m.version = version
 	preset, _ := m.c.InForce()
 	teams := map[identifier.KeyHash]identifier.Team{}
@@ -199,7 +199,7 @@
 		withdrawnAt, withdrawn := f.a.withdrawnAt[h]
 		_, valid := teams[h]
 		read := withdrawn && withdrawnAt <= offset && (!m.skipped[withdrawnAt] || m.c.Complete())
-		assert.Assert(t, !valid || !read, "%s at %d takes key %s, withdrawn at %d", m.id, offset, h, withdrawnAt)
+		assert.Assert(t, !valid || !read, "%s at offset %d accepts key %s, withdrawn at offset %d", m.id, offset, h, withdrawnAt)
 	}
 	if !m.c.Complete() {
 		return
@@ -214,18 +214,18 @@
 	if offset < 0 && version == 0 {
 		return
 	}
-	// A node may be ahead of its position by a peer's state, never behind it.
+	// A peer's state may put a node ahead of its position, but a node is never behind its position.
 	for o := max(offset, 0); int(o) < len(f.a.states); o++ {
 		if f.a.states[o] == got {
 			return
 		}
 	}
-	t.Fatalf("%s at offset %d holds %s, the log says %s", m.id, offset, got, f.a.states[max(offset, 0)])
+	t.Fatalf("%s at offset %d has configuration %s, the log gives %s", m.id, offset, got, f.a.states[max(offset, 0)])
 }
 
-// checkFreshness holds the age that a node reports against the records that it lacks. News may be older than
-// it looks by the time that its messages were under way, here up to 4 s at each hop once there were losses.
-// Without losses the few hops of this small fleet take milliseconds, however long an outage lasts.
+// checkFreshness compares the age that a node reports with the records that it lacks. A log contact may be older than
+// reported by the transit time of its messages: here up to 4 s at each hop once messages were delayed. Without delays the few
+// hops of this small fleet take milliseconds, however long an outage lasts.
 func (f *fuzz) checkFreshness(t *rapid.T, m *simulatedNode, offset identifier.Offset) {
 	inTransit := 200 * clock.Millisecond
 	if f.w.delayed {
@@ -237,10 +237,10 @@
 		return
 	}
 	lacked := f.w.now.Sub(f.w.log[missing].at)
-	assert.Assert(t, lacked <= age+inTransit, "%s lacks %d for %d ms and says %d", m.id, missing, lacked, age)
+	assert.Assert(t, lacked <= age+inTransit, "%s has lacked record %d for %d ms but reports an age of %d ms", m.id, missing, lacked, age)
 }
 
-// heal ends all faults; every node that can learn the configuration must then agree with the log's end.
+// heal ends all faults; unless every node has a gap, all nodes must then reach the log's end and agree with it.
 func (f *fuzz) heal(t *rapid.T) {
 	w := f.w
 	w.outage, w.partitioned, w.loss = false, false, 0
@@ -265,7 +265,7 @@
 		assert.Assert(t, m.c.Freshness(w.now) < 3*clock.Second)
 		for o := identifier.Offset(0); o <= end; o++ {
 			if _, other := w.log[o].value.(configurer.Hint); other {
-				assert.Assert(t, m.covered[o], "%s never delivered %d", m.id, o)
+				assert.Assert(t, m.covered[o], "%s never delivered record %d", m.id, o)
 			}
 		}
 		for id, version := range f.a.accepted {
@@ -279,8 +279,8 @@
 	}
 }
 
-// The log loses answers and expires, domains are cut off, nodes are paused and replaced, and operators race.
-// A user would notice two domains under different rules, or a withdrawn key that works again.
+// The log loses answers and expires records, failure domains are partitioned, nodes are paused and replaced, and operators
+// make conflicting changes. A fault would leave two domains with different configurations or make a withdrawn key valid again.
 func TestFuzzConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), a: newModel()}
--- a/internal/configurer/helpers_test.go
+++ b/internal/configurer/helpers_test.go
@@ -1,8 +1,8 @@
 package configurer_test
 
-// A world of several nodes around one log, in which messages are lost, doubled and late, appends land late
-// or twice, records expire, and nodes are replaced. The oracle knows the log whole and judges it by its own,
-// much simpler account of what was promised.
+// A simulation of several nodes that share one log: messages are lost, duplicated and delayed, appends take effect late or
+// twice, records expire, and nodes are replaced. The tests compare the nodes with a much simpler model, which reads the whole
+// log.
 
 import (
 	"flag"
@@ -17,7 +17,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// CI must give the same verdict each time; -rapid.seed still draws anew.
+// CI must give the same result each time; -rapid.seed still selects other cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -39,37 +39,37 @@
 }
 
 type simulatedNode struct {
-	id      identifier.Node
-	domain  int
-	c       *configurer.Configurer
-	logUnreachable     bool
-	paused  clock.Time
-	last    identifier.Offset
-	covered map[identifier.Offset]bool
-	skipped map[identifier.Offset]bool
-	version identifier.Version
-	changed clock.Time
+	id             identifier.Node
+	domain         int
+	c              *configurer.Configurer
+	logUnreachable bool
+	paused         clock.Time
+	last           identifier.Offset
+	covered        map[identifier.Offset]bool
+	skipped        map[identifier.Offset]bool
+	version        identifier.Version
+	changed        clock.Time
 }
 
 type simulation struct {
-	rand      *rand.Rand
-	now       clock.Time
-	log       []logged
-	earliest  identifier.Offset
-	outage    bool
-	appendsClosed    bool
-	delayed   bool
-	retention clock.Duration
-	nodes  []*simulatedNode
-	byID      map[identifier.Node]*simulatedNode
-	inFlight      []envelope
-	pendingAppends      []logged
-	loss      float64
-	partitioned     bool
-	started   int
-	messages  int
-	bytes     int
-	fault     string
+	rand           *rand.Rand
+	now            clock.Time
+	log            []logged
+	earliest       identifier.Offset
+	outage         bool
+	appendsClosed  bool
+	delayed        bool
+	retention      clock.Duration
+	nodes          []*simulatedNode
+	byID           map[identifier.Node]*simulatedNode
+	inFlight       []envelope
+	pendingAppends []logged
+	loss           float64
+	partitioned    bool
+	started        int
+	messages       int
+	bytes          int
+	fault          string
 }
 
 func newSimulation(seed uint64, perDomain ...int) *simulation {
@@ -243,7 +243,7 @@
 	}
 }
 
-// ping stands for the membership's pings and their answers, which carry the position and the age.
+// ping simulates a membership ping and its answer, which carry the position and the newest log contact.
 func (w *simulation) ping(m *simulatedNode) {
 	o := w.nodes[w.rand.IntN(len(w.nodes))]
 	if o == m || o.domain != m.domain || o.paused > w.now {
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -1,9 +1,9 @@
-// Only a few nodes per failure domain read the log, or thousands of nodes would poll it. A node that is
-// behind what its peers can give reads for itself, and so does one that has had no news for a while; both
-// back off while the log fails, since a log that comes back must not be met by every node at once.
+// Only a few elected nodes per failure domain read the log, because otherwise thousands of nodes would poll it. A node also
+// reads the log itself while it needs records that its peers no longer have, and when its newest log contact is stale. All
+// back off while the log fails, so that not every node sends requests at once when the log recovers.
 //
-// Example: of 482 live nodes the two with the highest rendezvous hash read every 200 ms; if both hang, the
-// others have stale news after 3 s and begin to read on their own, each at a random moment.
+// Example: of 482 live nodes the two with the highest rendezvous hash read every 200 ms. If both hang, the log contact of the
+// others is stale after 3 s, and each begins to read at a random time.
 
 package configurer
 
@@ -14,12 +14,12 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// The rhythm of reading the log.
+// Intervals and time limits of reading the log.
 const (
-	readInterval = 200 * clock.Millisecond
-	readTimeout  = 5 * clock.Second
-	staleContactAge    = 3 * clock.Second
-	// Elected readers look often whether the log is back; the others must not add thousands of reads a second.
+	readInterval    = 200 * clock.Millisecond
+	readTimeout     = 5 * clock.Second
+	staleContactAge = 3 * clock.Second
+	// Elected readers retry often to notice a recovered log; the other nodes must not add thousands of reads a second.
 	maxBackoffElected = clock.Second
 	maxBackoff        = 30 * clock.Second
 )
@@ -27,19 +27,20 @@
 type reader struct {
 	elected    bool
 	catchingUp bool
-	// reading tells that an answer is awaited; sent is when it was asked for.
+	// reading is set while a read is in progress; sent is when it was requested.
 	reading bool
 	sent    clock.Time
 	due     clock.Time
 	backoff clock.Duration
 	failed  bool
-	// failedSince is the first failure after the last success.
+	// failedSince is the time of the first failure after the last success.
 	failedSince clock.Time
-	// readScheduled tells that the news is stale and the random wait before an own read has begun.
+	// readScheduled is set on a node that is not elected once its log contact is stale and the random wait before its
+	// own read has begun.
 	readScheduled bool
 }
 
-// SetPeers tells which other nodes live in the own failure domain, and some nodes of other domains.
+// SetPeers sets the other live nodes of the own failure domain and some nodes of other domains.
 func (c *Configurer) SetPeers(local, remote []identifier.Node) {
 	c.relay.local = local
 	c.relay.remote = remote
@@ -70,7 +71,7 @@
 	return next
 }
 
-// Reads tells whether this node is one of its domain's readers of the log.
+// Reads reports whether this node is one of its failure domain's elected readers of the log.
 func (c *Configurer) Reads() bool {
 	return c.reader.elected
 }
@@ -81,7 +82,7 @@
 
 func (c *Configurer) tickReader(now clock.Time) []Effect {
 	r := &c.reader
-	// An answer that never comes would end reading for good; the configuration would stay as it is.
+	// Without this timeout a lost answer would end all reading, and the configuration would never change again.
 	if r.reading && now.Sub(r.sent) > readTimeout {
 		c.readFailed(now)
 	}
@@ -110,7 +111,7 @@
 	return true
 }
 
-// LogFailed takes in that a read of the log failed.
+// LogFailed processes the failure of a read of the log.
 func (c *Configurer) LogFailed(now clock.Time) []Effect {
 	c.readFailed(now)
 	return c.pull(now)
@@ -131,7 +132,7 @@
 	r.due = now.Add(r.backoff/2 + c.jitter(r.backoff/2))
 }
 
-// LogRead takes in the log's answer to a read.
+// LogRead processes the log's answer to a read.
 func (c *Configurer) LogRead(b Batch, now clock.Time, wall clock.Wall) []Effect {
 	r := &c.reader
 	r.reading = false
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -1,7 +1,7 @@
-// News spreads as hints of a few bytes; whoever is behind asks the sender for the records. A hint or an
-// answer that gets lost is made good by the next hint or ping, since each of them carries the position.
+// Nodes announce new records with hints of a few bytes; a node that is behind requests the records from the sender. A lost
+// hint or answer is made up for by the next hint or ping, since each of them carries the sender's position.
 //
-// Example: PeerNews("n7", 42, 300, now) from a ping, with the own next at 40, returns
+// Example: PeerStatus("n7", 42, contact, now), called for a ping while the own tail's next is 40, returns
 // Send{To: "n7", Message: TailRequest{From: 40}}.
 
 package configurer
@@ -11,36 +11,36 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// The rhythm of passing on.
+// Intervals and counts of hints and of requests to peers.
 const (
 	hintInterval = 50 * clock.Millisecond
-	// hintRounds is how often new records are hinted at; one round alone misses a member in twenty.
+	// hintRounds is how many times a hint of new records is sent; a single round misses one member in twenty.
 	hintRounds         = 3
 	remoteHintInterval = clock.Second
 	remoteFanout       = 4
 	pullTimeout        = 150 * clock.Millisecond
 	idlePullInterval   = 2 * clock.Second
-	skipDelay       = 3 * clock.Second
+	skipDelay          = 3 * clock.Second
 )
 
 type relay struct {
 	local, remote []identifier.Node
-	// next is the local peer that follows this node by name, around the end of the list.
+	// next is the local peer whose name follows this node's name; after the last name comes the first.
 	next identifier.Node
-	// hinted is the position of the last hint sent.
+	// hinted is the position that the newest hints carry.
 	hinted     identifier.Offset
 	rounds     int
 	nextHint   clock.Time
 	nextRemote clock.Time
-	// pullDeadline is the moment until which an answer to a TailRequest is awaited.
-	pullDeadline  clock.Time
-	nextIdle clock.Time
-	// newest is the furthest position heard of, and the peer that has it.
+	// pullDeadline is the time until which no other TailRequest is sent, because an answer may still arrive.
+	pullDeadline clock.Time
+	nextIdle     clock.Time
+	// newest is the highest offset that a peer reported, and newestPeer is that peer.
 	newest     identifier.Offset
 	newestPeer identifier.Node
 }
 
-// Tick does what is due; call it every 50 to 100 ms.
+// Tick performs the periodic work that is due; the caller calls it every 50 to 100 ms.
 func (c *Configurer) Tick(now clock.Time, wall clock.Wall) []Effect {
 	effects := c.tickReader(now)
 	effects = append(effects, c.tickSnapshot(now, wall)...)
@@ -56,12 +56,12 @@
 	return effects
 }
 
-// needsPull tells that this node can't expect the next news to come by itself.
+// needsPull reports whether this node must request records, because it can't rely on hints to bring them.
 func (c *Configurer) needsPull(now clock.Time) bool {
 	return c.waiting || c.reader.catchingUp || c.Freshness(now) > staleContactAge
 }
 
-// Receive takes in a message from another node.
+// Receive processes a message from another node.
 func (c *Configurer) Receive(from identifier.Node, message any, now clock.Time, wall clock.Wall) []Effect {
 	switch m := message.(type) {
 	case Hint:
@@ -77,10 +77,10 @@
 	return nil
 }
 
-// PeerStatus takes in, from a ping, the offset that a peer has read up to and its newest contact with the log.
+// PeerStatus processes the offset that a peer has read up to and the newest log contact it knows of, as a ping carries them.
 func (c *Configurer) PeerStatus(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
 	if offset < c.tail.next {
-		// Only one who has all that the peer had knows what the log's end was at that contact.
+		// The peer's log contact proves freshness only for a node that has all records that the peer has.
 		c.recordContact(n, now)
 		if !c.waiting {
 			return nil
@@ -106,12 +106,13 @@
 	return c.reader.catchingUp && c.through < c.options.First
 }
 
-// maySkip tells that the log has been failing for long enough to go on without what only it may still have.
+// maySkip reports whether the log has been failing for so long that this node gives up records that only the log may have.
 func (c *Configurer) maySkip(now clock.Time) bool {
 	return c.reader.failed && now.Sub(c.reader.failedSince) >= skipDelay
 }
 
-// pull asks a random peer, of another domain where there is none in the own or now and then.
+// pull sends a request to a random peer: of the own failure domain, or of another one if the own has no other node and in a
+// third of all cases.
 func (c *Configurer) pull(now clock.Time) []Effect {
 	peers := c.relay.local
 	if len(peers) == 0 || (len(c.relay.remote) > 0 && c.options.Rand.IntN(3) == 0) {
@@ -133,7 +134,7 @@
 	if behind && m.Skip {
 		from = c.tail.start
 	}
-	// An empty tail is sent too: it carries the age, and ends the wait for an answer.
+	// An empty tail is also sent: it carries the log contact and ends the requester's wait for an answer.
 	if from < c.tail.start || from > c.tail.next {
 		return effects
 	}
@@ -146,8 +147,8 @@
 	c.relay.pullDeadline = now
 	var effects []Effect
 	if m.From > c.tail.next {
-		// A late answer to an older request; or the peer's tail begins too late while the log may still have
-		// what is missing. Skipping then would lose records that can be had.
+		// This is a late answer to an older request, or the peer's tail begins after the needed offset while the log may
+		// still have the missing records. Skipping them would lose records that are available.
 		if !c.maySkip(now) {
 			c.reader.catchingUp = true
 			return nil
@@ -185,12 +186,12 @@
 	}
 	p.rounds--
 	p.nextHint = now.Add(hintInterval)
-	// The next member by name is always told, so that without losses nobody is left out by chance.
+	// The next member by name always gets a hint, so that without message loss random selection leaves no node out.
 	next := Send{To: p.next, Message: c.hint(now)}
 	return append(c.hintSome(p.local, c.options.Fanout-1, now), next)
 }
 
-// hintRemote keeps domains current that are cut off from the log but not from this one.
+// hintRemote keeps failure domains up to date that can't reach the log but can reach this domain.
 func (c *Configurer) hintRemote(now clock.Time) []Effect {
 	p := &c.relay
 	if !c.reader.elected || now < p.nextRemote {
--- a/internal/configurer/snapshotter.go
+++ b/internal/configurer/snapshotter.go
@@ -1,7 +1,7 @@
-// Records expire. If the first ones went before anyone wrote their sum again, a fleet restarted as a whole
-// would find changes it can't judge and no configuration at all. So a reader appends a snapshot once the
-// oldest record still needed has reached half the retention; readers wait a random time, so that mostly
-// one does it, and a doubled snapshot is ignored by everyone at or past it.
+// Records expire. If the first records expired before a snapshot was appended, a fleet restarted as a whole would find
+// changes that it can't decide on, and no configuration. An elected reader therefore appends a snapshot once the oldest
+// record still needed has reached half the retention. Readers wait a random time, so that usually one of them appends it;
+// nodes that are at or past a duplicate snapshot ignore it.
 //
 // Example: retention 24 h, last snapshot 12 h ago: within 45 min one reader appends the next.
 
@@ -9,15 +9,15 @@
 
 import "github.com/jackdawtide/jackdawtide/internal/clock"
 
-// oldest tells how old the oldest record is that a new reader would need.
+// oldest tracks the age of the oldest record that a new reader would need.
 type oldest struct {
 	recorded bool
-	wall  clock.Wall
-	read  clock.Time
-	due   clock.Time
+	wall     clock.Wall
+	read     clock.Time
+	due      clock.Time
 }
 
-// recordRead takes in a record that is not a snapshot.
+// recordRead processes a record that is not a snapshot.
 func (o *oldest) recordRead(written clock.Wall, now clock.Time, wall clock.Wall) {
 	if o.recorded {
 		return
@@ -29,7 +29,8 @@
 	*o = oldest{recorded: true, wall: min(written, wall), read: now}
 }
 
-// age takes the larger of two accounts: a writer's clock may be fast, and a node may have read late.
+// age returns the larger of two estimates: by the writer's clock, which may be fast, and by the time of reading, which may
+// be late.
 func (o *oldest) age(now clock.Time, wall clock.Wall) clock.Duration {
 	return max(now.Sub(o.read), wall.Sub(o.wall))
 }
--- a/internal/configurer/tail.go
+++ b/internal/configurer/tail.go
@@ -1,7 +1,7 @@
-// A node keeps the newest records so that it can hand them to peers who are behind. The records form one
-// unbroken span of the log, [start, next); a span with a hole would pass a loss on to every node that asks.
+// A node keeps the newest records to send them to peers that are behind. The records form one contiguous range of the log,
+// [start, next): a range with a hole would make every requesting node lose the same records.
 //
-// Example: with start 10 and next 40, a peer at 25 gets 25..39, and a peer at 3 gets the whole state first.
+// Example: with start 10 and next 40, a peer at 25 gets 25..39, and a peer at 3 gets the whole configuration first.
 
 package configurer
 
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// The bounds of one Tail message.
+// Upper bounds of one Tail message.
 const (
 	maxTailRecords = 256
 	maxTailBytes   = 64 << 10
@@ -36,7 +36,7 @@
 	t.records = t.records[drop:]
 }
 
-// jump forgets all and goes on from an offset.
+// jump drops all records and continues at an offset.
 func (t *tail) jump(to identifier.Offset) {
 	*t = tail{start: to, next: to}
 }
--- a/internal/configurer/types.go
+++ b/internal/configurer/types.go
@@ -1,5 +1,5 @@
-// Changes are judged by every reader alike, from the log's order alone: the first change made against a
-// version of a subject wins, and each later one made against the same version is refused with a Conflict.
+// Every reader decides on a change from the order of the log alone, so that all readers agree. The first change made
+// against a version of a subject is accepted, and each later one made against the same version is refused with a Conflict.
 //
 // Example: two operators read that the in-force pointer is at version 7, and both append SwitchPreset with
 // Base 7. The first on the log becomes version 8; the second gets Conflict{Base: 7, Current: 8}.
@@ -14,15 +14,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// ChangeID is the UUID under which an operator's change is looked for on the log.
+// ChangeID is the UUID that identifies an operator's change on the log.
 type ChangeID string
 
-// Change is what all changes have in common.
+// Change holds the fields that all kinds of change have.
 type Change struct {
 	ID       ChangeID
 	Operator string
 	Wall     clock.Wall
-	// Base is the version of the subject that the change was made against; 0 where there is none yet.
+	// Base is the version of the subject that the change was made against; 0 if the subject has no version yet.
 	Base identifier.Version
 }
 
@@ -44,13 +44,13 @@
 	Key definer.Key
 }
 
-// WithdrawKey ends a key for good.
+// WithdrawKey makes a key permanently invalid.
 type WithdrawKey struct {
 	Change
 	Hash identifier.KeyHash
 }
 
-// SubjectKind tells what a change is about.
+// SubjectKind is the kind of object that a change applies to.
 type SubjectKind uint8
 
 // The kinds of subject.
@@ -60,13 +60,13 @@
 	SubjectKey
 )
 
-// Subject is what one change is about; the in-force pointer has no name.
+// Subject is the object that one change applies to; the in-force pointer has no name.
 type Subject struct {
 	Kind SubjectKind
 	Name string
 }
 
-// String names the subject as operators know it.
+// String returns the subject in the words that operators see.
 func (s Subject) String() string {
 	switch s.Kind {
 	case SubjectPreset:
@@ -79,7 +79,7 @@
 	return "unknown subject " + s.Name
 }
 
-// Reason tells why a change was refused.
+// Reason is why a change was refused.
 type Reason uint8
 
 // The reasons for refusing a change.
@@ -99,7 +99,7 @@
 	ReasonInvalid:       "the change has no name or no id",
 }
 
-// String says the reason in words.
+// String returns the reason as a clause for an error message.
 func (r Reason) String() string {
 	if r > 0 && int(r) < len(reasonTexts) {
 		return reasonTexts[r]
@@ -115,12 +115,12 @@
 	Current identifier.Version
 }
 
-// Error names the subject, the version wanted and the current one.
+// Error names the subject, the reason, the version that the change was made against and the current one.
 func (c Conflict) Error() string {
 	return fmt.Sprintf("%s: %s (made against version %d, now at %d)", c.Subject, c.Reason, c.Base, c.Current)
 }
 
-// Outcome is the judgement on one change: Version where it was accepted, else Conflict.
+// Outcome is the decision on one change: Version is set if it was accepted, Conflict if it was refused.
 type Outcome struct {
 	ID       ChangeID
 	Version  identifier.Version
@@ -140,39 +140,39 @@
 	Withdrawn bool
 }
 
-// Effect is something that the caller has to do.
+// Effect is an action that the caller of the Configurer must perform.
 type Effect interface{ effect() }
 
-// Send passes a message to another node; it may get lost.
+// Send sends a message to another node; the message may be lost.
 type Send struct {
 	To      identifier.Node
 	Message any
 }
 
-// ReadLog asks for the log's records from an offset on; answer by LogRead or LogFailed.
+// ReadLog requests the log's records from an offset on; the caller reports the result with LogRead or LogFailed.
 type ReadLog struct {
 	From identifier.Offset
-	// Asked goes back in the Batch.
+	// Asked is the time of the request; the caller returns it in the Batch.
 	Asked clock.Time
 }
 
-// Append puts a record on the log; its answer doesn't matter.
+// Append appends a record to the log; the result of the append is not reported back.
 type Append struct {
 	Record any
 }
 
-// Deliver hands over a record of another matter, in the log's order and once.
+// Deliver passes on a record that is not a configuration change, in the log's order and exactly once.
 type Deliver struct {
 	Offset identifier.Offset
 	Value  any
 }
 
-// Skipped tells that the records From up to, not including, To can't be had any more.
+// Skipped reports that the records from From up to, but not including, To are no longer available.
 type Skipped struct {
 	From, To identifier.Offset
 }
 
-// Changed tells that the configuration has changed; open and queued calls must be checked again.
+// Changed reports that the configuration has changed; running and queued calls must be checked again.
 type Changed struct {
 	Version   identifier.Version
 	InForce   bool
--- a/internal/launcher/fleet.go
+++ b/internal/launcher/fleet.go
@@ -138,12 +138,12 @@
 		return err
 	}
 	f.Publisher = publisher.New(publisher.Options{
-		Log:        f.log,
-		Operator:   "launcher",
-		Wall:       func() clock.Wall { return clock.Wall(time.Now().UnixMilli()) },
-		Random:     rand.Reader,
+		Log:            f.log,
+		Operator:       "launcher",
+		Wall:           func() clock.Wall { return clock.Wall(time.Now().UnixMilli()) },
+		Random:         rand.Reader,
 		AttemptTimeout: 2 * clock.Second,
-		RetryPause: 50 * clock.Millisecond,
+		RetryPause:     50 * clock.Millisecond,
 	})
 	return nil
 }
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -39,9 +39,9 @@
 		Rest:  configurationRest,
 		Slack: storeSlack,
 
-		Backoff: n.storeBackoff,
-		Now:     clock.Boot{}.Now,
-		OnUpdate:    n.takeOrders,
+		Backoff:  n.storeBackoff,
+		Now:      clock.Boot{}.Now,
+		OnUpdate: n.takeOrders,
 		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "operators", "error", err.Error())
 		},
@@ -146,9 +146,9 @@
 		Rest:  membersRest,
 		Slack: storeSlack,
 
-		Backoff: n.storeBackoff,
-		Now:     clock.Boot{}.Now,
-		OnUpdate:    n.takeMembers,
+		Backoff:  n.storeBackoff,
+		Now:      clock.Boot{}.Now,
+		OnUpdate: n.takeMembers,
 		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "members", "error", err.Error())
 		},
