--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -1,11 +1,10 @@
 package publisher
 
-// The log may take a record and lose its answer. An operator who then believes in a failure publishes again, is
-// refused by their own first change, and does not know which of the two is in force. So the outcome of a change is
-// only ever read from the log, by the change's id, and the same record may be appended again: readers judge an id
-// once.
+// The log may append a record and the answer may be lost. An operator who assumes a failure publishes again, gets a conflict
+// with their own first change, and does not know which of the two is in force. The outcome of a change is therefore always
+// read from the log, by the change's id. The same record may be appended again, since readers decide on an id only once.
 //
-// Example: append → 503; read on → the id is there, accepted as version 9 → 9 is returned.
+// Example: append → 503; the next read finds the id, accepted as version 9 → 9 is returned.
 
 import (
 	"context"
@@ -19,15 +18,15 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// attempt is what is known of one record so far.
+// attempt is the state of appending one record.
 type attempt struct {
-	// sent tells that some append may have reached the log; added, that one was answered with an offset.
+	// sent is set once an append may have reached the log, added once an append was answered with an offset.
 	sent  bool
 	added bool
 	cause error
 }
 
-// appendAndConfirm appends a record until its outcome can be read, or ctx ends.
+// appendAndConfirm appends a record, repeatedly if needed, until its outcome can be read or ctx ends.
 func (p *Publisher) appendAndConfirm(ctx context.Context, v *View, id configurer.ChangeID, record any) (identifier.Version, error) {
 	data, err := encoder.Encode(record)
 	if err != nil {
@@ -51,7 +50,7 @@
 	}
 }
 
-// tryAppend appends unless an earlier try was answered; it fails only where no further try can help.
+// tryAppend appends the record unless an earlier append was answered; it fails only if a retry can't succeed.
 func (p *Publisher) tryAppend(ctx context.Context, data []byte, a *attempt) error {
 	if a.added {
 		return nil
@@ -82,7 +81,7 @@
 
 func (a attempt) unsettledError(id configurer.ChangeID, end error) error {
 	if a.cause == nil {
-		a.cause = fmt.Errorf("the record can't be read back: %w", end)
+		a.cause = fmt.Errorf("the appended record could not be read back from the log: %w", end)
 	}
 	if !a.sent {
 		return NotAppendedError{Cause: a.cause}
--- a/internal/publisher/doc.go
+++ b/internal/publisher/doc.go
@@ -1,2 +1,2 @@
-// Package publisher appends operators' changes to the platform's log and finds out what became of them.
+// Package publisher appends operators' changes to the platform's log and reads their outcome from it.
 package publisher
--- a/internal/publisher/errors.go
+++ b/internal/publisher/errors.go
@@ -1,7 +1,7 @@
 package publisher
 
-// Whoever made a change must learn which of four things happened: accepted, refused, certainly nothing, or not to
-// be told. Only the last two are errors of this package; a refusal is the configurer's Conflict.
+// The author of a change must learn which of four outcomes it had: accepted, refused, certainly not appended, or unknown.
+// Only the last two are errors of this package; a refusal is the configurer's Conflict.
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	Cause error
 }
 
-// Error names the change and what kept its outcome from being read.
+// Error names the change and the reason why its outcome could not be read.
 func (e InDoubtError) Error() string {
 	return fmt.Sprintf("the outcome of change %s is unknown, it may still be accepted: %v", e.ID, e.Cause)
 }
@@ -42,14 +42,14 @@
 	return e.Cause
 }
 
-// GapError reports a log that dropped records before any snapshot of them, so that no change can be judged.
+// GapError reports a log that dropped records before a snapshot of them was appended, so that no change can be decided on.
 type GapError struct {
 	Earliest appender.Offset
 }
 
 // Error names the earliest offset.
 func (e GapError) Error() string {
-	return fmt.Sprintf("the log begins at offset %d and holds no snapshot of what came before: its changes can't be judged", e.Earliest)
+	return fmt.Sprintf("the log begins at offset %d and has no snapshot of the records before it: the outcome of changes can't be determined", e.Earliest)
 }
 
 // UnknownTeamError reports a team that no published preset defines.
@@ -62,13 +62,13 @@
 	return fmt.Sprintf("no published preset has a team %q", e.Team)
 }
 
-// UnknownKeyError reports a hash, or the beginning of one, that fits no single key.
+// UnknownKeyError reports a hash or hash prefix that does not match exactly one key.
 type UnknownKeyError struct {
 	Prefix  string
 	Matches int
 }
 
-// Error names the hash and how many keys it fits.
+// Error names the hash and how many keys it matches.
 func (e UnknownKeyError) Error() string {
-	return fmt.Sprintf("%q fits %d keys: want the hash of one key, or its beginning", e.Prefix, e.Matches)
+	return fmt.Sprintf("%q matches %d keys: want the hash of one key, or a unique prefix of it", e.Prefix, e.Matches)
 }
--- a/internal/publisher/key.go
+++ b/internal/publisher/key.go
@@ -1,9 +1,9 @@
 package publisher
 
-// A key is shown once and never stored: what lies on the log, in dumps and in logs is its hash, from which 256
-// random bits can't be guessed. The prefix lets a scanner of leaked secrets know a key when it meets one.
+// A key is shown once and never stored: the log, dumps and log lines hold only its hash, from which its 256 random bits can't
+// be recovered. The prefix lets scanners for leaked secrets recognize a key.
 //
-// Example: NewKey(rand.Reader) gives jt_ and 43 characters; Hash of it is what IssueKey publishes.
+// Example: NewKey(rand.Reader) gives jt_ and 43 characters; IssueKey publishes its Hash.
 
 import (
 	"crypto/sha256"
@@ -21,47 +21,47 @@
 	keyBytes  = 32
 )
 
-// Secret is a team's key; its text form and its form in logs hide it.
+// Secret is a team's key; its printed forms do not contain the key.
 type Secret struct {
 	text string
 }
 
-// NewKey makes a key of 256 bits read from random.
+// NewKey returns a key of 256 bits read from random.
 func NewKey(random io.Reader) (Secret, error) {
 	b := make([]byte, keyBytes)
 	if _, err := io.ReadFull(random, b); err != nil {
-		return Secret{}, fmt.Errorf("make key: %w", err)
+		return Secret{}, fmt.Errorf("create key: %w", err)
 	}
 	return Secret{text: keyPrefix + base64.RawURLEncoding.EncodeToString(b)}, nil
 }
 
-// Reveal returns the key itself, for the one time that it is shown.
+// Reveal returns the key itself, to be shown once.
 func (s Secret) Reveal() string {
 	return s.text
 }
 
-// String keeps the key out of whatever prints the value that holds it.
+// String returns a placeholder, so that printing a value that contains the key does not reveal it.
 func (s Secret) String() string {
 	return keyPrefix + "(hidden)"
 }
 
-// GoString keeps the key out of %#v.
+// GoString returns the same placeholder for %#v.
 func (s Secret) GoString() string {
 	return s.String()
 }
 
-// Hash returns what is published of the key.
+// Hash returns the hash under which the key is published.
 func (s Secret) Hash() identifier.KeyHash {
 	return HashOf(s.text)
 }
 
-// HashOf returns what is published of a key in its text form.
+// HashOf returns the hash under which a key in text form is published.
 func HashOf(key string) identifier.KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return identifier.KeyHash(hex.EncodeToString(sum[:]))
 }
 
-// LooksLikeKey tells whether a text has the form of a key.
+// LooksLikeKey reports whether a text has the prefix of a key.
 func LooksLikeKey(text string) bool {
 	return strings.HasPrefix(text, keyPrefix)
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,7 +1,7 @@
 package publisher
 
-// Operators' verbs and the demo make their changes here, so that each is a record with its own id, made against
-// the version that its maker saw.
+// The operators' commands and the demo make their changes with this package, so that each change is a record with a unique id,
+// made against the version that its author saw.
 //
 // Example: v, err := p.Load(ctx); version, err := p.Switch(ctx, v, "peak", v.Base(InForce)).
 
@@ -31,17 +31,17 @@
 // Options configures a Publisher.
 type Options struct {
 	Log appender.Log
-	// Operator is the name that stands in the records.
+	// Operator is the operator's name in the records.
 	Operator string
 	Wall     func() clock.Wall
-	// Random gives keys and the ids of changes.
+	// Random is the source of keys and of the ids of changes.
 	Random io.Reader
-	// AttemptTimeout bounds one request to the log, RetryPause is the time between two.
+	// AttemptTimeout bounds one request to the log; RetryPause is the time between two requests.
 	AttemptTimeout clock.Duration
-	RetryPause clock.Duration
+	RetryPause     clock.Duration
 }
 
-// Publisher makes changes of the configuration.
+// Publisher makes changes to the configuration.
 type Publisher struct {
 	options Options
 }
@@ -51,7 +51,7 @@
 	return &Publisher{options: o}
 }
 
-// Load reads the whole log, trying until ctx ends while the log is unavailable.
+// Load reads the whole log; while the log is unavailable it retries until ctx ends.
 func (p *Publisher) Load(ctx context.Context) (*View, error) {
 	v := newView()
 	var cause error
@@ -60,7 +60,7 @@
 		if err == nil {
 			return v, nil
 		}
-		// That the time is up tells an operator less than what was wrong before.
+		// An operator learns more from the error before the deadline than from the deadline itself.
 		if cause == nil || !errors.Is(err, context.DeadlineExceeded) {
 			cause = err
 		}
@@ -77,7 +77,7 @@
 	return v.catchUp(ctx, p.options.Log)
 }
 
-// Publish sets the content of a preset, made against the given version of it.
+// Publish sets the content of a preset; base is the version of the preset that the change is made against.
 func (p *Publisher) Publish(ctx context.Context, v *View, preset definer.Preset, base identifier.Version) (identifier.Version, error) {
 	c, err := p.change(base)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return p.appendAndConfirm(ctx, v, c.ID, configurer.PublishPreset{Change: c, Preset: preset})
 }
 
-// Switch puts a preset in force, made against the given version of the pointer to it.
+// Switch puts a preset in force; base is the version of the in-force pointer that the change is made against.
 func (p *Publisher) Switch(ctx context.Context, v *View, name identifier.Preset, base identifier.Version) (identifier.Version, error) {
 	c, err := p.change(base)
 	if err != nil {
@@ -95,14 +95,14 @@
 	return p.appendAndConfirm(ctx, v, c.ID, configurer.SwitchPreset{Change: c, Preset: name})
 }
 
-// Issued is an accepted key; the secret is nowhere else.
+// Issued is an accepted key with the only copy of its secret.
 type Issued struct {
 	Secret  Secret
 	Key     definer.Key
 	Version identifier.Version
 }
 
-// Issue makes a key of a team.
+// Issue creates and publishes a key of a team.
 func (p *Publisher) Issue(ctx context.Context, v *View, team identifier.Team, label string) (Issued, error) {
 	if !v.hasTeam(team) {
 		return Issued{}, UnknownTeamError{Team: team}
@@ -123,7 +123,7 @@
 	return Issued{Secret: secret, Key: key, Version: version}, nil
 }
 
-// Withdraw ends a key for good.
+// Withdraw makes a key permanently invalid.
 func (p *Publisher) Withdraw(ctx context.Context, v *View, k configurer.VersionedKey) (identifier.Version, error) {
 	c, err := p.change(k.Version)
 	if err != nil {
@@ -135,7 +135,7 @@
 func (p *Publisher) change(base identifier.Version) (configurer.Change, error) {
 	id, err := uuid.NewRandomFromReader(p.options.Random)
 	if err != nil {
-		return configurer.Change{}, fmt.Errorf("make id of change: %w", err)
+		return configurer.Change{}, fmt.Errorf("create change id: %w", err)
 	}
 	return configurer.Change{
 		ID:       configurer.ChangeID(id.String()),
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -24,10 +24,10 @@
 
 func newPublisher(log appender.Log, random io.Reader) *Publisher {
 	return New(Options{
-		Log:        log,
-		Operator:   "eva",
-		Wall:       func() clock.Wall { return 1 },
-		Random:     random,
+		Log:            log,
+		Operator:       "eva",
+		Wall:           func() clock.Wall { return 1 },
+		Random:         random,
 		AttemptTimeout: clock.Second,
 	})
 }
@@ -36,13 +36,13 @@
 	return definer.Preset{Name: name, Teams: []definer.Team{{Name: "agents", Rate: 1000, Burst: 1000, Weight: weight}}}
 }
 
-// model is the oracle: the version of each subject, counted by hand.
+// model is the expected state: the version of each subject.
 type model struct {
-	version identifier.Version
-	versions      map[configurer.Subject]identifier.Version
+	version  identifier.Version
+	versions map[configurer.Subject]identifier.Version
 }
 
-// checkOutcome tells what must become of a change made against base.
+// checkOutcome compares the outcome of a change made against base with the model and updates the model.
 func (m *model) checkOutcome(rt *rapid.T, s configurer.Subject, base, got identifier.Version, err error) {
 	var conflict configurer.Conflict
 	if base != m.versions[s] {
@@ -56,9 +56,9 @@
 	assert.Equal(rt, got, m.version)
 }
 
-// Several operators work at once with views of different age, and the log loses the answers of appends that took
-// effect. If one change were judged twice, or two made against the same version both told accepted, an operator
-// would believe in a preset that is not in force, and end users would be served by other rules than announced.
+// Several operators make changes with views of different age, and the log loses the answers of appends that took effect. If
+// one change were decided on twice, or two changes against the same version were both reported as accepted, an operator would
+// assume a preset that is not in force, and end users would be served by other rules than announced.
 func TestOperatorsRace(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -105,7 +105,7 @@
 	})
 }
 
-// failingLog is a log whose appends or reads fail as told.
+// failingLog is a log whose appends or reads fail with the given errors.
 type failingLog struct {
 	appender.Log
 	appendErr, readErr error
@@ -125,8 +125,8 @@
 	return f.Log.Read(ctx, from, limit, wait)
 }
 
-// The log goes away in the middle of a change. The operator must be told whether certainly nothing was changed or
-// nobody can know; a wrong "nothing was changed" makes them publish something else over an accepted change.
+// The log becomes unavailable in the middle of a change. The operator must learn whether certainly nothing was changed or the
+// outcome is unknown; a wrong "nothing was changed" makes them publish something else over an accepted change.
 func TestLogUnavailableDuringChange(t *testing.T) {
 	cause := errors.New("gone")
 	lost := appender.Unavailable{Operation: "append", Cause: cause}
@@ -159,8 +159,8 @@
 	}
 }
 
-// A log has dropped its first records before any node wrote a snapshot. Judged from the rest alone, a withdrawn key
-// could look valid and an old preset new, so the operator is told that nothing can be judged.
+// A log has dropped its first records before any node appended a snapshot. From the remaining records alone a withdrawn key
+// could look valid and an old preset new, so the operator gets a GapError.
 func TestGapIsReported(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
@@ -177,10 +177,10 @@
 	assert.Assert(t, errors.As(err, &gap), "%v", err)
 	assert.Equal(t, gap.Earliest, appender.Offset(2))
 	_, err = p.Switch(ctx, v, "peak", 2)
-	assert.NilError(t, err, "a view from before the gap goes on")
+	assert.NilError(t, err, "a view loaded before the gap remains usable")
 }
 
-// Keys leak through what prints them. Whoever reads the log, or a value that holds a key, must not learn it.
+// Neither the log's records nor the printed forms of a value that contains a key may reveal the key.
 func TestKeyIsNotExposed(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
@@ -221,7 +221,7 @@
 	assert.Assert(t, errors.As(err, &none), "%v", err)
 }
 
-// BenchmarkLoad reads a day of 12,000 changes over HTTP, as each verb does before it acts.
+// BenchmarkLoad reads a day of 12,000 changes over HTTP, as each operator command does before it acts.
 func BenchmarkLoad(b *testing.B) {
 	const changes = 12_000
 	ctx := context.Background()
--- a/internal/publisher/view.go
+++ b/internal/publisher/view.go
@@ -1,9 +1,9 @@
 package publisher
 
-// An operator's view is folded by the nodes' own configurer, from the same records, so that it can never say
-// accepted where the nodes say refused.
+// An operator's view is built by the same configurer as the nodes use, from the same records, so that it can't show a change
+// as accepted that the nodes refuse.
 //
-// Example: v, err := p.Load(ctx); v.Version() is what every node has once it has read as far.
+// Example: v, err := p.Load(ctx); v.Version() is the version of every node that has read the same records.
 
 import (
 	"context"
@@ -20,19 +20,19 @@
 
 const firstOffset identifier.Offset = 1
 
-// View is the configuration as the log tells it up to some offset.
+// View is the configuration that the log's records up to some offset give.
 type View struct {
 	*configurer.Configurer
 	clock *clock.Clock
 	next  appender.Offset
-	// earliest is where the log began when the last gap was met.
+	// earliest is the log's earliest offset at the last read; a GapError names it.
 	earliest appender.Offset
 }
 
 func newView() *View {
 	return &View{
 		Configurer: configurer.New(configurer.Options{
-			// No peers, so nothing is drawn from it; the reducer wants one all the same.
+			// A view has no peers; the configurer needs a random source for its intervals all the same.
 			Rand:   rand.New(rand.NewPCG(1, 1)),
 			Decode: encoder.Decode,
 			First:  firstOffset,
@@ -47,7 +47,7 @@
 		b, err := log.Read(ctx, v.next, appender.MaxLimit, 0)
 		var expired appender.Expired
 		if errors.As(err, &expired) {
-			// The next read gets the records from there on, and with them the gap is seen.
+			// The next read starts at the earliest record; the configurer then detects the gap.
 			v.next = expired.Earliest
 			continue
 		}
@@ -68,7 +68,7 @@
 	}
 	v.earliest = b.Earliest
 	v.next = b.Next
-	// The effects are for a node: passing on to peers, delivering other matters' records.
+	// The returned effects are dropped: sending to peers and delivering other records is the work of nodes.
 	v.LogRead(configurer.Batch{
 		Earliest: identifier.Offset(b.Earliest),
 		Next:     identifier.Offset(b.End),
