--- a/internal/watcher/doc.go
+++ b/internal/watcher/doc.go
@@ -1,2 +1,2 @@
-// Package watcher follows a keyed topic of the platform's store and says how fresh what it knows is.
+// Package watcher follows a keyed topic of the platform's store and reports as of which time its records are complete.
 package watcher
--- a/internal/watcher/types.go
+++ b/internal/watcher/types.go
@@ -1,9 +1,9 @@
 package watcher
 
-// The store is reached through this narrow interface, so that a test can lose answers, drop history and stay silent
-// without a server.
+// The watcher uses the store through this small interface, so that a test can simulate lost answers, dropped history and a
+// store that does not answer, without a server.
 //
-// Example: for a topic whose offsets 0 to 4 were dropped, Read from 3 gives a DroppedError{First: 5}.
+// Example: for a topic whose offsets 0 to 4 were dropped, Read from 3 returns a DroppedError{First: 5}.
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Record is one record of a keyed topic; without a Value the key was dropped.
+// Record is one record of a keyed topic; a record without a Value deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset identifier.Offset
 }
 
-// Batch is what a read found, and where the topic ended then.
+// Batch is the result of a read: the records and the topic's end at that time.
 type Batch struct {
 	Records []Record
 	End     identifier.Offset
-	// Relayed tells that another node passed the records on, which proves nothing about the topic's end.
+	// Relayed is set if another node relayed the records, which is no proof of where the topic ends.
 	Relayed bool
 }
 
@@ -32,13 +32,13 @@
 type Topic interface {
 	// Newest returns the newest record of each key.
 	Newest(ctx context.Context) (Batch, error)
-	// Read returns records from an offset on; with none it waits up to the given time for one.
+	// Read returns records from an offset on; if there are none, it waits up to the given time for one.
 	Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (Batch, error)
-	// Write appends a record; a nil value drops the key.
+	// Write appends a record; a nil value deletes the key.
 	Write(ctx context.Context, key string, value []byte) error
 }
 
-// DroppedError tells that the asked records are no longer kept.
+// DroppedError reports that the requested records are no longer kept.
 type DroppedError struct {
 	First identifier.Offset
 }
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("records before offset %d are no longer kept", e.First)
 }
 
-// RefusedError is an answer of the store that did nothing.
+// RefusedError reports that the store refused a request and did not perform it.
 type RefusedError struct {
 	Status int
 }
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -1,10 +1,10 @@
 package watcher
 
-// A watcher keeps one waiting read open, as long as whoever needs its proofs allows. Each answer proves that the topic held nothing else at the moment when the
-// read was sent, which is what a withdrawn key is judged by: the answer may have been under way for long, the
-// question cannot have been sent later than it was.
+// A watcher keeps one waiting read open, for as long as its user allows with Wait. Each answer proves that the topic held no
+// other records at the time when the read was sent. Whether a withdrawn key may still be accepted depends on that time and
+// not on the time of arrival, since an answer may be in transit for any length of time.
 //
-// Example: a read sent at 1000 that comes back empty at 2500 proves the topic's end as of 1000, not of 2500.
+// Example: a read sent at 1000 that returns empty at 2500 proves where the topic ended at 1000, not at 2500.
 
 import (
 	"context"
@@ -16,76 +16,76 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Update is what one answer of the store told.
+// Update is the content of one answer of the store.
 type Update struct {
 	Records []Record
 	// Next is the offset from which the topic is read next.
 	Next identifier.Offset
-	// AsOf is the boot time at which the question was sent.
+	// AsOf is the boot time at which the request was sent.
 	AsOf clock.Time
-	// Complete tells that no record up to AsOf is missing.
+	// Complete is set if no record up to AsOf is missing.
 	Complete bool
-	// Snapshot tells that the records are the newest of all keys, and that a key without one has none.
+	// Snapshot is set if Records holds the newest record of every key; a key without a record has none.
 	Snapshot bool
 }
 
-// Options set a watcher up; Topic, Now and Took are required.
+// Options configures a Watcher; Topic, Wait, Now, OnUpdate, OnLost and OnRegained are required.
 type Options struct {
 	Topic Topic
 	// Wait returns how long the next read may stay open on the store.
 	Wait func() clock.Duration
-	// Need tells whether the topic has to be followed at the moment; nil for always. What is missed meanwhile is read when
-	// it has to be again.
+	// Need reports whether the topic has to be followed at present; nil means always. Records missed in the meantime are read
+	// once Need holds again.
 	Need func() bool
-	// Backoff bounds the wait between failed tries; nil for DefaultBackoff.
+	// Backoff returns the bounds of the wait between failed attempts; nil means DefaultBackoff.
 	Backoff func() Backoff
-	// Slack is how much later than Wait an answer may come before the connection is taken for dead.
+	// Slack is how long after the end of Wait an answer may arrive before the read counts as failed.
 	Slack clock.Duration
-	// Rest is how long after an answer of the store with news the next read is sent: when a whole fleet starts, news come one
-	// by one.
+	// Rest is the pause after an answer of the store that had records. It lets one read collect several records: when a whole
+	// fleet starts, they arrive one by one.
 	Rest clock.Duration
-	// Now reads the boot time.
+	// Now returns the boot time.
 	Now func() clock.Time
 	// OnUpdate is called with each update, from one goroutine.
 	OnUpdate func(Update)
-	// OnLost and Regained are called when the store stops and starts to answer.
+	// OnLost and OnRegained are called when the store stops answering and when it answers again.
 	OnLost     func(error)
 	OnRegained func()
 }
 
-// Backoff is the wait after the first failed try, the longest one, and how many times as long each is as the one before.
+// Backoff sets the wait after the first failed attempt, the longest wait, and the factor between successive waits.
 type Backoff struct {
 	First, Max clock.Duration
-	Factor      clock.Duration
+	Factor     clock.Duration
 }
 
-// DefaultBackoff is short enough that a store which is back is read within half a second, and long enough that a fleet does
-// not press a store that is busy.
+// DefaultBackoff is short enough that a recovered store is read within half a second, and long enough that a fleet does not
+// overload a busy store.
 var DefaultBackoff = Backoff{First: 60 * clock.Millisecond, Max: 500 * clock.Millisecond, Factor: 2}
 
 const (
-	// needCheckInterval is the time between two looks whether a topic has to be followed again: a fifth of what a node takes to notice
-	// that it must.
+	// needCheckInterval is the time between two checks whether the topic has to be followed again: a fifth of the time that a
+	// node takes to notice this.
 	needCheckInterval = 300 * clock.Millisecond
 )
 
 // Watcher follows one topic.
 type Watcher struct {
-	options Options
-	next    identifier.Offset
-	positionKnown   bool
-	failing bool
-	// hadRecords tells that the last answer had records and came from the store.
-	hadRecords  bool
-	pause clock.Duration
+	options       Options
+	next          identifier.Offset
+	positionKnown bool
+	failing       bool
+	// hadRecords is set if the last answer had records and came from the store itself.
+	hadRecords bool
+	pause      clock.Duration
 
 	mu sync.Mutex
-	// interrupt ends the read under way, which may stay open for waiting; nil while there is none.
+	// interrupt ends the current read, which may stay open for the time in waiting; nil while there is none.
 	interrupt context.CancelFunc
 	waiting   clock.Duration
-	// retry ends the wait after a failed try; nil while there is none.
+	// retry ends the wait after a failed attempt; nil while there is none.
 	retry context.CancelFunc
-	// interrupted tells that the last read was interrupted.
+	// interrupted is set if the last read was interrupted.
 	interrupted bool
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// waitToRetry waits after a failed try, unless Retry ends it.
+// waitToRetry waits after a failed attempt; Retry ends the wait early.
 func (w *Watcher) waitToRetry(ctx context.Context, span clock.Duration) {
 	limited, cancel := context.WithTimeout(ctx, span.Std())
 	defer cancel()
@@ -130,7 +130,7 @@
 	w.retry = retry
 }
 
-// Retry ends the wait after a failed try, because the next one may succeed.
+// Retry ends the wait after a failed attempt; it is for callers that expect the next attempt to succeed.
 func (w *Watcher) Retry() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,8 +170,8 @@
 	}
 	wait := w.options.Wait()
 	if w.failing || w.interrupted {
-		// A read that waits can't tell a silent store from one with no news, so after a failure ask for an answer
-		// at once; and whoever interrupts a read is in a hurry.
+		// A waiting read can't distinguish a store that does not answer from one without new records, so the read after
+		// a failure requests an immediate answer. So does the read after an interrupt, whose caller needs an answer soon.
 		wait = 0
 	}
 	w.interrupted = false
@@ -192,7 +192,7 @@
 		return err
 	}
 	if b.End < w.next && !b.Relayed {
-		// The topic has been made anew; what was read no longer says where to go on.
+		// The topic was created again, so the position in the old topic is no longer valid.
 		w.positionKnown = false
 		return nil
 	}
@@ -210,7 +210,7 @@
 	w.interrupt, w.waiting = interrupt, wait
 }
 
-// endRead tells whether the read was interrupted.
+// endRead marks the read as ended and reports whether it was interrupted.
 func (w *Watcher) endRead() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,7 +219,7 @@
 	return interrupted
 }
 
-// Interrupt ends a read that may stay open for longer than a time, so that the next one begins at once.
+// Interrupt ends the current read if it may stay open for longer than the given time, so that the next read starts at once.
 func (w *Watcher) Interrupt(longerThan clock.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// fakeTopic is a topic in memory that can drop its history, stay silent or refuse.
+// fakeTopic is a topic in memory that can drop its history, leave requests unanswered or refuse them.
 type fakeTopic struct {
 	mu      sync.Mutex
 	records []Record
@@ -142,7 +142,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not met within 2.5 s: %s", what)
 }
 
 func TestFollowsNewRecords(t *testing.T) {
@@ -155,8 +155,8 @@
 	eventually(t, "second value", func() bool { return s.value("config") == "2" && s.value("other") == "x" })
 }
 
-// The store forgets its history while a node waits for the next record. A node that insisted on the records after its
-// last one would never see another configuration.
+// The store drops its history while a node waits for the next record. A node that requested only the records after its last
+// one would never get another configuration.
 func TestDroppedHistoryIsReplacedBySnapshot(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -174,8 +174,8 @@
 	eventually(t, "newest value", func() bool { return s.value("config") == "4" })
 }
 
-// The store takes connections and answers nothing. A node that waited on would not notice its return; it asks again,
-// and then for an answer at once.
+// The store accepts connections and does not answer. A node that only waited would not notice its recovery; it retries, and
+// requests an immediate answer.
 func TestSilentStoreIsRetriedWithoutWait(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -184,12 +184,12 @@
 	f.mu.Lock()
 	f.silent = true
 	f.mu.Unlock()
-	eventually(t, "the loss is noticed", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.lost == 1 })
+	eventually(t, "the loss is reported", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.lost == 1 })
 	f.add("config", "2")
 	f.mu.Lock()
 	f.silent = false
 	f.mu.Unlock()
-	eventually(t, "value after the silence", func() bool { return s.value("config") == "2" })
+	eventually(t, "value after the store answers again", func() bool { return s.value("config") == "2" })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	assert.Equal(t, s.regained, 1)
@@ -204,8 +204,8 @@
 	assert.Assert(t, zero >= 1)
 }
 
-// An empty answer to a waiting read says nothing about the time at which it arrived: a key may have been withdrawn
-// just after the store looked. Taken as of its arrival, it would keep a withdrawn key alive for the length of the wait.
+// An empty answer to a waiting read proves nothing about the time at which it arrived: a key may have been withdrawn just
+// after the store checked for records. With the arrival as AsOf, a withdrawn key would remain valid for the length of the wait.
 func TestProofIsAsOfRequestTime(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -215,13 +215,13 @@
 	defer s.mu.Unlock()
 	for i := 2; i < len(s.updates); i++ {
 		apart := s.updates[i].AsOf.Sub(s.updates[i-1].AsOf)
-		assert.Assert(t, apart >= 25, "questions %d ms apart, each waits 30 ms", apart)
+		assert.Assert(t, apart >= 25, "requests %d ms apart, expected at least 25 ms: each waits 30 ms", apart)
 		assert.Assert(t, s.updates[i].Complete)
 	}
 }
 
-// A node relies on another one's proofs and keeps one long read open; then the other one goes. The open read would prove
-// nothing before its end, so it is given up, and the next one is answered at once.
+// A node relies on another node's proofs of freshness and keeps one long read open; then the other node stops. The open read
+// would prove nothing before its end, so it is interrupted, and the next one is answered at once.
 func TestInterruptedReadIsFollowedByShortRead(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -241,7 +241,7 @@
 	time.Sleep(20 * time.Millisecond)
 	assert.Equal(t, updates(), 1)
 	w.Interrupt(clock.Second)
-	eventually(t, "a quick answer", func() bool { return updates() == 2 })
+	eventually(t, "an immediate answer", func() bool { return updates() == 2 })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	assert.Equal(t, f.waits[1], clock.Duration(0))
@@ -254,8 +254,8 @@
 	assert.Equal(t, RefusedError{Status: 503}.Error(), "store refused with status 503")
 }
 
-// Nodes that hear of every change from each other need not follow the topic. One that stops hearing must get all that it
-// missed, not only what comes from then on: an endpoint that joined meanwhile would stay unknown.
+// Nodes that receive every change from each other need not follow the topic. A node that no longer receives them must read all
+// records that it missed, not only new ones: otherwise an endpoint that joined in the meantime would stay unknown.
 func TestTopicIsFollowedOnlyWhileNeeded(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
@@ -279,16 +279,16 @@
 	eventually(t, "missed", func() bool { return s.value("b") == "2" })
 }
 
-// The store is down and many nodes follow it. Each of their tries costs as much as one that is answered, so those that need
-// not be first to see it come back wait longer.
+// The store is down and many nodes follow it. A failed attempt costs as much as a successful one, so nodes that need not be
+// the first to notice the recovery wait longer.
 func TestBackoffBoundsAttempts(t *testing.T) {
 	tries := map[clock.Duration]int{}
 	for _, b := range []Backoff{{First: 60, Max: 100, Factor: 2}, {First: 60, Max: 2000, Factor: 2}, {First: 100, Max: 4000, Factor: 8}} {
 		f := &fakeTopic{refuse: true}
 		w := New(Options{
 			Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now,
-			Backoff: func() Backoff { return b },
-			OnUpdate:    func(Update) {}, OnLost: func(error) {}, OnRegained: func() {},
+			Backoff:  func() Backoff { return b },
+			OnUpdate: func(Update) {}, OnLost: func(error) {}, OnRegained: func() {},
 		})
 		for pause := clock.Duration(0); pause < 4000; tries[b.Max]++ {
 			pause += w.backOff()
@@ -297,8 +297,8 @@
 	assert.Assert(t, tries[100] >= 40 && tries[2000] <= 9 && tries[4000] <= 5, "%v", tries)
 }
 
-// A configuration follows the store's outage closely. A node that waits long between its tries must not sleep through it when
-// another node can tell it.
+// A new configuration is written soon after the store's outage. A node with long waits between its attempts must not miss it
+// when another node can report that the store answers.
 func TestRetryEndsBackoff(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
@@ -306,7 +306,7 @@
 	w := New(Options{
 		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, OnUpdate: s.record,
 		Backoff: func() Backoff { return Backoff{First: 20_000, Max: 20_000, Factor: 2} },
-		OnLost:    func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, OnRegained: func() {},
+		OnLost:  func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
