--- a/internal/checker/doc.go
+++ b/internal/checker/doc.go
@@ -1,2 +1,2 @@
-// Package checker reads a TOML file whole and collects every fault in it, named by field and value.
+// Package checker reads a TOML file completely and collects all faults in it, each with its field and value.
 package checker
--- a/internal/checker/fault.go
+++ b/internal/checker/fault.go
@@ -1,7 +1,7 @@
 package checker
 
-// An operator who is told one fault at a time mends a file in ten rounds during an incident, and a file that is
-// taken in part leaves the system in a state that nobody wrote. So faults are collected, and any one refuses all.
+// An operator who gets one fault at a time needs many rounds to correct a file during an incident, and a file that is applied
+// in part leaves the system in a state that no file describes. So all faults are collected, and a single one refuses the file.
 //
 // Example: limits.idleTimeout = 30: want a duration with its unit, such as "2s"
 
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is one fault in a file.
 type Fault struct {
 	Field string
-	// Value is the value as the file writes it; empty where the field is missing.
+	// Value is the value as written in the file; empty if the field is missing.
 	Value   string
 	Problem string
 }
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s = %s: %s", f.Field, f.Value, f.Problem)
 }
 
-// Faults are all the things wrong in a file.
+// Faults is the list of all faults in a file.
 type Faults []Fault
 
 // Error names each fault on a line of its own.
--- a/internal/checker/fields.go
+++ b/internal/checker/fields.go
@@ -1,9 +1,9 @@
 package checker
 
-// Each kind of value that a file may hold is read in one place, so that the same mistake gets the same words in
-// settings and in presets.
+// Each kind of value in a file is read in one place, so that the same mistake gets the same message in settings and in
+// presets.
 //
-// Example: t.Duration("idleTimeout", clock.Second, clock.Hour) takes "90s" and refuses 90, "90" and "2h".
+// Example: t.Duration("idleTimeout", clock.Second, clock.Hour) accepts "90s" and refuses 90, "90" and "2h".
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Text returns a string; it must be given.
+// Text returns a non-empty string; the field is required.
 func (t *Table) Text(key string) string {
 	v, given := t.lookUp(key)
 	if !given {
@@ -38,7 +38,7 @@
 	return s
 }
 
-// Quantity returns a string that holds a number with its unit; want tells the operator its form.
+// Quantity returns a string that holds a number with its unit; want is the fault's message, which describes the form.
 func (t *Table) Quantity(key, want string) string {
 	v, given := t.lookUp(key)
 	if !given {
@@ -53,7 +53,7 @@
 	return s
 }
 
-// Name returns a string that can stand in a path and in a record; it must be given.
+// Name returns a string that is valid in a path and in a record; the field is required.
 func (t *Table) Name(key string) string {
 	s := t.Text(key)
 	if s != "" && !namePattern.MatchString(s) {
@@ -63,7 +63,7 @@
 	return s
 }
 
-// Texts returns a list of strings; one left out is empty.
+// Texts returns a list of strings, empty if the field is missing.
 func (t *Table) Texts(key string) []string {
 	v, given := t.lookUp(key)
 	if !given {
@@ -83,7 +83,7 @@
 	return texts
 }
 
-// Bool returns a truth value, or the default if it is left out.
+// Bool returns a boolean, or the default if the field is missing.
 func (t *Table) Bool(key string, value bool) bool {
 	v, given := t.lookUp(key)
 	if !given {
@@ -96,7 +96,7 @@
 	return b
 }
 
-// Integer returns a whole number within bounds, 0 if it is faulty; it must be given.
+// Integer returns an integer within bounds, or 0 if it is faulty; the field is required.
 func (t *Table) Integer(key string, low, high int64) int64 {
 	v, given := t.lookUp(key)
 	if !given {
@@ -115,7 +115,7 @@
 	return n
 }
 
-// IntegerOr returns a whole number within bounds, or the default if it is left out.
+// IntegerOr returns an integer within bounds, or the default if the field is missing.
 func (t *Table) IntegerOr(key string, value, low, high int64) int64 {
 	if !t.Has(key) {
 		return value
@@ -123,7 +123,7 @@
 	return t.Integer(key, low, high)
 }
 
-// Duration returns a duration within bounds; it must be given.
+// Duration returns a duration within bounds; the field is required.
 func (t *Table) Duration(key string, low, high clock.Duration) clock.Duration {
 	v, given := t.lookUp(key)
 	if !given {
@@ -147,7 +147,7 @@
 	return clock.FromStd(d)
 }
 
-// DurationOr returns a duration within bounds, or the default if it is left out.
+// DurationOr returns a duration within bounds, or the default if the field is missing.
 func (t *Table) DurationOr(key string, value, low, high clock.Duration) clock.Duration {
 	if !t.Has(key) {
 		return value
@@ -155,7 +155,7 @@
 	return t.Duration(key, low, high)
 }
 
-// Size returns a number of bytes within bounds; it must be given.
+// Size returns a number of bytes within bounds; the field is required.
 func (t *Table) Size(key string, low, high int64) int64 {
 	v, given := t.lookUp(key)
 	if !given {
@@ -175,7 +175,7 @@
 	return n
 }
 
-// SizeOr returns a number of bytes within bounds, or the default if it is left out.
+// SizeOr returns a number of bytes within bounds, or the default if the field is missing.
 func (t *Table) SizeOr(key string, value, low, high int64) int64 {
 	if !t.Has(key) {
 		return value
@@ -183,7 +183,7 @@
 	return t.Size(key, low, high)
 }
 
-// Address returns an address with an IP number and a port; it must be given.
+// Address returns an IP address with a port; the field is required.
 func (t *Table) Address(key string) netip.AddrPort {
 	s := t.Text(key)
 	if s == "" {
@@ -197,7 +197,7 @@
 	return a
 }
 
-// Addresses returns a list of addresses; one left out is empty.
+// Addresses returns a list of addresses, empty if the field is missing.
 func (t *Table) Addresses(key string) []netip.AddrPort {
 	texts := t.Texts(key)
 	addresses := make([]netip.AddrPort, 0, len(texts))
@@ -223,7 +223,7 @@
 	factor int64
 }
 
-// sizeUnits stand in the order of matching: "KiB" must be tried before "B".
+// sizeUnits are in the order of matching: "KiB" must be tried before "B".
 var sizeUnits = []unit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
 func parseSize(s string) (int64, error) {
@@ -241,7 +241,7 @@
 	return 0, fmt.Errorf("size %q: no unit", s)
 }
 
-// FormatSize writes a size as Size reads it.
+// FormatSize returns a size in the form that Size reads.
 func FormatSize(n int64) string {
 	for _, u := range sizeUnits {
 		if n%u.factor == 0 && n >= u.factor {
@@ -256,7 +256,7 @@
 	span   clock.Duration
 }{{"h", clock.Hour}, {"m", clock.Minute}, {"s", clock.Second}, {"ms", clock.Millisecond}}
 
-// FormatDuration writes a duration as Duration reads it.
+// FormatDuration returns a duration in the form that Duration reads.
 func FormatDuration(d clock.Duration) string {
 	for _, u := range durationUnits {
 		if d%u.span == 0 && d >= u.span {
@@ -266,7 +266,7 @@
 	return strconv.FormatInt(int64(d), 10) + "ms"
 }
 
-// NumberOr returns a number within bounds, whole or with decimals, or the default if it is left out.
+// NumberOr returns a number within bounds, with or without decimals, or the default if the field is missing.
 func (t *Table) NumberOr(key string, value, low, high float64) float64 {
 	v, given := t.lookUp(key)
 	if !given {
--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -1,8 +1,8 @@
 package checker
 
-// The TOML library's own strict mode names all unknown keys, but stops at the first value of a wrong type. A
-// Table reads the decoded file field by field instead: what nobody asked for is unknown, what does not fit is
-// a fault, and reading goes on.
+// The TOML library's strict mode reports all unknown keys, but stops at the first value of a wrong type. A Table reads the
+// decoded file field by field instead: a key that was never requested is unknown, an invalid value adds a fault, and reading
+// continues after either.
 //
 // Example: t, err := Parse(data); n := t.Table("node"); name := n.Name("name"); err = t.Finish()
 
@@ -17,16 +17,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Table is one table of a file while it is read.
+// Table is one table of a file that is being read.
 type Table struct {
-	path   string
-	values map[string]any
-	requested  map[string]bool
+	path      string
+	values    map[string]any
+	requested map[string]bool
 	children  []*Table
-	faults *Faults
+	faults    *Faults
 }
 
-// Parse decodes a file; its error is of the TOML itself, with line and column.
+// Parse decodes a file; its error is a TOML syntax fault, with line and column.
 func Parse(data []byte) (*Table, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(data, &values); err != nil {
@@ -68,13 +68,13 @@
 	}
 }
 
-// Has tells whether the file gives the key.
+// Has reports whether the table contains the key.
 func (t *Table) Has(key string) bool {
 	_, ok := t.values[key]
 	return ok
 }
 
-// Fault adds a fault of a field of this table.
+// Fault adds a fault for a field of this table.
 func (t *Table) Fault(key, problem string) {
 	*t.faults = append(*t.faults, Fault{
 		Field:   t.field(key),
@@ -83,12 +83,12 @@
 	})
 }
 
-// Faultf adds a fault of a field of this table.
+// Faultf adds a fault with a formatted message for a field of this table.
 func (t *Table) Faultf(key, format string, args ...any) {
 	t.Fault(key, fmt.Sprintf(format, args...))
 }
 
-// Table returns the table under the key; one that is missing is empty, so that its required fields are named.
+// Table returns the table under the key; a missing table is returned empty, so that its required fields are reported.
 func (t *Table) Table(key string) *Table {
 	v, given := t.lookUp(key)
 	values, ok := v.(map[string]any)
@@ -100,7 +100,7 @@
 	return inner
 }
 
-// Keys returns the keys of this table, sorted; each has to be read.
+// Keys returns the sorted keys of this table; a key that the caller does not read counts as unknown.
 func (t *Table) Keys() []string {
 	return slices.Sorted(maps.Keys(t.values))
 }
@@ -143,7 +143,7 @@
 	return t.path + "." + key
 }
 
-// maxLiteralRunes keeps a value that was pasted in the wrong place from flooding the report.
+// maxLiteralRunes keeps the message short when a long value was pasted into the wrong field.
 const maxLiteralRunes = 60
 
 func literal(v any) string {
--- a/internal/definer/doc.go
+++ b/internal/definer/doc.go
@@ -1,2 +1,2 @@
-// Package definer holds what operators publish: presets with their services, routes and teams, and team keys.
+// Package definer has the types that operators publish: presets with their services, routes and teams, and team keys.
 package definer
--- a/internal/presetter/doc.go
+++ b/internal/presetter/doc.go
@@ -1,2 +1,2 @@
-// Package presetter maps presets between their TOML form and the domain types, and checks them whole.
+// Package presetter maps presets between TOML and the domain types, and reports all faults of a preset at once.
 package presetter
--- a/internal/presetter/parser.go
+++ b/internal/presetter/parser.go
@@ -1,8 +1,8 @@
 package presetter
 
-// Parse gives a preset or faults, never both, so that nothing of a faulty file can reach the log. Beyond types and
-// units it refuses what can't hold together: shares over the whole, routes of services that the preset lacks,
-// routes that an earlier one hides, a team twice.
+// Parse returns a preset or faults, never both, so that no part of a faulty file can reach the log. Besides types and units it
+// checks consistency: it refuses shares whose sum exceeds 100%, routes of services that the preset does not define, routes
+// that an earlier one shadows, and names that are given twice.
 //
 // Example: [[team]] name = "agents" rate = "200/s" burst = 400
 
@@ -19,7 +19,7 @@
 
 // Bounds of a preset.
 const (
-	maxPerMille        = 1000
+	maxPerMille       = 1000
 	maxRetryAllowance = 100
 	maxWeight         = 1000
 	minTimeout        = 10 * clock.Millisecond
@@ -131,8 +131,8 @@
 	return r
 }
 
-// normalizePrefix drops a slash at the end: prefixes match whole segments, so it changes nothing but would hide
-// that two routes are the same.
+// normalizePrefix removes trailing slashes: they do not change what a prefix matches, since prefixes match whole segments, but
+// would hide that two routes are the same.
 func normalizePrefix(prefix string) string {
 	if trimmed := strings.TrimRight(prefix, "/"); trimmed != "" || prefix == "" {
 		return trimmed
@@ -152,7 +152,7 @@
 	return p
 }
 
-// shadowedBy returns the earlier route that takes every call that r would match, as the first match counts.
+// shadowedBy returns the first earlier route that matches every call that r matches, or nil; r would never apply after it.
 func shadowedBy(r definer.Route, earlier []definer.Route) *definer.Route {
 	for i, e := range earlier {
 		sameMethod := e.Method == anyMethod || e.Method == r.Method
@@ -174,7 +174,8 @@
 			Burst:  readBurst(d, "burst"),
 			Weight: int(d.IntegerOr("weight", 1, 1, maxWeight)),
 		}
-		// A failure domain whose part of the burst is below one call can never hold the right to one.
+		// A failure domain whose share of the burst is below one call can never hold enough tokens for a call. The burst is
+		// refused if this is true of all failure domains.
 		largestBurst := team.Burst * identifier.Tokens(largest) / maxPerMille
 		if team.Burst > 0 && largest > 0 && largestBurst < identifier.TokensPerCall {
 			d.Faultf("burst", "the largest share of a failure domain, %s, comes to less than one call", formatShare(largest))
@@ -184,7 +185,7 @@
 	return teams
 }
 
-// names finds names that are given twice.
+// names is the set of names read so far; it detects names that are given twice.
 type names map[string]bool
 
 func (n names) readUnique(t *checker.Table) string {
--- a/internal/presetter/printer.go
+++ b/internal/presetter/printer.go
@@ -1,9 +1,9 @@
 package presetter
 
-// Operators read back what is in force from the log, change it and publish it again, so the printed form must be
-// the form that Parse takes.
+// Operators read the preset in force back from the log, change it and publish it again, so the printed form must be the form
+// that Parse accepts.
 //
-// Example: Parse(Print(p)) gives p again.
+// Example: text, err := Print(p); Parse(text) returns p again.
 
 import (
 	"bytes"
--- a/internal/presetter/units.go
+++ b/internal/presetter/units.go
@@ -1,7 +1,7 @@
 package presetter
 
-// Rates and shares are written with their units, since 400 could as well be meant for a minute or for one VM.
-// Inside they are whole thousandths, so that shares of shares never round a team over its rate.
+// Rates and shares are written with their units, since a plain 400 could also mean calls a minute or calls at one VM.
+// Internally they are integers in thousandths, so that rounding shares of shares never puts a team over its rate.
 //
 // Example: rate = "30/min" is 500 thousandths of a call a second; share = "12.5%" is 125 per mille.
 
@@ -82,7 +82,7 @@
 	}
 	number, ok := strings.CutSuffix(text, "%")
 	n, isNumber := parseThousandths(number)
-	// A per cent is 10 per mille, and n is in thousandths of a per cent.
+	// n is in thousandths of a per cent, and 0.1% is one per mille.
 	const perMilleOf = 100
 	if !ok || !isNumber || n%perMilleOf != 0 || n/perMilleOf > maxPerMille {
 		t.Fault(key, wantShare)
