--- a/internal/loader/doc.go
+++ b/internal/loader/doc.go
@@ -1,2 +1,2 @@
-// Package loader reads a node's settings from TOML and checks them whole.
+// Package loader reads a node's settings from TOML and reports all faults in them at once.
 package loader
--- a/internal/loader/follower.go
+++ b/internal/loader/follower.go
@@ -1,9 +1,10 @@
 package loader
 
-// Settings may change while a node runs, with a signal or without. They are read and checked whole; a faulty file changes
-// nothing, and is told of once.
+// Settings may change while a node runs, with or without a signal. The whole file is read and checked; a faulty file changes
+// nothing and is reported once.
 //
-// Example: SIGHUP with bounds.revoke = "soon" in the file: told with the field and its value, the old settings stay.
+// Example: SIGHUP with bounds.revoke = "soon" in the file: the field and its value are reported, and the old settings stay in
+// force.
 
 import (
 	"bytes"
@@ -12,11 +13,11 @@
 	"time"
 )
 
-// pollInterval is how often the file is looked at: a change without a signal is in force some seconds later.
+// pollInterval is the time between two reads of the file: a change without a signal takes effect within some seconds.
 const pollInterval = 2 * time.Second
 
-// Follow calls took with each change of a settings file, and failed with each change that is faulty, until the context
-// ends. A value on hurry has the file looked at once.
+// Follow calls onChange with each change of a settings file, and onFailure for each faulty change and each failed read, until
+// the context ends. A value on reload causes an immediate read.
 func Follow(ctx context.Context, file string, reload <-chan os.Signal, onChange func(Sidecar), onFailure func(error)) {
 	last, _ := os.ReadFile(file)
 	ticker := time.NewTicker(pollInterval)
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,6 +1,6 @@
 package loader
 
-// Parse gives settings or faults, never both, so that no caller can start a node on half a file.
+// Parse returns settings or faults, never both, so that no caller can start a node with part of a file.
 //
 // Example: s, err := Parse(data); var f checker.Faults; errors.As(err, &f)
 
@@ -16,8 +16,8 @@
 
 // Bounds of the settings.
 const (
-	minHeaderBytes       = 4 << 10
-	maxHeaderBytes       = 1 << 20
+	minHeaderBytes  = 4 << 10
+	maxHeaderBytes  = 1 << 20
 	maxCount        = 1 << 20
 	minTimeout      = 100 * clock.Millisecond
 	maxTimeout      = clock.Hour
@@ -63,8 +63,8 @@
 		Peer:   t.Address("peer"),
 		Admin:  t.Address("admin"),
 	}
-	// Whoever reaches the local address may claim to be a backend server and send calls of any team whose token
-	// it learns; on another address than loopback that would be the whole network.
+	// Any process that can reach the local address can announce itself as a backend server and send calls of any team whose
+	// token it learns. On an address other than loopback that would be the whole network.
 	if l.Local.IsValid() && !l.Local.Addr().IsLoopback() {
 		t.Fault("local", "want a loopback address")
 	}
@@ -75,8 +75,8 @@
 	return l
 }
 
-// checkDistinct finds TCP addresses that are given twice: the second listener would fail only after the first
-// began to take calls.
+// checkDistinct reports TCP addresses that are given twice: otherwise the second listener would fail only after the first has
+// begun to accept calls.
 func checkDistinct(t *checker.Table, l Listen) {
 	taken := map[netip.AddrPort]string{}
 	tcp := []struct {
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -69,8 +69,8 @@
 	assert.Assert(t, s.Listen.AdminNeedsTLS())
 }
 
-// An operator edits the settings of a VM in a hurry and makes several mistakes. Told only the first, they would
-// restart the node once for each; with a part of the file applied, the node would run as nobody meant it to.
+// An operator makes several mistakes in the settings of a VM. If only the first were reported, they would restart the node once
+// for each; if part of the file were applied, the node would run with settings that no file describes.
 func TestAllFaultsAtOnce(t *testing.T) {
 	cases := map[string]string{
 		"faulty": read(t, "faulty.toml"),
@@ -83,13 +83,13 @@
 			var f checker.Faults
 			assert.Assert(t, errors.As(err, &f))
 			golden.Assert(t, err.Error()+"\n", name+".golden")
-			assert.Equal(t, fmt.Sprintf("%+v", s), fmt.Sprintf("%+v", Settings{}), "nothing is applied in part")
+			assert.Equal(t, fmt.Sprintf("%+v", s), fmt.Sprintf("%+v", Settings{}), "a faulty file must leave all settings empty")
 		})
 	}
 }
 
-// A value of the wrong type or a misspelt key stands somewhere in a file that is otherwise right. Any one that
-// passes silently leaves a default in force which the operator believes to have replaced.
+// A file contains a value of the wrong type or a misspelt key and is otherwise valid. If it were accepted, a default would stay
+// in force that the operator believes to have replaced.
 func TestWrongTypesAndUnknownKeysAreRejected(t *testing.T) {
 	good := read(t, "good.toml")
 	lines := regexp.MustCompile(`(?m)^([A-Za-z]+) = .*$`).FindAllStringSubmatchIndex(good, -1)
@@ -98,7 +98,7 @@
 		key := good[l[2]:l[3]]
 		for _, wrong := range []string{key + " = true", key + " = {a = 1}", key + " = [1]", key + " = 1.5", key + "s = \"2s\""} {
 			_, err := Parse([]byte(good[:l[0]] + wrong + good[l[1]:]))
-			assert.Assert(t, err != nil, "%s passed", wrong)
+			assert.Assert(t, err != nil, "%s was accepted, want a fault", wrong)
 			assert.ErrorContains(t, err, "."+key)
 		}
 	}
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -1,7 +1,7 @@
 package loader
 
-// Settings are what a process can't learn from the log: who it is, where it listens and whom it trusts. All the
-// rest is published by operators, so that a change of rules needs no restart.
+// Settings are what a process can't read from the log: its identity, its addresses and the certificates it trusts. Operators
+// publish everything else on the log, so that a change of rules needs no restart.
 //
 // Example: node.name = "portal-1", listen.caller = "10.1.0.5:8080", log.url = "http://10.9.0.1:7000".
 
@@ -23,13 +23,13 @@
 	Region identifier.Region
 	Listen Listen
 	Log    Log
-	// Seeds are the peer addresses of some nodes, asked when the log is down at the start.
+	// Seeds are the peer addresses of some nodes, contacted if the log is unavailable at the start.
 	Seeds []netip.AddrPort
 	// Certificates are the files for mutual TLS with other nodes and with operators.
 	Certificates certifier.Files
-	// CallerCertificates are the files for HTTPS towards callers; empty means HTTP.
+	// CallerCertificates are the files for HTTPS to callers; empty means HTTP.
 	CallerCertificates CallerCertificates
-	// Operators are the names let in at an admin endpoint with mutual TLS; empty lets in all of the CA's operators.
+	// Operators are the names admitted at an admin endpoint with mutual TLS; empty admits all operators of the CA.
 	Operators []string
 	Limits    Limits
 }
@@ -38,35 +38,35 @@
 type Listen struct {
 	// Caller is where callers reach the node.
 	Caller netip.AddrPort
-	// Local is where the own backend servers reach the node; it is always on loopback.
+	// Local is where the node's own backend servers reach it; it is always a loopback address.
 	Local netip.AddrPort
-	// Peer is the UDP address where other nodes reach the node, and which they are told.
+	// Peer is the UDP address where other nodes reach the node; the node announces it to them.
 	Peer netip.AddrPort
 	// Admin is where operators reach the node.
 	Admin netip.AddrPort
 }
 
-// AdminNeedsTLS tells whether operators come from outside the VM, and so must show a certificate.
+// AdminNeedsTLS reports whether operators connect from outside the VM and so must present a certificate.
 func (l Listen) AdminNeedsTLS() bool {
 	return !l.Admin.Addr().IsLoopback()
 }
 
-// Log says how the platform's log is reached and what it keeps.
+// Log holds the address of the platform's log and its limits.
 type Log struct {
 	URL string
 	// Retention is how long the log keeps records.
 	Retention clock.Duration
-	// MaxSilence is how long a node without news from the log goes on serving; 0 means without end.
+	// MaxSilence is how long a node without contact to the log continues to serve; 0 sets no limit.
 	MaxSilence clock.Duration
 }
 
-// CallerCertificates are the files for HTTPS towards callers.
+// CallerCertificates are the files for HTTPS to callers.
 type CallerCertificates struct {
 	Certificate string
 	Key         string
 }
 
-// Limits bound what the listeners take.
+// Limits are upper bounds of what the listeners accept.
 type Limits struct {
 	// MaxHeader bounds the header of one request in bytes.
 	MaxHeader int64
@@ -84,7 +84,7 @@
 	DrainTimeout clock.Duration
 }
 
-// DefaultLimits are used for what the settings leave out.
+// DefaultLimits returns the limits that apply where the settings give none.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxHeader:         16 << 10,
@@ -97,5 +97,5 @@
 	}
 }
 
-// DefaultRetention is assumed for a log whose settings do not say what it keeps.
+// DefaultRetention is the assumed retention of a log if the settings give none.
 const DefaultRetention = 24 * clock.Hour
--- a/internal/loader/sidecar.go
+++ b/internal/loader/sidecar.go
@@ -1,7 +1,7 @@
 package loader
 
-// A node beside an endpoint, on a platform that hands out addresses and keeps the store, needs other settings than a
-// node of a fleet of its own. They are read and checked in the same way.
+// A node that runs as a sidecar of an endpoint, on a platform that assigns addresses and operates the store, needs other
+// settings than a node of an independent fleet. They are read and checked in the same way.
 //
 // Example: s, err := ParseSidecar(data); s.Bounds.Revoke is how long a withdrawn key may still be served.
 
@@ -13,13 +13,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Sidecar holds the settings of a node beside an endpoint.
+// Sidecar holds the settings of a node that runs as a sidecar of an endpoint.
 type Sidecar struct {
 	Name   identifier.Node
 	Domain identifier.FailureDomain
-	// Regions are those of the failure domains; empty where the platform does not tell.
+	// Regions gives the region of each failure domain; empty if the platform does not give them.
 	Regions map[identifier.FailureDomain]identifier.Region
-	// Service and Endpoint name the endpoint on the same VM and where it listens.
+	// Service is the service of the endpoint on the same VM, Endpoint the address where it listens.
 	Service  identifier.Service
 	Endpoint netip.AddrPort
 	Listen   SidecarListen
@@ -33,10 +33,10 @@
 
 // SidecarListen holds the addresses that the node listens on.
 type SidecarListen struct {
-	// Outbound takes requests of callers and of the local endpoint, Inbound those that other nodes send.
+	// Outbound accepts requests of callers and of the local endpoint, Inbound those that other nodes send.
 	Outbound netip.AddrPort
 	Inbound  netip.AddrPort
-	// Readiness answers the platform, Announcements takes the local endpoint's heartbeats.
+	// Readiness answers the platform's checks, Announcements accepts the local endpoint's heartbeats.
 	Readiness     netip.AddrPort
 	Announcements netip.AddrPort
 	// Peer exchanges reports with other nodes and serves the state dump, Metrics serves metrics.
@@ -44,51 +44,51 @@
 	Metrics netip.AddrPort
 }
 
-// SidecarBounds are what operators promise their users.
+// SidecarBounds are the bounds that operators guarantee to their users.
 type SidecarBounds struct {
 	// Revoke is how long a withdrawn key may still be served.
 	Revoke clock.Duration
-	// ConfigurationInForce is how long after it was accepted a configuration is in force everywhere.
+	// ConfigurationInForce is the time within which an accepted configuration is in force on all nodes.
 	ConfigurationInForce clock.Duration
-	// Drain is how long an endpoint that leaves may still get requests.
+	// Drain is how long a leaving endpoint may still get requests.
 	Drain clock.Duration
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace clock.Duration
-	// RetryRatio of the requests for a service, and RepeatSlack more, may reach a second endpoint in RepeatWindow.
+	// Within RetryWindow, at most RetryRatio times the requests for a service, plus RetrySlack, may be retried at a second
+	// endpoint.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow clock.Duration
-	// RateExcess is the part, and RateSlack the number of requests, by which a team may exceed its rate and burst in any
-	// RateWindow.
+	// Within any RateWindow, a team may exceed its rate and burst by the fraction RateExcess plus RateSlack requests.
 	RateWindow clock.Duration
 	RateExcess float64
 	RateSlack  float64
-	// ColdExcess times the requests a second that a cold endpoint bears, and ColdSlack more, may reach it in one second from
-	// all nodes together; a ColdExcess of 0 sets no such bound.
+	// Within one second, all nodes together may send a cold endpoint at most ColdExcess times the requests a second that it
+	// can serve, plus ColdSlack; a ColdExcess of 0 sets no such bound.
 	ColdExcess float64
 	ColdSlack  float64
-	// Evacuate is how long after it was asked for an evacuated failure domain's endpoints may still get requests.
+	// Evacuate is how long the endpoints of a failure domain may still get requests after its evacuation was requested.
 	Evacuate clock.Duration
 }
 
-// Defaults of the bounds, for a platform that does not give them: the figures that its pages name.
+// Defaults of the bounds, as documented by the platform, for settings that do not give them.
 const (
-	defaultRevoke       = 5 * clock.Second
-	defaultInForce      = 2 * clock.Second
-	defaultDrain        = 2 * clock.Second
-	defaultGrace        = 6 * clock.Second
+	defaultRevoke      = 5 * clock.Second
+	defaultInForce     = 2 * clock.Second
+	defaultDrain       = 2 * clock.Second
+	defaultGrace       = 6 * clock.Second
 	defaultRetryWindow = 10 * clock.Second
 	defaultRetryRatio  = 0.2
 	defaultRetrySlack  = 50
-	defaultRateWindow   = 5 * clock.Second
-	defaultEvacuate     = 5 * clock.Second
-	minBound            = 100 * clock.Millisecond
-	maxColdExcess       = 100
-	defaultMemoryMB     = 256
-	defaultDescriptors  = 1024
+	defaultRateWindow  = 5 * clock.Second
+	defaultEvacuate    = 5 * clock.Second
+	minBound           = 100 * clock.Millisecond
+	maxColdExcess      = 100
+	defaultMemoryMB    = 256
+	defaultDescriptors = 1024
 )
 
-// minDescriptors is what a node needs to listen, follow the store and exchange reports.
+// minDescriptors is the number of descriptors that a node needs to listen, follow the store and exchange reports.
 const minDescriptors = 64
 
 // ParseSidecar returns the settings in a TOML file, or all of its faults.
@@ -139,9 +139,9 @@
 		ConfigurationInForce: t.DurationOr("configurationInForce", defaultInForce, minBound, maxTimeout),
 		Drain:                t.DurationOr("drain", defaultDrain, minBound, maxTimeout),
 		Grace:                t.DurationOr("grace", defaultGrace, minBound, maxTimeout),
-		RetryRatio:          t.NumberOr("repeatRatio", defaultRetryRatio, 0, 1),
-		RetrySlack:          t.NumberOr("repeatSlack", defaultRetrySlack, 0, maxCount),
-		RetryWindow:         t.DurationOr("repeatWindow", defaultRetryWindow, minBound, maxTimeout),
+		RetryRatio:           t.NumberOr("repeatRatio", defaultRetryRatio, 0, 1),
+		RetrySlack:           t.NumberOr("repeatSlack", defaultRetrySlack, 0, maxCount),
+		RetryWindow:          t.DurationOr("repeatWindow", defaultRetryWindow, minBound, maxTimeout),
 		RateWindow:           t.DurationOr("rateWindow", defaultRateWindow, minBound, maxTimeout),
 		RateExcess:           t.NumberOr("rateExcess", 0, 0, 1),
 		RateSlack:            t.NumberOr("rateSlack", 0, 0, maxCount),
--- a/internal/loader/sidecar_test.go
+++ b/internal/loader/sidecar_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, s.Bounds.Revoke, 4*clock.Second)
 	assert.Equal(t, s.Bounds.RateExcess, 0.1)
 	assert.Equal(t, s.Bounds.ConfigurationInForce, defaultInForce)
-	// A platform that gives no figure gets the default of its pages, not none.
+	// A bound that the settings leave out gets its documented default, not zero.
 	assert.Equal(t, s.Bounds.Grace, defaultGrace)
 	assert.Equal(t, s.MemoryMB, 284)
 	assert.DeepEqual(t, s.Regions, map[identifier.FailureDomain]identifier.Region{
@@ -64,7 +64,8 @@
 	})
 }
 
-// A bound that is worked out may have a fraction; a node that does not start for it leaves its endpoint without service.
+// A bound that was calculated may have a fraction. A node that refused it would not start and leave its endpoint without
+// requests.
 func TestBoundsWithFractions(t *testing.T) {
 	tests := map[string]func(SidecarBounds) float64{
 		"repeatRatio": func(b SidecarBounds) float64 { return b.RetryRatio },
@@ -107,7 +108,7 @@
 	}
 }
 
-// A faulty file must stop the node before it listens, with every fault named by field and value.
+// A faulty file must prevent the node from starting, and each fault must name its field and value.
 func TestFaultySidecarSettings(t *testing.T) {
 	tests := map[string][3]string{
 		"name":           {`name = "n-1"`, ``, "node.name"},
@@ -132,8 +133,8 @@
 	}
 }
 
-// The file changes under a running node: at first to something faulty, then to something good. Half of a faulty file in
-// force, or a node that dies of it, would cost callers their requests.
+// The settings file of a running node changes, first to a faulty and then to a valid one. If part of a faulty file came into
+// force, or the node stopped because of it, callers would lose requests.
 func TestFollow(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	write := func(text string) { assert.NilError(t, os.WriteFile(file, []byte(text), 0o600)) }
@@ -147,13 +148,13 @@
 		Follow(ctx, file, reload, func(s Sidecar) { changes <- s }, func(err error) { failures <- err })
 		close(done)
 	}()
-	// The follower must have seen the first content before it changes.
+	// Follow must have read the first content before it changes.
 	time.Sleep(50 * time.Millisecond)
 	write(strings.Replace(goodSidecar, `"4s"`, `"soon"`, 1))
 	reload <- syscall.SIGHUP
 	assert.ErrorContains(t, <-failures, "bounds.revoke")
 	write(strings.Replace(goodSidecar, `"4s"`, `"3s"`, 1))
-	// Without a signal the change is seen at the next look.
+	// Without a signal the change is found at the next poll.
 	assert.Equal(t, (<-changes).Bounds.Revoke, 3*clock.Second)
 	cancel()
 	<-done
