--- a/internal/logkeeper/handler.go
+++ b/internal/logkeeper/handler.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The handler gives the stand-in the platform's published protocol (docs/LOG.md), and beside it the paths that
-// only the stand-in has: /switches and /forget.
+// The handler serves the platform's published log protocol (docs/LOG.md) and two paths that only the stand-in has: /switches
+// and /forget.
 //
 // Example: curl -X POST -d '{"outage":true}' http://127.0.0.1:7000/switches
 
@@ -21,13 +21,13 @@
 )
 
 const (
-	// maxBodyBytes bounds what the handler reads: a largest record in base64 with its field name.
+	// maxBodyBytes bounds a request body: a record of the largest size in base64, with its field name.
 	maxBodyBytes = 2 * appender.MaxRecord
-	// maxWait bounds a waiting read, whatever the reader asks for.
+	// maxWait bounds the wait of a read, whatever the reader requests.
 	maxWait = time.Minute
 )
 
-// switchesWire has pointers so that a switch that is left out stays as it is.
+// switchesWire has pointers so that a switch missing in a request keeps its value.
 type switchesWire struct {
 	Outage      *bool  `json:"outage"`
 	DelayMs     *int64 `json:"delayMs"`
@@ -40,7 +40,7 @@
 	Before int64 `json:"before"`
 }
 
-// Handler returns the log's HTTP form.
+// Handler returns the log's HTTP handler.
 func (k *Keeper) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(appender.RecordsPath, k.serveAppend).Methods(http.MethodPost)
@@ -160,7 +160,7 @@
 	}
 }
 
-// queryNumber returns a query parameter; one that is left out is zero.
+// queryNumber returns a numeric query parameter, or zero if it is missing.
 func queryNumber(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -188,7 +188,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reader that has gone away reads again from the same offset, so a failed write needs no care here.
+	// A reader whose connection is lost reads again from the same offset, so a failed write needs no handling here.
 	_, _ = w.Write(answer)
 }
 
--- a/internal/logkeeper/keeper.go
+++ b/internal/logkeeper/keeper.go
@@ -1,9 +1,9 @@
 package logkeeper
 
-// The keeper holds the records. It is the only implementation of the log's rules (offsets, retention, waiting
-// reads); the handler in handler.go and the switches only stand around it.
+// The keeper holds the records and alone implements the log's rules: offsets, retention and waiting reads. The handler in
+// handler.go only maps them to HTTP.
 //
-// Example: with KeepCount 2, after appends at offsets 1, 2 and 3 the earliest is 2.
+// Example: with KeepCount 2, after appends at offsets 1, 2 and 3 the earliest offset is 2.
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 
 // Options configures a Keeper.
 type Options struct {
-	// Wall reads the clock that dates records; the default is the machine's.
+	// Wall returns the time for the records' timestamps; the default is the machine's wall clock.
 	Wall func() clock.Wall
 }
 
-// Keeper is a log in memory.
+// Keeper is an in-memory log.
 type Keeper struct {
 	wall func() clock.Wall
 
@@ -29,7 +29,7 @@
 	switches Switches
 	records  []appender.Record
 	next     appender.Offset
-	// changed is closed and replaced whenever a waiting read should look again.
+	// changed is closed and replaced whenever waiting reads must check the records again.
 	changed chan struct{}
 }
 
@@ -44,7 +44,7 @@
 	return &Keeper{wall: wall, next: 1, changed: make(chan struct{})}
 }
 
-// Append adds a record, as the switches allow.
+// Append adds a record, unless the switches make it fail.
 func (k *Keeper) Append(ctx context.Context, data []byte) (appender.Offset, error) {
 	const operation = "append"
 	if err := k.delay(ctx); err != nil {
@@ -88,14 +88,14 @@
 	}
 }
 
-// Switches returns the switches as they stand.
+// Switches returns the current switches.
 func (k *Keeper) Switches() Switches {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.switches
 }
 
-// Set replaces the switches; waiting reads notice.
+// Set replaces the switches; they also apply to reads that already wait.
 func (k *Keeper) Set(s Switches) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -105,7 +105,7 @@
 	k.wakeReaders()
 }
 
-// Forget drops every record before the given offset, as a log that has lost its past.
+// Forget drops every record before the given offset, to simulate a log that has lost its history.
 func (k *Keeper) Forget(before appender.Offset) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,7 +116,7 @@
 	k.wakeReaders()
 }
 
-// Next returns the offset that the next record will have.
+// Next returns the offset that the next record will get.
 func (k *Keeper) Next() appender.Offset {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The oracle is a plain slice: whatever was appended, less what retention dropped, must come back through the
-// published protocol, in order and whole.
+// The oracle is a plain slice: reads through the published protocol must return all appended records, except those that
+// retention dropped, in order and unchanged.
 
 import (
 	"bytes"
@@ -31,7 +31,7 @@
 	return k, c, s.URL
 }
 
-// handlerTransport calls the handler without a socket, so that thousands of steps cost no ports.
+// handlerTransport calls the handler without a socket, so that thousands of steps use no ports.
 type handlerTransport struct {
 	handler http.Handler
 }
@@ -62,8 +62,8 @@
 	}
 }
 
-// The log forgets, loses answers and ages while readers and writers use it. A reader that then gets a record
-// twice, skips one unawares or gets another's bytes would put a configuration in force that nobody accepted.
+// The log drops and expires records and loses answers while readers and writers use it. A reader that then got a record twice,
+// skipped one without an error or got another record's bytes would put a configuration in force that was never accepted.
 func TestKeeperAgainstOracle(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -128,8 +128,8 @@
 	})
 }
 
-// The log is down for a while and then comes back. A reader that waited must learn of the outage at once rather
-// than sit on a dead request, and a writer must not take silence for success.
+// The log has an outage and then recovers. A waiting read must fail at once instead of staying open, and an append during the
+// outage must return an error.
 func TestOutageFailsWaitingReads(t *testing.T) {
 	k, c, url := serve(t, Options{})
 	failed := make(chan error, 1)
@@ -151,11 +151,11 @@
 	k.Set(Switches{})
 	o, err := c.Append(context.Background(), []byte("x"))
 	assert.NilError(t, err)
-	assert.Equal(t, o, appender.Offset(1), "an append in an outage takes no effect")
+	assert.Equal(t, o, appender.Offset(1), "an append during an outage must have no effect")
 }
 
-// Nodes wait for the tail of the log. If an append did not wake them, a withdrawn key would go on working until
-// their wait ran out.
+// Nodes wait for new records of the log. If an append did not end their waiting reads, a withdrawn key would remain valid until
+// the wait times out.
 func TestAppendWakesWaitingRead(t *testing.T) {
 	_, c, _ := serve(t, Options{})
 	got := make(chan appender.Batch, 1)
@@ -170,7 +170,7 @@
 	case b := <-got:
 		assert.Equal(t, len(b.Records), 1)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the waiting read did not see the append")
+		t.Fatal("the waiting read did not return the appended record within 5 s")
 	}
 }
 
--- a/internal/logkeeper/types.go
+++ b/internal/logkeeper/types.go
@@ -1,9 +1,9 @@
 package logkeeper
 
-// The switches make the stand-in fail as the platform's log is known to fail, one at a time or together, while
+// The switches make the stand-in fail in the ways in which the platform's log is known to fail, one at a time or together, while
 // the product runs against it.
 //
-// Example: Switches{LostAnswers: 1} takes the next append in and answers it with an error.
+// Example: with Switches{LostAnswers: 1} the next append takes effect and is answered with an error.
 
 import (
 	"errors"
@@ -13,20 +13,20 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// AllAnswers as LostAnswers loses the answer of every append.
+// AllAnswers is the value of LostAnswers that loses the answer of every append.
 const AllAnswers = -1
 
-// Switches says how the log misbehaves; the zero value is a log that works and keeps everything.
+// Switches are the faults and the retention of the log; the zero value has no faults and keeps all records.
 type Switches struct {
 	// Outage refuses every append and read.
 	Outage bool
-	// Delay goes by before each answer.
+	// Delay is the time before each request is processed.
 	Delay clock.Duration
 	// LostAnswers is how many of the next appends take effect but are answered with an error.
 	LostAnswers int
 	// KeepCount is how many records are kept; zero keeps all.
 	KeepCount int
-	// KeepAge is how long a record is kept; zero is for ever.
+	// KeepAge is how long a record is kept; zero keeps records indefinitely.
 	KeepAge clock.Duration
 }
 
@@ -36,7 +36,7 @@
 	errLostAnswer = errors.New("the answer was lost")
 )
 
-// TooLargeError reports a record over the log's limit.
+// TooLargeError reports a record that exceeds the log's size limit.
 type TooLargeError struct {
 	Size int
 }
