--- a/pkg/announcer/announcer.go
+++ b/pkg/announcer/announcer.go
@@ -1,7 +1,7 @@
 package announcer
 
-// A backend server has to announce itself, beat while it lives, and say when it leaves; this wraps the three
-// calls, so that a forgotten heartbeat is not each author's own fault to find.
+// A backend server must announce itself, send heartbeats while it runs, and report when it leaves. This package wraps the three
+// calls, so that authors of backend servers can't forget one, such as the heartbeat.
 //
 // Example:
 //
@@ -24,7 +24,7 @@
 	"time"
 )
 
-// HeartbeatInterval is how often a backend server reports; after three missed reports it counts as gone.
+// HeartbeatInterval is the time between two heartbeats; after three missed heartbeats the node considers the server dead.
 const HeartbeatInterval = 500 * time.Millisecond
 
 const (
@@ -39,7 +39,7 @@
 	Service  string
 	// Address is where the backend server listens for HTTP, as host:port.
 	Address string
-	// Slots is how many calls it can work on at a time.
+	// Slots is how many calls it can process concurrently.
 	Slots int
 	// ConnectionLimit is how many connections it accepts.
 	ConnectionLimit int
@@ -53,12 +53,12 @@
 	Body   string
 }
 
-// Error gives the status and the node's words.
+// Error names the status and the body of the node's answer.
 func (e StatusError) Error() string {
 	return fmt.Sprintf("node answered %d: %s", e.Status, e.Body)
 }
 
-// Announcement is a backend server's standing with its node.
+// Announcement is a backend server's registration with its node; it sends the heartbeats.
 type Announcement struct {
 	node     string
 	backend  Backend
@@ -87,7 +87,7 @@
 	InFlight int    `json:"inFlight"`
 }
 
-// Announce tells the node at nodeURL about b and starts the heartbeats; load gives the part of the slots in use.
+// Announce registers b with the node at nodeURL and starts the heartbeats; load returns the fraction of the slots in use.
 func Announce(ctx context.Context, nodeURL string, b Backend, load func() float64) (*Announcement, error) {
 	a := &Announcement{
 		node:    nodeURL,
@@ -104,7 +104,7 @@
 	return a, nil
 }
 
-// Leave asks for no new work, waits until every call has ended, and stops the heartbeats.
+// Leave requests that the node send no new calls, waits until every running call has ended, and stops the heartbeats.
 func (a *Announcement) Leave(ctx context.Context) error {
 	defer a.Stop()
 	if err := a.request(ctx, http.MethodDelete, a.path(), nil, nil); err != nil {
@@ -114,7 +114,7 @@
 		var s stateBody
 		err := a.request(ctx, http.MethodGet, a.path(), nil, &s)
 		if isUnknown(err) {
-			// Its heartbeats came late, and the node took it for gone: it sends nothing more.
+			// The node has removed the backend server, because its heartbeats were late, and sends it no more calls.
 			return nil
 		}
 		if err != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// Stop ends the heartbeats without a word, as a crash would.
+// Stop ends the heartbeats without a report to the node, as a crash would.
 func (a *Announcement) Stop() {
 	a.stopOnce.Do(func() { close(a.stop) })
 	<-a.stopped
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// A node that was replaced does not know the backend server: it answers a heartbeat with 404, and the backend
-// server would get no work for ever after. So that answer leads to a new announcement.
+// sendHeartbeats sends heartbeats until Stop. A replaced node does not know the backend server and answers a heartbeat with 404;
+// without a new announcement the backend server would never get calls again.
 func (a *Announcement) sendHeartbeats() {
 	defer close(a.stopped)
 	t := time.NewTicker(HeartbeatInterval)
@@ -174,12 +174,12 @@
 	defer cancel()
 	err := a.request(ctx, http.MethodPost, a.path()+"/heartbeat", heartbeatBody{Load: a.load()}, nil)
 	if isUnknown(err) {
-		// The next heartbeat tries again if this fails too.
+		// If the announcement fails too, the next heartbeat leads to another one.
 		_ = a.announce(ctx)
 	}
 }
 
-// isUnknown tells whether a node answered that it does not know the backend server.
+// isUnknown reports whether a node answered that it does not know the backend server.
 func isUnknown(err error) bool {
 	var e StatusError
 	return errors.As(err, &e) && e.Status == http.StatusNotFound
--- a/pkg/announcer/leave_test.go
+++ b/pkg/announcer/leave_test.go
@@ -12,7 +12,8 @@
 	"github.com/jackdawtide/jackdawtide/pkg/announcer"
 )
 
-// A node that took a late backend server for gone must not make its planned stop fail: there is nothing left to wait for.
+// A node may have removed a backend server because its heartbeats were late. The server's planned stop must not fail then, since
+// there are no calls to wait for.
 func TestLeaveEndsWhenNodeHasRemovedTheServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
--- a/pkg/announcer/page_test.go
+++ b/pkg/announcer/page_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A maker of apps copies the example of the page. One that does not compile any more costs them their first hour.
+// Authors of backend servers copy the example of the page, so it must be the one that compiles in this package.
 func TestPageShowsTheExample(t *testing.T) {
 	page, err := os.ReadFile("../../docs/BACKENDS.md")
 	assert.NilError(t, err)
--- a/pkg/appender/client.go
+++ b/pkg/appender/client.go
@@ -1,7 +1,7 @@
 package appender
 
-// The client speaks the protocol of docs/LOG.md over HTTP. It never sends an append again by itself: only its
-// caller can tell, by re-reading, whether a lost append took effect.
+// The client implements the protocol of docs/LOG.md over HTTP. It never retries an append: only its caller can find out, by
+// reading the log, whether an append took effect whose answer was lost.
 //
 // Example: c, err := NewClient("http://127.0.0.1:7000", http.DefaultClient)
 
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// answerMargin is how long a read waits for its answer beyond the wait that it asked for.
+// answerMargin is how long after the end of the requested wait a read still waits for its answer.
 const answerMargin = 5 * time.Second
 
-// maxAnswerBytes bounds an answer in memory: a batch in base64, and some room for its field names.
+// maxAnswerBytes bounds an answer in memory: a batch in base64 with its field names.
 const maxAnswerBytes = 4 * MaxBatchBytes
 
 // Client is a Log reached over HTTP.
@@ -55,7 +55,7 @@
 	u := c.base.JoinPath(RecordsPath)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
 	if err != nil {
-		return 0, fmt.Errorf("make request: %w", err)
+		return 0, fmt.Errorf("create request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	status, answer, err := c.do(req, operation)
@@ -85,7 +85,7 @@
 	}.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return Batch{}, fmt.Errorf("make request: %w", err)
+		return Batch{}, fmt.Errorf("create request: %w", err)
 	}
 	status, answer, err := c.do(req, operation)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return res.StatusCode, answer, nil
 }
 
-// notSent tells whether err arose before a connection stood, so that the log cannot have seen the request.
+// notSent reports whether err occurred before a connection was established, so that the log can't have received the request.
 func notSent(err error) bool {
 	var e *net.OpError
 	return errors.As(err, &e) && e.Op == "dial"
--- a/pkg/appender/doc.go
+++ b/pkg/appender/doc.go
@@ -1,2 +1,2 @@
-// Package appender is the narrow interface of the platform's append-only log, with a client for its HTTP form.
+// Package appender defines the interface to the platform's append-only log and a client of its HTTP protocol.
 package appender
--- a/pkg/appender/errors.go
+++ b/pkg/appender/errors.go
@@ -1,20 +1,20 @@
 package appender
 
-// A caller of the log must tell three failures apart, for it does something else after each: an unavailable log
-// is asked again, an expired offset means that a snapshot is needed, and a refusal is a fault of the caller.
+// A caller of the log must distinguish three failures, because each requires another reaction: a request to an unavailable log
+// is retried, an expired offset means that a snapshot is needed, and a refusal is a fault of the caller.
 //
-// Example: var e Expired; errors.As(err, &e) → read on from e.Earliest.
+// Example: var e Expired; if errors.As(err, &e), continue to read from e.Earliest.
 
 import "fmt"
 
 // Unavailable reports that the log gave no usable answer.
 //
-// An append that ends so may have taken effect: whoever takes it for a failure and appends again writes twice,
-// which shows as one change judged two times. Records therefore carry an id of their own, by which a reader
-// finds out, and NotSent tells the one case in which nothing can have happened.
+// An append that ends with it may have taken effect: a caller that appends again may write the record twice, and readers would
+// process the same change two times. Records therefore carry a unique id, by which readers recognize a duplicate and the caller
+// finds out what happened. NotSent marks the one case in which the append can't have taken effect.
 type Unavailable struct {
 	Operation string
-	// NotSent tells that the request never left this process.
+	// NotSent is set if the request never left this process.
 	NotSent bool
 	Cause   error
 }
@@ -35,12 +35,12 @@
 	Earliest Offset
 }
 
-// Error names the wanted and the oldest kept offset.
+// Error names the requested and the oldest kept offset.
 func (e Expired) Error() string {
 	return fmt.Sprintf("the log no longer keeps offset %d: its earliest is %d", e.From, e.Earliest)
 }
 
-// Refused reports a request that the log will not take, however often it is sent.
+// Refused reports a request that the log refuses and would refuse again on each retry.
 type Refused struct {
 	Operation string
 	Status    int
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("the log refused to %s: status %d: %s", e.Operation, e.Status, e.Detail)
 }
 
-// StatusError reports an answer whose HTTP status is not one of success.
+// StatusError reports an answer whose HTTP status is not a success.
 type StatusError struct {
 	Status int
 	Detail string
--- a/pkg/appender/types.go
+++ b/pkg/appender/types.go
@@ -1,10 +1,10 @@
 package appender
 
-// The platform's log is the only store that the product has, and the platform is not ours: everything that the
-// product asks of it stands in this one interface, so that another log needs one more implementation and no
-// other change. The types are this package's own, since others may import it.
+// The platform's log is the product's only store, and the platform is operated by others. This interface contains everything
+// that the product needs of it, so that another log needs one more implementation and no other change. The package defines
+// its own types, because it may be imported from outside this project.
 //
-// Example: Append gives offset 17; Read(ctx, 17, 100, 0) returns that record first, and Next 18 to read on from.
+// Example: Append returns offset 17; Read(ctx, 17, 1, 0) returns that record, and Next 18 as the offset to continue from.
 
 import (
 	"context"
@@ -20,24 +20,24 @@
 // Record is one entry of the log.
 type Record struct {
 	Offset Offset
-	// Time is when the log took the record in.
+	// Time is when the log appended the record.
 	Time Millis
 	Data []byte
 }
 
 // Batch is the answer to one read.
 type Batch struct {
-	// Records are in the order of their offsets.
+	// Records are in ascending order of offset.
 	Records []Record
 	// Earliest is the oldest offset that the log still keeps, or End when it keeps none.
 	Earliest Offset
-	// Next is the offset to read on from.
+	// Next is the offset to continue reading from.
 	Next Offset
-	// End is the offset that the log will give to its next record; a reader whose Next is End has everything.
+	// End is the offset that the log will assign to its next record; a reader whose Next equals End has read all records.
 	End Offset
 }
 
-// Log is what the product needs of the platform's log.
+// Log is the set of operations that the product needs of the platform's log.
 type Log interface {
 	// Append adds a record and returns its offset; after an Unavailable error it may have taken effect.
 	Append(ctx context.Context, data []byte) (Offset, error)
--- a/pkg/appender/wire.go
+++ b/pkg/appender/wire.go
@@ -1,7 +1,7 @@
 package appender
 
-// These are the JSON forms of the log's protocol, as docs/LOG.md publishes it. The client and the stand-in for
-// tests share them, so that a test against the stand-in is a test of what the page says.
+// These are the JSON messages of the log's protocol, as docs/LOG.md publishes it. The client and the stand-in for tests share
+// them, so that a test against the stand-in tests the published protocol.
 //
 // Example: {"earliest":1,"next":3,"end":3,"records":[{"offset":2,"timeMs":1780000000000,"data":"aGk="}]}
 
@@ -10,11 +10,11 @@
 // Paths and limits of the protocol.
 const (
 	RecordsPath = "/records"
-	// MaxRecord is the largest record in bytes that the log takes.
+	// MaxRecord is the size in bytes of the largest record that the log accepts.
 	MaxRecord = 1 << 20
-	// MaxBatchBytes bounds the records in one answer, unless a single one is larger.
+	// MaxBatchBytes bounds the total size of the records in one answer, unless a single record is larger.
 	MaxBatchBytes = 4 << 20
-	// MaxLimit is the most records in one answer, and what a read without a limit gets.
+	// MaxLimit is the largest number of records in one answer, and the limit of a read that gives none.
 	MaxLimit = 1000
 )
 
