--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -81,7 +81,7 @@
 
 func (a attempt) unsettledError(id configurer.ChangeID, end error) error {
 	if a.cause == nil {
-		a.cause = fmt.Errorf("the appended record could not be read back from the log: %w", end)
+		a.cause = fmt.Errorf("the record can't be read back: %w", end)
 	}
 	if !a.sent {
 		return NotAppendedError{Cause: a.cause}
--- a/internal/publisher/errors.go
+++ b/internal/publisher/errors.go
@@ -49,7 +49,7 @@
 
 // Error names the earliest offset.
 func (e GapError) Error() string {
-	return fmt.Sprintf("the log begins at offset %d and has no snapshot of the records before it: the outcome of changes can't be determined", e.Earliest)
+	return fmt.Sprintf("the log begins at offset %d and holds no snapshot of what came before: its changes can't be judged", e.Earliest)
 }
 
 // UnknownTeamError reports a team that no published preset defines.
@@ -70,5 +70,5 @@
 
 // Error names the hash and how many keys it matches.
 func (e UnknownKeyError) Error() string {
-	return fmt.Sprintf("%q matches %d keys: want the hash of one key, or a unique prefix of it", e.Prefix, e.Matches)
+	return fmt.Sprintf("%q fits %d keys: want the hash of one key, or its beginning", e.Prefix, e.Matches)
 }
