--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -95,9 +95,9 @@
 	if given && !ok {
 		t.Fault(key, "want a table")
 	}
-	inner := newTable(t.field(key), values, t.faults)
-	t.children = append(t.children, inner)
-	return inner
+	child := newTable(t.field(key), values, t.faults)
+	t.children = append(t.children, child)
+	return child
 }
 
 // Keys returns the sorted keys of this table; a key that the caller does not read counts as unknown.
@@ -123,8 +123,8 @@
 			t.Faultf(key, "want tables, each headed [[%s]]", key)
 			continue
 		}
-		inner := newTable(fmt.Sprintf("%s[%d]", t.field(key), i+1), values, t.faults)
-		tables = append(tables, inner)
+		child := newTable(fmt.Sprintf("%s[%d]", t.field(key), i+1), values, t.faults)
+		tables = append(tables, child)
 	}
 	t.children = append(t.children, tables...)
 	return tables
--- a/internal/configurer/configurer_test.go
+++ b/internal/configurer/configurer_test.go
@@ -64,7 +64,7 @@
 					worst = max(worst, m.changed.Sub(start))
 				}
 			}
-			assert.Assert(t, worst <= 2*clock.Second, "%d ms", worst)
+			assert.Assert(t, worst <= 2*clock.Second, "the slowest node applied a withdrawal after %d ms, want at most 2 s", worst)
 			w.messages, w.bytes = 0, 0
 			w.run(2 * clock.Second)
 			idle, idleBytes := w.messages, w.bytes
@@ -89,7 +89,7 @@
 	w.run(5 * w.retention / 2)
 	assert.Assert(t, w.earliest > 1)
 	for i, m := range w.nodes {
-		w.nodes[i] = w.start(m.domain)
+		w.nodes[i] = w.startNode(m.domain)
 	}
 	w.updatePeers()
 	w.run(3 * clock.Second)
@@ -98,7 +98,7 @@
 		assert.Assert(t, p != nil && p.Name == "ordinary" && version == 2)
 	}
 	snapshots := len(w.log) - 2
-	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half terms from four readers, some appended twice", snapshots)
+	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half retention periods from four readers, some appended twice", snapshots)
 }
 
 // One node misses the hints of a change. Pings alone must bring it up to date, because it would otherwise serve with the old
--- a/internal/configurer/fuzz_test.go
+++ b/internal/configurer/fuzz_test.go
@@ -84,11 +84,11 @@
 }
 
 type fuzz struct {
-	w       *simulation
-	a       *model
-	changes int
-	sent    []any
-	keys    []identifier.KeyHash
+	w        *simulation
+	expected *model
+	changes  int
+	sent     []any
+	keys     []identifier.KeyHash
 }
 
 func (f *fuzz) change(t *rapid.T, subject configurer.Subject) configurer.Change {
@@ -166,7 +166,7 @@
 		},
 		"replace": func(t *rapid.T) {
 			i := rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")
-			w.nodes[i] = w.start(w.nodes[i].domain)
+			w.nodes[i] = w.startNode(w.nodes[i].domain)
 			w.updatePeers()
 		},
 		"wait":      func(t *rapid.T) { f.wait(clock.Duration(rapid.IntRange(50, 2000).Draw(t, "span"))) },
@@ -178,7 +178,7 @@
 func (f *fuzz) wait(span clock.Duration) { f.w.run(span) }
 
 func (f *fuzz) check(t *rapid.T) {
-	f.a.catchUp(f.w.log)
+	f.expected.catchUp(f.w.log)
 	assert.Equal(t, f.w.fault, "")
 	for _, m := range f.w.nodes {
 		f.checkNode(t, m)
@@ -196,7 +196,7 @@
 		if team, ok := m.c.Resolve(h); ok {
 			teams[h] = team
 		}
-		withdrawnAt, withdrawn := f.a.withdrawnAt[h]
+		withdrawnAt, withdrawn := f.expected.withdrawnAt[h]
 		_, valid := teams[h]
 		read := withdrawn && withdrawnAt <= offset && (!m.skipped[withdrawnAt] || m.c.Complete())
 		assert.Assert(t, !valid || !read, "%s at offset %d accepts key %s, withdrawn at offset %d", m.id, offset, h, withdrawnAt)
@@ -215,12 +215,12 @@
 		return
 	}
 	// A peer's state may put a node ahead of its position, but a node is never behind its position.
-	for o := max(offset, 0); int(o) < len(f.a.states); o++ {
-		if f.a.states[o] == got {
+	for o := max(offset, 0); int(o) < len(f.expected.states); o++ {
+		if f.expected.states[o] == got {
 			return
 		}
 	}
-	t.Fatalf("%s at offset %d has configuration %s, the log gives %s", m.id, offset, got, f.a.states[max(offset, 0)])
+	t.Fatalf("%s at offset %d has configuration %s, the log gives %s", m.id, offset, got, f.expected.states[max(offset, 0)])
 }
 
 // checkFreshness compares the age that a node reports with the records that it lacks. A log contact may be older than
@@ -261,18 +261,18 @@
 	}
 	end := identifier.Offset(len(w.log) - 1)
 	for _, m := range w.nodes {
-		assert.Assert(t, m.c.Complete() && m.c.Offset() == end, "%s is at %d of %d", m.id, m.c.Offset(), end)
+		assert.Assert(t, m.c.Complete() && m.c.Offset() == end, "%s is at offset %d, want the last offset %d", m.id, m.c.Offset(), end)
 		assert.Assert(t, m.c.Freshness(w.now) < 3*clock.Second)
 		for o := identifier.Offset(0); o <= end; o++ {
 			if _, other := w.log[o].value.(configurer.Hint); other {
 				assert.Assert(t, m.covered[o], "%s never delivered record %d", m.id, o)
 			}
 		}
-		for id, version := range f.a.accepted {
+		for id, version := range f.expected.accepted {
 			got, _ := m.c.VersionOf(id)
 			assert.Equal(t, got, version)
 		}
-		for id := range f.a.refused {
+		for id := range f.expected.refused {
 			o, ok := m.c.OutcomeOf(id)
 			assert.Assert(t, ok && o.Conflict != nil && o.Conflict.Error() != "")
 		}
@@ -283,7 +283,7 @@
 // make conflicting changes. A fault would leave two domains with different configurations or make a withdrawn key valid again.
 func TestFuzzConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), a: newModel()}
+		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), expected: newModel()}
 		t.Repeat(f.actions())
 		f.heal(t)
 	})
--- a/internal/configurer/helpers_test.go
+++ b/internal/configurer/helpers_test.go
@@ -44,7 +44,7 @@
 	c              *configurer.Configurer
 	logUnreachable bool
 	paused         clock.Time
-	last           identifier.Offset
+	lastDelivered  identifier.Offset
 	covered        map[identifier.Offset]bool
 	skipped        map[identifier.Offset]bool
 	version        identifier.Version
@@ -76,21 +76,21 @@
 	w := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), now: 1, retention: clock.Minute}
 	for d, count := range perDomain {
 		for range count {
-			w.nodes = append(w.nodes, w.start(d))
+			w.nodes = append(w.nodes, w.startNode(d))
 		}
 	}
 	w.updatePeers()
 	return w
 }
 
-func (w *simulation) start(domain int) *simulatedNode {
+func (w *simulation) startNode(domain int) *simulatedNode {
 	w.started++
 	id := identifier.Node(fmt.Sprintf("n%d", w.started))
 	c := configurer.New(configurer.Options{
 		Node: id, Rand: rand.New(rand.NewPCG(uint64(w.started), 2)), Decode: encoder.Decode, Retention: w.retention,
 	})
 	return &simulatedNode{
-		id: id, domain: domain, last: -1, c: c,
+		id: id, domain: domain, lastDelivered: -1, c: c,
 		covered: map[identifier.Offset]bool{}, skipped: map[identifier.Offset]bool{},
 	}
 }
@@ -139,10 +139,10 @@
 				w.pendingAppends = append(w.pendingAppends, logged{value: e.Record, at: w.now.Add(clock.Duration(w.rand.IntN(20000)))})
 			}
 		case configurer.Deliver:
-			if e.Offset <= m.last {
-				w.fault = fmt.Sprintf("%s delivered %d after %d", m.id, e.Offset, m.last)
+			if e.Offset <= m.lastDelivered {
+				w.fault = fmt.Sprintf("%s delivered offset %d after offset %d", m.id, e.Offset, m.lastDelivered)
 			}
-			m.last = e.Offset
+			m.lastDelivered = e.Offset
 			m.covered[e.Offset] = true
 		case configurer.Skipped:
 			for o := e.From; o < e.To; o++ {
@@ -186,7 +186,7 @@
 	w.perform(m, m.c.LogRead(b, w.now, w.wall()))
 }
 
-func (w *simulation) find(id identifier.Node) *simulatedNode {
+func (w *simulation) nodeByID(id identifier.Node) *simulatedNode {
 	return w.byID[id]
 }
 
@@ -210,7 +210,7 @@
 			rest = append(rest, e)
 			continue
 		}
-		from, to := w.find(e.from), w.find(e.to)
+		from, to := w.nodeByID(e.from), w.nodeByID(e.to)
 		if to == nil || from == nil || to.paused > w.now || (w.partitioned && from.domain != to.domain) {
 			continue
 		}
@@ -220,15 +220,15 @@
 }
 
 func (w *simulation) tick() {
-	var late []logged
+	var pendingAppends []logged
 	for _, l := range w.pendingAppends {
 		if l.at > w.now || w.outage || w.appendsClosed {
-			late = append(late, l)
+			pendingAppends = append(pendingAppends, l)
 			continue
 		}
 		w.append(l.value)
 	}
-	w.pendingAppends = late
+	w.pendingAppends = pendingAppends
 	for int(w.earliest) < len(w.log) && w.now.Sub(w.log[w.earliest].at) > w.retention {
 		w.earliest++
 	}
@@ -254,6 +254,6 @@
 		if w.rand.Float64() < w.loss {
 			return
 		}
-		w.perform(to, to.c.PeerStatus(from.id, from.c.Offset(), from.c.Contact(w.now), w.now))
+		w.perform(to, to.c.ReceivePeerStatus(from.id, from.c.Offset(), from.c.Contact(w.now), w.now))
 	}
 }
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -1,7 +1,7 @@
 // Nodes announce new records with hints of a few bytes; a node that is behind requests the records from the sender. A lost
 // hint or answer is made up for by the next hint or ping, since each of them carries the sender's position.
 //
-// Example: PeerStatus("n7", 42, contact, now), called for a ping while the own tail's next is 40, returns
+// Example: ReceivePeerStatus("n7", 42, contact, now), called for a ping while the own tail's next is 40, returns
 // Send{To: "n7", Message: TailRequest{From: 40}}.
 
 package configurer
@@ -65,7 +65,7 @@
 func (c *Configurer) Receive(from identifier.Node, message any, now clock.Time, wall clock.Wall) []Effect {
 	switch m := message.(type) {
 	case Hint:
-		return c.PeerStatus(from, m.Next-1, m.Contact, now)
+		return c.ReceivePeerStatus(from, m.Next-1, m.Contact, now)
 	case TailRequest:
 		return c.answer(from, m, now)
 	case Tail:
@@ -77,8 +77,9 @@
 	return nil
 }
 
-// PeerStatus processes the offset that a peer has read up to and the newest log contact it knows of, as a ping carries them.
-func (c *Configurer) PeerStatus(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
+// ReceivePeerStatus processes what a ping carries: the offset up to which a peer has read and the newest log contact that it
+// knows of.
+func (c *Configurer) ReceivePeerStatus(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
 	if offset < c.tail.next {
 		// The peer's log contact proves freshness only for a node that has all records that the peer has.
 		c.recordContact(n, now)
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -24,7 +24,7 @@
 	return string(data)
 }
 
-func TestGoodSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	s, err := Parse([]byte(read(t, "good.toml")))
 	assert.NilError(t, err)
 	want := Settings{
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -53,9 +53,9 @@
 
 func (o *oracle) expire() {
 	for o.earliest < len(o.all) {
-		old := o.keep.KeepAge > 0 && o.times[o.earliest] < o.now.Add(-o.keep.KeepAge)
-		many := o.keep.KeepCount > 0 && len(o.all)-o.earliest > o.keep.KeepCount
-		if !old && !many {
+		tooOld := o.keep.KeepAge > 0 && o.times[o.earliest] < o.now.Add(-o.keep.KeepAge)
+		tooMany := o.keep.KeepCount > 0 && len(o.all)-o.earliest > o.keep.KeepCount
+		if !tooOld && !tooMany {
 			return
 		}
 		o.earliest++
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -34,10 +34,10 @@
 
 func (n *node) newConfigurationWatcher() *watcher.Watcher {
 	return watcher.New(watcher.Options{
-		Topic: relayedTopic{Topic: n.options.Outside.Operators, node: n},
-		Wait:  n.readWait,
-		Rest:  configurationRest,
-		Slack: storeSlack,
+		Topic:             relayedTopic{Topic: n.options.Outside.Operators, node: n},
+		Wait:              n.readWait,
+		PauseAfterRecords: configurationRest,
+		Slack:             storeSlack,
 
 		Backoff:  n.storeBackoff,
 		Now:      clock.Boot{}.Now,
@@ -140,11 +140,11 @@
 
 func (n *node) watchMembers(ctx context.Context) {
 	w := watcher.New(watcher.Options{
-		Topic: n.options.Outside.Members,
-		Wait:  func() clock.Duration { return membersWait },
-		Need:  n.followsStore,
-		Rest:  membersRest,
-		Slack: storeSlack,
+		Topic:             n.options.Outside.Members,
+		Wait:              func() clock.Duration { return membersWait },
+		Need:              n.followsStore,
+		PauseAfterRecords: membersRest,
+		Slack:             storeSlack,
 
 		Backoff:  n.storeBackoff,
 		Now:      clock.Boot{}.Now,
--- a/internal/presetter/presetter_test.go
+++ b/internal/presetter/presetter_test.go
@@ -23,7 +23,7 @@
 	return string(data)
 }
 
-func TestGoodPreset(t *testing.T) {
+func TestValidPreset(t *testing.T) {
 	p, err := Parse([]byte(read(t, "good.toml")))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p, definer.Preset{
--- a/internal/presetter/units.go
+++ b/internal/presetter/units.go
@@ -83,12 +83,12 @@
 	number, ok := strings.CutSuffix(text, "%")
 	n, isNumber := parseThousandths(number)
 	// n is in thousandths of a per cent, and 0.1% is one per mille.
-	const perMilleOf = 100
-	if !ok || !isNumber || n%perMilleOf != 0 || n/perMilleOf > maxPerMille {
+	const thousandthsPerPerMille = 100
+	if !ok || !isNumber || n%thousandthsPerPerMille != 0 || n/thousandthsPerPerMille > maxPerMille {
 		t.Fault(key, wantShare)
 		return 0
 	}
-	return int(n / perMilleOf)
+	return int(n / thousandthsPerPerMille)
 }
 
 func formatShare(perMille int) string {
--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -34,7 +34,7 @@
 	}
 	var a attempt
 	for {
-		if err := p.tryAppend(ctx, data, &a); err != nil {
+		if err := p.attemptAppend(ctx, data, &a); err != nil {
 			return 0, err
 		}
 		o, found, err := p.findOutcome(ctx, v, id)
@@ -50,8 +50,8 @@
 	}
 }
 
-// tryAppend appends the record unless an earlier append was answered; it fails only if a retry can't succeed.
-func (p *Publisher) tryAppend(ctx context.Context, data []byte, a *attempt) error {
+// attemptAppend appends the record unless an earlier append was answered; it fails only if a retry can't succeed.
+func (p *Publisher) attemptAppend(ctx context.Context, data []byte, a *attempt) error {
 	if a.added {
 		return nil
 	}
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -132,14 +132,14 @@
 	lost := appender.Unavailable{Operation: "append", Cause: cause}
 	cases := map[string]struct {
 		appendErr, readErr error
-		doubt              bool
+		inDoubt            bool
 	}{
 		"not sent":              {appendErr: appender.Unavailable{NotSent: true, Cause: cause}},
 		"refused":               {appendErr: appender.Refused{Operation: "append", Status: 413}},
-		"answer lost":           {appendErr: lost, doubt: true},
-		"added, not read back":  {readErr: appender.Unavailable{Operation: "read", Cause: cause}, doubt: true},
+		"answer lost":           {appendErr: lost, inDoubt: true},
+		"added, not read back":  {readErr: appender.Unavailable{Operation: "read", Cause: cause}, inDoubt: true},
 		"not sent, reads fail":  {appendErr: appender.Unavailable{NotSent: true, Cause: cause}, readErr: cause},
-		"answer lost, no reads": {appendErr: lost, readErr: cause, doubt: true},
+		"answer lost, no reads": {appendErr: lost, readErr: cause, inDoubt: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -153,8 +153,8 @@
 			_, err = p.Publish(ctx, v, preset("peak", 1), 0)
 			var inDoubt InDoubtError
 			var notAppended NotAppendedError
-			assert.Equal(t, errors.As(err, &inDoubt), c.doubt, "%v", err)
-			assert.Equal(t, errors.As(err, &notAppended), !c.doubt, "%v", err)
+			assert.Equal(t, errors.As(err, &inDoubt), c.inDoubt, "%v", err)
+			assert.Equal(t, errors.As(err, &notAppended), !c.inDoubt, "%v", err)
 		})
 	}
 }
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -199,7 +199,7 @@
 			s.membersChanged()
 		case gossiper.StatusReceived:
 			contact := configurer.Contact{Reader: e.Status.Reader, Stamp: e.Status.Stamp, Age: e.Status.Age}
-			s.applyConfiguration(s.configurer.PeerStatus(e.Node, e.Status.Offset, contact, s.now))
+			s.applyConfiguration(s.configurer.ReceivePeerStatus(e.Node, e.Status.Offset, contact, s.now))
 		}
 	}
 }
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -41,9 +41,9 @@
 	Backoff func() Backoff
 	// Slack is how long after the end of Wait an answer may arrive before the read counts as failed.
 	Slack clock.Duration
-	// Rest is the pause after an answer of the store that had records. It lets one read collect several records: when a whole
+	// PauseAfterRecords is the pause after an answer of the store that had records. It lets one read collect several records: when a whole
 	// fleet starts, they arrive one by one.
-	Rest clock.Duration
+	PauseAfterRecords clock.Duration
 	// Now returns the boot time.
 	Now func() clock.Time
 	// OnUpdate is called with each update, from one goroutine.
@@ -110,7 +110,7 @@
 		case err != nil:
 			w.waitToRetry(ctx, w.backOff())
 		case w.hadRecords:
-			clock.Sleep(ctx, w.options.Rest.Std())
+			clock.Sleep(ctx, w.options.PauseAfterRecords.Std())
 		}
 	}
 }
--- a/pkg/appender/client.go
+++ b/pkg/appender/client.go
@@ -135,6 +135,6 @@
 }
 
 func excerpt(answer []byte) string {
-	const longest = 200
-	return strings.TrimSpace(string(answer[:min(len(answer), longest)]))
+	const maxBytes = 200
+	return strings.TrimSpace(string(answer[:min(len(answer), maxBytes)]))
 }
