--- a/internal/checker/fault.go
+++ b/internal/checker/fault.go
@@ -1,7 +1,8 @@
 package checker
 
-// An operator who gets one fault at a time needs many rounds to correct a file during an incident, and a file that is applied
-// in part leaves the system in a state that no file describes. So all faults are collected, and a single one refuses the file.
+// An operator who gets one fault at a time needs many rounds to correct a file during an incident, and a file that is
+// applied in part leaves the system in a state that no file describes. So all faults are collected, and a single one
+// refuses the file.
 //
 // Example: limits.idleTimeout = 30: want a duration with its unit, such as "2s"
 
--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -1,8 +1,8 @@
 package checker
 
-// The TOML library's strict mode reports all unknown keys, but stops at the first value of a wrong type. A Table reads the
-// decoded file field by field instead: a key that was never requested is unknown, an invalid value adds a fault, and reading
-// continues after either.
+// The TOML library's strict mode reports all unknown keys, but stops at the first value of a wrong type. A Table reads
+// the decoded file field by field instead: a key that was never requested is unknown, an invalid value adds a fault,
+// and reading continues after either.
 //
 // Example: t, err := Parse(data); n := t.Table("node"); name := n.Name("name"); err = t.Finish()
 
--- a/internal/configurer/applier.go
+++ b/internal/configurer/applier.go
@@ -60,8 +60,8 @@
 	return []Effect{changed}
 }
 
-// hold keeps a change until the gap is closed. A withdrawal takes effect at once: a key is issued only once, so nothing in
-// the gap can make it valid again, and if the withdrawal waited, the key could be used after the record was read.
+// hold keeps a change until the gap is closed. A withdrawal takes effect at once: a key is issued only once, so nothing
+// in the gap can make it valid again, and if the withdrawal waited, the key could be used after the record was read.
 func (c *Configurer) hold(offset identifier.Offset, record any) []Effect {
 	c.held = append(c.held, heldChange{offset: offset, record: record})
 	w, ok := record.(WithdrawKey)
@@ -91,7 +91,8 @@
 	return effects
 }
 
-// adopt replaces the configuration by a snapshot only if the snapshot is newer, so that no snapshot restores an old state.
+// adopt replaces the configuration by a snapshot only if the snapshot is newer, so that no snapshot restores an old
+// state.
 func (c *Configurer) adopt(s Snapshot) []Effect {
 	if s.Through <= c.through || (c.waiting && s.Through < c.needed) {
 		return nil
--- a/internal/configurer/configuration.go
+++ b/internal/configurer/configuration.go
@@ -15,8 +15,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// maxOutcomes bounds the number of outcomes kept. A repeated change whose outcome was evicted is still refused: its base is
-// older than the version that the change itself created.
+// maxOutcomes bounds the number of outcomes kept. A repeated change whose outcome was evicted is still refused: its
+// base is older than the version that the change itself created.
 const maxOutcomes = 512
 
 type configuration struct {
--- a/internal/configurer/configurer_test.go
+++ b/internal/configurer/configurer_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// A key is withdrawn while one message in five is lost. A node that gets the withdrawal late or not at all would continue to
-// accept the key, which only its holder could notice. The logged figures are for docs/design/configuration.md.
+// A key is withdrawn while one message in five is lost. A node that gets the withdrawal late or not at all would
+// continue to accept the key, which only its holder could notice. The logged figures are for
+// docs/design/configuration.md.
 func TestWithdrawnKeyRejectedByAllNodes(t *testing.T) {
 	tests := map[string]struct {
 		domains []int
@@ -101,8 +102,8 @@
 	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half retention periods from four readers, some appended twice", snapshots)
 }
 
-// One node misses the hints of a change. Pings alone must bring it up to date, because it would otherwise serve with the old
-// configuration until the next change.
+// One node misses the hints of a change. Pings alone must bring it up to date, because it would otherwise serve with
+// the old configuration until the next change.
 func TestPingRecoversMissedRecord(t *testing.T) {
 	w := newSimulation(5, 4)
 	publishAndWait(t, w)
--- a/internal/configurer/freshness.go
+++ b/internal/configurer/freshness.go
@@ -1,13 +1,13 @@
-// A node can't know of a key's withdrawal before its record arrives. It does know how old its configuration may be: the age
-// of the newest contact with the log, its own or a peer's, whose records it has completely. Messages carry ages and not
-// times, because processes share no clock.
+// A node can't know of a key's withdrawal before its record arrives. It does know how old its configuration may be: the
+// age of the newest contact with the log, its own or a peer's, whose records it has completely. Messages carry ages and
+// not times, because processes share no clock.
 //
 // A contact is identified by the node that read the log and a stamp of that node's clock, and each node counts it once.
-// Without this identity, nodes that pass the same old contact back and forth would make it a little younger at each hop, and
-// a failure domain partitioned for an hour would report an age of minutes.
+// Without this identity, nodes that pass the same old contact back and forth would make it a little younger at each
+// hop, and a failure domain partitioned for an hour would report an age of minutes.
 //
-// Example: a peer's ping carries offset 41 and contact {n7, 91200, age 300 ms}; a node that has the record at 41 then has a
-// Freshness of 300 ms. A message's transit time makes the contact look younger by that time, but only once.
+// Example: a peer's ping carries offset 41 and contact {n7, 91200, age 300 ms}; a node that has the record at 41 then
+// has a Freshness of 300 ms. A message's transit time makes the contact look younger by that time, but only once.
 
 package configurer
 
--- a/internal/configurer/fuzz_test.go
+++ b/internal/configurer/fuzz_test.go
@@ -224,8 +224,8 @@
 }
 
 // checkFreshness compares the age that a node reports with the records that it lacks. A log contact may be older than
-// reported by the transit time of its messages: here up to 4 s at each hop once messages were delayed. Without delays the few
-// hops of this small fleet take milliseconds, however long an outage lasts.
+// reported by the transit time of its messages: here up to 4 s at each hop once messages were delayed. Without delays
+// the few hops of this small fleet take milliseconds, however long an outage lasts.
 func (f *fuzz) checkFreshness(t *rapid.T, m *simulatedNode, offset identifier.Offset) {
 	inTransit := 200 * clock.Millisecond
 	if f.w.delayed {
@@ -279,8 +279,9 @@
 	}
 }
 
-// The log loses answers and expires records, failure domains are partitioned, nodes are paused and replaced, and operators
-// make conflicting changes. A fault would leave two domains with different configurations or make a withdrawn key valid again.
+// The log loses answers and expires records, failure domains are partitioned, nodes are paused and replaced, and
+// operators make conflicting changes. A fault would leave two domains with different configurations or make a withdrawn
+// key valid again.
 func TestFuzzConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2, 1), expected: newModel()}
--- a/internal/configurer/helpers_test.go
+++ b/internal/configurer/helpers_test.go
@@ -1,8 +1,8 @@
 package configurer_test
 
-// A simulation of several nodes that share one log: messages are lost, duplicated and delayed, appends take effect late or
-// twice, records expire, and nodes are replaced. The tests compare the nodes with a much simpler model, which reads the whole
-// log.
+// A simulation of several nodes that share one log: messages are lost, duplicated and delayed, appends take effect late
+// or twice, records expire, and nodes are replaced. The tests compare the nodes with a much simpler model, which reads
+// the whole log.
 
 import (
 	"flag"
--- a/internal/configurer/messages.go
+++ b/internal/configurer/messages.go
@@ -1,6 +1,6 @@
-// Nodes send the log's tail to each other as raw bytes, so that a node of an older version also relays the records that it
-// can't decode. A Hint costs a few bytes, and only nodes that are behind request the records themselves, so that each
-// record's bytes reach each node about once.
+// Nodes send the log's tail to each other as raw bytes, so that a node of an older version also relays the records that
+// it can't decode. A Hint costs a few bytes, and only nodes that are behind request the records themselves, so that
+// each record's bytes reach each node about once.
 //
 // Example: A reads offset 41 and sends Hint{Next: 42}; B, whose next is 40, answers TailRequest{From: 40}
 // and gets Tail{From: 40, Next: 42, …}.
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -1,9 +1,9 @@
-// Only a few elected nodes per failure domain read the log, because otherwise thousands of nodes would poll it. A node also
-// reads the log itself while it needs records that its peers no longer have, and when its newest log contact is stale. All
-// back off while the log fails, so that not every node sends requests at once when the log recovers.
+// Only a few elected nodes per failure domain read the log, because otherwise thousands of nodes would poll it. A node
+// also reads the log itself while it needs records that its peers no longer have, and when its newest log contact is
+// stale. All back off while the log fails, so that not every node sends requests at once when the log recovers.
 //
-// Example: of 482 live nodes the two with the highest rendezvous hash read every 200 ms. If both hang, the log contact of the
-// others is stale after 3 s, and each begins to read at a random time.
+// Example: of 482 live nodes the two with the highest rendezvous hash read every 200 ms. If both hang, the log contact
+// of the others is stale after 3 s, and each begins to read at a random time.
 
 package configurer
 
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -1,5 +1,5 @@
-// Nodes announce new records with hints of a few bytes; a node that is behind requests the records from the sender. A lost
-// hint or answer is made up for by the next hint or ping, since each of them carries the sender's position.
+// Nodes announce new records with hints of a few bytes; a node that is behind requests the records from the sender. A
+// lost hint or answer is made up for by the next hint or ping, since each of them carries the sender's position.
 //
 // Example: ReceivePeerStatus("n7", 42, contact, now), called for a ping while the own tail's next is 40, returns
 // Send{To: "n7", Message: TailRequest{From: 40}}.
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// ReceivePeerStatus processes what a ping carries: the offset up to which a peer has read and the newest log contact that it
-// knows of.
+// ReceivePeerStatus processes what a ping carries: the offset up to which a peer has read and the newest log contact
+// that it knows of.
 func (c *Configurer) ReceivePeerStatus(from identifier.Node, offset identifier.Offset, n Contact, now clock.Time) []Effect {
 	if offset < c.tail.next {
 		// The peer's log contact proves freshness only for a node that has all records that the peer has.
@@ -107,13 +107,14 @@
 	return c.reader.catchingUp && c.through < c.options.First
 }
 
-// maySkip reports whether the log has been failing for so long that this node gives up records that only the log may have.
+// maySkip reports whether the log has been failing for so long that this node gives up records that only the log may
+// have.
 func (c *Configurer) maySkip(now clock.Time) bool {
 	return c.reader.failed && now.Sub(c.reader.failedSince) >= skipDelay
 }
 
-// pull sends a request to a random peer: of the own failure domain, or of another one if the own has no other node and in a
-// third of all cases.
+// pull sends a request to a random peer: of the own failure domain, or of another one if the own has no other node and
+// in a third of all cases.
 func (c *Configurer) pull(now clock.Time) []Effect {
 	peers := c.relay.local
 	if len(peers) == 0 || (len(c.relay.remote) > 0 && c.options.Rand.IntN(3) == 0) {
--- a/internal/configurer/snapshotter.go
+++ b/internal/configurer/snapshotter.go
@@ -29,8 +29,8 @@
 	*o = oldest{recorded: true, wall: min(written, wall), read: now}
 }
 
-// age returns the larger of two estimates: by the writer's clock, which may be fast, and by the time of reading, which may
-// be late.
+// age returns the larger of two estimates: by the writer's clock, which may be fast, and by the time of reading, which
+// may be late.
 func (o *oldest) age(now clock.Time, wall clock.Wall) clock.Duration {
 	return max(now.Sub(o.read), wall.Sub(o.wall))
 }
--- a/internal/configurer/tail.go
+++ b/internal/configurer/tail.go
@@ -1,5 +1,5 @@
-// A node keeps the newest records to send them to peers that are behind. The records form one contiguous range of the log,
-// [start, next): a range with a hole would make every requesting node lose the same records.
+// A node keeps the newest records to send them to peers that are behind. The records form one contiguous range of the
+// log, [start, next): a range with a hole would make every requesting node lose the same records.
 //
 // Example: with start 10 and next 40, a peer at 25 gets 25..39, and a peer at 3 gets the whole configuration first.
 
--- a/internal/definer/types.go
+++ b/internal/definer/types.go
@@ -1,5 +1,5 @@
-// These are the domain types of the configuration. They have no struct tags: the presetter maps them to TOML and the encoder
-// maps them to the log's format, so that a change to one format can't affect the other.
+// These are the domain types of the configuration. They have no struct tags: the presetter maps them to TOML and the
+// encoder maps them to the log's format, so that a change to one format can't affect the other.
 //
 // Example: Kitakaze's preset "peak" defines service "ice" with route GET /bulletins at priority urgent,
 // and team "okhotskAgents" with 200 calls a second and a burst of 400.
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -63,8 +63,8 @@
 		Peer:   t.Address("peer"),
 		Admin:  t.Address("admin"),
 	}
-	// Any process that can reach the local address can announce itself as a backend server and send calls of any team whose
-	// token it learns. On an address other than loopback that would be the whole network.
+	// Any process that can reach the local address can announce itself as a backend server and send calls of any team
+	// whose token it learns. On an address other than loopback that would be the whole network.
 	if l.Local.IsValid() && !l.Local.Addr().IsLoopback() {
 		t.Fault("local", "want a loopback address")
 	}
@@ -75,8 +75,8 @@
 	return l
 }
 
-// checkDistinct reports TCP addresses that are given twice: otherwise the second listener would fail only after the first has
-// begun to accept calls.
+// checkDistinct reports TCP addresses that are given twice: otherwise the second listener would fail only after the
+// first has begun to accept calls.
 func checkDistinct(t *checker.Table, l Listen) {
 	taken := map[netip.AddrPort]string{}
 	tcp := []struct {
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -69,8 +69,8 @@
 	assert.Assert(t, s.Listen.AdminNeedsTLS())
 }
 
-// An operator makes several mistakes in the settings of a VM. If only the first were reported, they would restart the node once
-// for each; if part of the file were applied, the node would run with settings that no file describes.
+// An operator makes several mistakes in the settings of a VM. If only the first were reported, they would restart the
+// node once for each; if part of the file were applied, the node would run with settings that no file describes.
 func TestAllFaultsAtOnce(t *testing.T) {
 	cases := map[string]string{
 		"faulty": read(t, "faulty.toml"),
@@ -88,8 +88,8 @@
 	}
 }
 
-// A file contains a value of the wrong type or a misspelt key and is otherwise valid. If it were accepted, a default would stay
-// in force that the operator believes to have replaced.
+// A file contains a value of the wrong type or a misspelt key and is otherwise valid. If it were accepted, a default
+// would stay in force that the operator believes to have replaced.
 func TestWrongTypesAndUnknownKeysAreRejected(t *testing.T) {
 	good := read(t, "good.toml")
 	lines := regexp.MustCompile(`(?m)^([A-Za-z]+) = .*$`).FindAllStringSubmatchIndex(good, -1)
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -1,7 +1,7 @@
 package loader
 
-// Settings are what a process can't read from the log: its identity, its addresses and the certificates it trusts. Operators
-// publish everything else on the log, so that a change of rules needs no restart.
+// Settings are what a process can't read from the log: its identity, its addresses and the certificates it trusts.
+// Operators publish everything else on the log, so that a change of rules needs no restart.
 //
 // Example: node.name = "portal-1", listen.caller = "10.1.0.5:8080", log.url = "http://10.9.0.1:7000".
 
--- a/internal/loader/sidecar.go
+++ b/internal/loader/sidecar.go
@@ -54,8 +54,8 @@
 	Drain clock.Duration
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace clock.Duration
-	// Within RetryWindow, at most RetryRatio times the requests for a service, plus RetrySlack, may be retried at a second
-	// endpoint.
+	// Within RetryWindow, at most RetryRatio times the requests for a service, plus RetrySlack, may be retried at a
+	// second endpoint.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow clock.Duration
@@ -63,8 +63,8 @@
 	RateWindow clock.Duration
 	RateExcess float64
 	RateSlack  float64
-	// Within one second, all nodes together may send a cold endpoint at most ColdExcess times the requests a second that it
-	// can serve, plus ColdSlack; a ColdExcess of 0 sets no such bound.
+	// Within one second, all nodes together may send a cold endpoint at most ColdExcess times the requests a second
+	// that it can serve, plus ColdSlack; a ColdExcess of 0 sets no such bound.
 	ColdExcess float64
 	ColdSlack  float64
 	// Evacuate is how long the endpoints of a failure domain may still get requests after its evacuation was requested.
--- a/internal/loader/sidecar_test.go
+++ b/internal/loader/sidecar_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// The settings file of a running node changes, first to a faulty and then to a valid one. If part of a faulty file came into
-// force, or the node stopped because of it, callers would lose requests.
+// The settings file of a running node changes, first to a faulty and then to a valid one. If part of a faulty file came
+// into force, or the node stopped because of it, callers would lose requests.
 func TestFollow(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
 	write := func(text string) { assert.NilError(t, os.WriteFile(file, []byte(text), 0o600)) }
--- a/internal/logkeeper/handler.go
+++ b/internal/logkeeper/handler.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The handler serves the platform's published log protocol (docs/LOG.md) and two paths that only the stand-in has: /switches
-// and /forget.
+// The handler serves the platform's published log protocol (docs/LOG.md) and two paths that only the stand-in has:
+// /switches and /forget.
 //
 // Example: curl -X POST -d '{"outage":true}' http://127.0.0.1:7000/switches
 
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// The log drops and expires records and loses answers while readers and writers use it. A reader that then got a record twice,
-// skipped one without an error or got another record's bytes would put a configuration in force that was never accepted.
+// The log drops and expires records and loses answers while readers and writers use it. A reader that then got a record
+// twice, skipped one without an error or got another record's bytes would put a configuration in force that was never
+// accepted.
 func TestKeeperAgainstOracle(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -128,8 +129,8 @@
 	})
 }
 
-// The log has an outage and then recovers. A waiting read must fail at once instead of staying open, and an append during the
-// outage must return an error.
+// The log has an outage and then recovers. A waiting read must fail at once instead of staying open, and an append
+// during the outage must return an error.
 func TestOutageFailsWaitingReads(t *testing.T) {
 	k, c, url := serve(t, Options{})
 	failed := make(chan error, 1)
@@ -154,8 +155,8 @@
 	assert.Equal(t, o, appender.Offset(1), "an append during an outage must have no effect")
 }
 
-// Nodes wait for new records of the log. If an append did not end their waiting reads, a withdrawn key would remain valid until
-// the wait times out.
+// Nodes wait for new records of the log. If an append did not end their waiting reads, a withdrawn key would remain
+// valid until the wait times out.
 func TestAppendWakesWaitingRead(t *testing.T) {
 	_, c, _ := serve(t, Options{})
 	got := make(chan appender.Batch, 1)
--- a/internal/logkeeper/types.go
+++ b/internal/logkeeper/types.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The switches make the stand-in fail in the ways in which the platform's log is known to fail, one at a time or together, while
-// the product runs against it.
+// The switches make the stand-in fail in the ways in which the platform's log is known to fail, one at a time or
+// together, while the product runs against it.
 //
 // Example: with Switches{LostAnswers: 1} the next append takes effect and is answered with an error.
 
--- a/internal/presetter/parser.go
+++ b/internal/presetter/parser.go
@@ -1,8 +1,8 @@
 package presetter
 
-// Parse returns a preset or faults, never both, so that no part of a faulty file can reach the log. Besides types and units it
-// checks consistency: it refuses shares whose sum exceeds 100%, routes of services that the preset does not define, routes
-// that an earlier one shadows, and names that are given twice.
+// Parse returns a preset or faults, never both, so that no part of a faulty file can reach the log. Besides types and
+// units it checks consistency: it refuses shares whose sum exceeds 100%, routes of services that the preset does not
+// define, routes that an earlier one shadows, and names that are given twice.
 //
 // Example: [[team]] name = "agents" rate = "200/s" burst = 400
 
@@ -131,8 +131,8 @@
 	return r
 }
 
-// normalizePrefix removes trailing slashes: they do not change what a prefix matches, since prefixes match whole segments, but
-// would hide that two routes are the same.
+// normalizePrefix removes trailing slashes: they do not change what a prefix matches, since prefixes match whole
+// segments, but would hide that two routes are the same.
 func normalizePrefix(prefix string) string {
 	if trimmed := strings.TrimRight(prefix, "/"); trimmed != "" || prefix == "" {
 		return trimmed
@@ -152,7 +152,8 @@
 	return p
 }
 
-// shadowedBy returns the first earlier route that matches every call that r matches, or nil; r would never apply after it.
+// shadowedBy returns the first earlier route that matches every call that r matches, or nil; r would never apply after
+// it.
 func shadowedBy(r definer.Route, earlier []definer.Route) *definer.Route {
 	for i, e := range earlier {
 		sameMethod := e.Method == anyMethod || e.Method == r.Method
@@ -174,8 +175,8 @@
 			Burst:  readBurst(d, "burst"),
 			Weight: int(d.IntegerOr("weight", 1, 1, maxWeight)),
 		}
-		// A failure domain whose share of the burst is below one call can never hold enough tokens for a call. The burst is
-		// refused if this is true of all failure domains.
+		// A failure domain whose share of the burst is below one call can never hold enough tokens for a call. The
+		// burst is refused if this is true of all failure domains.
 		largestBurst := team.Burst * identifier.Tokens(largest) / maxPerMille
 		if team.Burst > 0 && largest > 0 && largestBurst < identifier.TokensPerCall {
 			d.Faultf("burst", "the largest share of a failure domain, %s, comes to less than one call", formatShare(largest))
--- a/internal/presetter/presetter_test.go
+++ b/internal/presetter/presetter_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// An operator publishes a preset with several mistakes during an incident. One answer must name each of them, and none may
-// reach the log, from which it would be in force everywhere within seconds.
+// An operator publishes a preset with several mistakes during an incident. One answer must name each of them, and none
+// may reach the log, from which it would be in force everywhere within seconds.
 func TestAllFaultsAtOnce(t *testing.T) {
 	cases := map[string]string{
 		"faulty": read(t, "faulty.toml"),
@@ -67,8 +67,8 @@
 	}
 }
 
-// A value of the wrong type or a misspelt key in an otherwise valid preset must be refused: a team whose rate fell back to a
-// default would be throttled, or would cause others to be throttled, without any message that gives the reason.
+// A value of the wrong type or a misspelt key in an otherwise valid preset must be refused: a team whose rate fell back
+// to a default would be throttled, or would cause others to be throttled, without any message that gives the reason.
 func TestWrongTypesAndUnknownKeysAreRejected(t *testing.T) {
 	good := read(t, "good.toml")
 	lines := regexp.MustCompile(`(?m)^([A-Za-z]+) = .*$`).FindAllStringSubmatchIndex(good, -1)
@@ -131,8 +131,8 @@
 	return p
 }
 
-// An operator prints the preset in force, changes one line and publishes it. If printing lost or rounded a value, publishing
-// would change rules that the operator did not edit.
+// An operator prints the preset in force, changes one line and publishes it. If printing lost or rounded a value,
+// publishing would change rules that the operator did not edit.
 func TestPrintedPresetParsesToTheSame(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPreset(rt)
--- a/internal/presetter/printer.go
+++ b/internal/presetter/printer.go
@@ -1,7 +1,7 @@
 package presetter
 
-// Operators read the preset in force back from the log, change it and publish it again, so the printed form must be the form
-// that Parse accepts.
+// Operators read the preset in force back from the log, change it and publish it again, so the printed form must be the
+// form that Parse accepts.
 //
 // Example: text, err := Print(p); Parse(text) returns p again.
 
--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -1,8 +1,9 @@
 package publisher
 
-// The log may append a record and the answer may be lost. An operator who assumes a failure publishes again, gets a conflict
-// with their own first change, and does not know which of the two is in force. The outcome of a change is therefore always
-// read from the log, by the change's id. The same record may be appended again, since readers decide on an id only once.
+// The log may append a record and the answer may be lost. An operator who assumes a failure publishes again, gets a
+// conflict with their own first change, and does not know which of the two is in force. The outcome of a change is
+// therefore always read from the log, by the change's id. The same record may be appended again, since readers decide
+// on an id only once.
 //
 // Example: append → 503; the next read finds the id, accepted as version 9 → 9 is returned.
 
--- a/internal/publisher/errors.go
+++ b/internal/publisher/errors.go
@@ -42,7 +42,8 @@
 	return e.Cause
 }
 
-// GapError reports a log that dropped records before a snapshot of them was appended, so that no change can be decided on.
+// GapError reports a log that dropped records before a snapshot of them was appended, so that no change can be decided
+// on.
 type GapError struct {
 	Earliest appender.Offset
 }
--- a/internal/publisher/key.go
+++ b/internal/publisher/key.go
@@ -1,7 +1,7 @@
 package publisher
 
-// A key is shown once and never stored: the log, dumps and log lines hold only its hash, from which its 256 random bits can't
-// be recovered. The prefix lets scanners for leaked secrets recognize a key.
+// A key is shown once and never stored: the log, dumps and log lines hold only its hash, from which its 256 random bits
+// can't be recovered. The prefix lets scanners for leaked secrets recognize a key.
 //
 // Example: NewKey(rand.Reader) gives jt_ and 43 characters; IssueKey publishes its Hash.
 
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,7 +1,7 @@
 package publisher
 
-// The operators' commands and the demo make their changes with this package, so that each change is a record with a unique id,
-// made against the version that its author saw.
+// The operators' commands and the demo make their changes with this package, so that each change is a record with a
+// unique id, made against the version that its author saw.
 //
 // Example: v, err := p.Load(ctx); version, err := p.Switch(ctx, v, "peak", v.Base(InForce)).
 
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -56,9 +56,9 @@
 	assert.Equal(rt, got, m.version)
 }
 
-// Several operators make changes with views of different age, and the log loses the answers of appends that took effect. If
-// one change were decided on twice, or two changes against the same version were both reported as accepted, an operator would
-// assume a preset that is not in force, and end users would be served by other rules than announced.
+// Several operators make changes with views of different age, and the log loses the answers of appends that took
+// effect. If one change were decided on twice, or two changes against the same version were both reported as accepted,
+// an operator would assume a preset that is not in force, and end users would be served by other rules than announced.
 func TestOperatorsRace(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -125,8 +125,8 @@
 	return f.Log.Read(ctx, from, limit, wait)
 }
 
-// The log becomes unavailable in the middle of a change. The operator must learn whether certainly nothing was changed or the
-// outcome is unknown; a wrong "nothing was changed" makes them publish something else over an accepted change.
+// The log becomes unavailable in the middle of a change. The operator must learn whether certainly nothing was changed
+// or the outcome is unknown; a wrong "nothing was changed" makes them publish something else over an accepted change.
 func TestLogUnavailableDuringChange(t *testing.T) {
 	cause := errors.New("gone")
 	lost := appender.Unavailable{Operation: "append", Cause: cause}
@@ -159,8 +159,8 @@
 	}
 }
 
-// A log has dropped its first records before any node appended a snapshot. From the remaining records alone a withdrawn key
-// could look valid and an old preset new, so the operator gets a GapError.
+// A log has dropped its first records before any node appended a snapshot. From the remaining records alone a withdrawn
+// key could look valid and an old preset new, so the operator gets a GapError.
 func TestGapIsReported(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
--- a/internal/publisher/view.go
+++ b/internal/publisher/view.go
@@ -1,7 +1,7 @@
 package publisher
 
-// An operator's view is built by the same configurer as the nodes use, from the same records, so that it can't show a change
-// as accepted that the nodes refuse.
+// An operator's view is built by the same configurer as the nodes use, from the same records, so that it can't show a
+// change as accepted that the nodes refuse.
 //
 // Example: v, err := p.Load(ctx); v.Version() is the version of every node that has read the same records.
 
--- a/internal/watcher/types.go
+++ b/internal/watcher/types.go
@@ -1,7 +1,7 @@
 package watcher
 
-// The watcher uses the store through this small interface, so that a test can simulate lost answers, dropped history and a
-// store that does not answer, without a server.
+// The watcher uses the store through this small interface, so that a test can simulate lost answers, dropped history
+// and a store that does not answer, without a server.
 //
 // Example: for a topic whose offsets 0 to 4 were dropped, Read from 3 returns a DroppedError{First: 5}.
 
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -1,8 +1,8 @@
 package watcher
 
-// A watcher keeps one waiting read open, for as long as its user allows with Wait. Each answer proves that the topic held no
-// other records at the time when the read was sent. Whether a withdrawn key may still be accepted depends on that time and
-// not on the time of arrival, since an answer may be in transit for any length of time.
+// A watcher keeps one waiting read open, for as long as its user allows with Wait. Each answer proves that the topic
+// held no other records at the time when the read was sent. Whether a withdrawn key may still be accepted depends on
+// that time and not on the time of arrival, since an answer may be in transit for any length of time.
 //
 // Example: a read sent at 1000 that returns empty at 2500 proves where the topic ended at 1000, not at 2500.
 
@@ -34,15 +34,15 @@
 	Topic Topic
 	// Wait returns how long the next read may stay open on the store.
 	Wait func() clock.Duration
-	// Need reports whether the topic has to be followed at present; nil means always. Records missed in the meantime are read
-	// once Need holds again.
+	// Need reports whether the topic has to be followed at present; nil means always. Records missed in the meantime
+	// are read once Need holds again.
 	Need func() bool
 	// Backoff returns the bounds of the wait between failed attempts; nil means DefaultBackoff.
 	Backoff func() Backoff
 	// Slack is how long after the end of Wait an answer may arrive before the read counts as failed.
 	Slack clock.Duration
-	// PauseAfterRecords is the pause after an answer of the store that had records. It lets one read collect several records: when a whole
-	// fleet starts, they arrive one by one.
+	// PauseAfterRecords is the pause after an answer of the store that had records. It lets one read collect several
+	// records: when a whole fleet starts, they arrive one by one.
 	PauseAfterRecords clock.Duration
 	// Now returns the boot time.
 	Now func() clock.Time
@@ -59,13 +59,13 @@
 	Factor     clock.Duration
 }
 
-// DefaultBackoff is short enough that a recovered store is read within half a second, and long enough that a fleet does not
-// overload a busy store.
+// DefaultBackoff is short enough that a recovered store is read within half a second, and long enough that a fleet does
+// not overload a busy store.
 var DefaultBackoff = Backoff{First: 60 * clock.Millisecond, Max: 500 * clock.Millisecond, Factor: 2}
 
 const (
-	// needCheckInterval is the time between two checks whether the topic has to be followed again: a fifth of the time that a
-	// node takes to notice this.
+	// needCheckInterval is the time between two checks whether the topic has to be followed again: a fifth of the time
+	// that a node takes to notice this.
 	needCheckInterval = 300 * clock.Millisecond
 )
 
@@ -219,7 +219,8 @@
 	return interrupted
 }
 
-// Interrupt ends the current read if it may stay open for longer than the given time, so that the next read starts at once.
+// Interrupt ends the current read if it may stay open for longer than the given time, so that the next read starts at
+// once.
 func (w *Watcher) Interrupt(longerThan clock.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -155,8 +155,8 @@
 	eventually(t, "second value", func() bool { return s.value("config") == "2" && s.value("other") == "x" })
 }
 
-// The store drops its history while a node waits for the next record. A node that requested only the records after its last
-// one would never get another configuration.
+// The store drops its history while a node waits for the next record. A node that requested only the records after its
+// last one would never get another configuration.
 func TestDroppedHistoryIsReplacedBySnapshot(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -174,8 +174,8 @@
 	eventually(t, "newest value", func() bool { return s.value("config") == "4" })
 }
 
-// The store accepts connections and does not answer. A node that only waited would not notice its recovery; it retries, and
-// requests an immediate answer.
+// The store accepts connections and does not answer. A node that only waited would not notice its recovery; it retries,
+// and requests an immediate answer.
 func TestSilentStoreIsRetriedWithoutWait(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -204,8 +204,9 @@
 	assert.Assert(t, zero >= 1)
 }
 
-// An empty answer to a waiting read proves nothing about the time at which it arrived: a key may have been withdrawn just
-// after the store checked for records. With the arrival as AsOf, a withdrawn key would remain valid for the length of the wait.
+// An empty answer to a waiting read proves nothing about the time at which it arrived: a key may have been withdrawn
+// just after the store checked for records. With the arrival as AsOf, a withdrawn key would remain valid for the length
+// of the wait.
 func TestProofIsAsOfRequestTime(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -220,8 +221,8 @@
 	}
 }
 
-// A node relies on another node's proofs of freshness and keeps one long read open; then the other node stops. The open read
-// would prove nothing before its end, so it is interrupted, and the next one is answered at once.
+// A node relies on another node's proofs of freshness and keeps one long read open; then the other node stops. The open
+// read would prove nothing before its end, so it is interrupted, and the next one is answered at once.
 func TestInterruptedReadIsFollowedByShortRead(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
@@ -254,8 +255,9 @@
 	assert.Equal(t, RefusedError{Status: 503}.Error(), "store refused with status 503")
 }
 
-// Nodes that receive every change from each other need not follow the topic. A node that no longer receives them must read all
-// records that it missed, not only new ones: otherwise an endpoint that joined in the meantime would stay unknown.
+// Nodes that receive every change from each other need not follow the topic. A node that no longer receives them must
+// read all records that it missed, not only new ones: otherwise an endpoint that joined in the meantime would stay
+// unknown.
 func TestTopicIsFollowedOnlyWhileNeeded(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
@@ -279,8 +281,8 @@
 	eventually(t, "missed", func() bool { return s.value("b") == "2" })
 }
 
-// The store is down and many nodes follow it. A failed attempt costs as much as a successful one, so nodes that need not be
-// the first to notice the recovery wait longer.
+// The store is down and many nodes follow it. A failed attempt costs as much as a successful one, so nodes that need
+// not be the first to notice the recovery wait longer.
 func TestBackoffBoundsAttempts(t *testing.T) {
 	tries := map[clock.Duration]int{}
 	for _, b := range []Backoff{{First: 60, Max: 100, Factor: 2}, {First: 60, Max: 2000, Factor: 2}, {First: 100, Max: 4000, Factor: 8}} {
@@ -297,8 +299,8 @@
 	assert.Assert(t, tries[100] >= 40 && tries[2000] <= 9 && tries[4000] <= 5, "%v", tries)
 }
 
-// A new configuration is written soon after the store's outage. A node with long waits between its attempts must not miss it
-// when another node can report that the store answers.
+// A new configuration is written soon after the store's outage. A node with long waits between its attempts must not
+// miss it when another node can report that the store answers.
 func TestRetryEndsBackoff(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
--- a/pkg/announcer/announcer.go
+++ b/pkg/announcer/announcer.go
@@ -1,7 +1,7 @@
 package announcer
 
-// A backend server must announce itself, send heartbeats while it runs, and report when it leaves. This package wraps the three
-// calls, so that authors of backend servers can't forget one, such as the heartbeat.
+// A backend server must announce itself, send heartbeats while it runs, and report when it leaves. This package wraps
+// the three calls, so that authors of backend servers can't forget one, such as the heartbeat.
 //
 // Example:
 //
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// sendHeartbeats sends heartbeats until Stop. A replaced node does not know the backend server and answers a heartbeat with 404;
-// without a new announcement the backend server would never get calls again.
+// sendHeartbeats sends heartbeats until Stop. A replaced node does not know the backend server and answers a heartbeat
+// with 404; without a new announcement the backend server would never get calls again.
 func (a *Announcement) sendHeartbeats() {
 	defer close(a.stopped)
 	t := time.NewTicker(HeartbeatInterval)
--- a/pkg/announcer/leave_test.go
+++ b/pkg/announcer/leave_test.go
@@ -12,8 +12,8 @@
 	"github.com/jackdawtide/jackdawtide/pkg/announcer"
 )
 
-// A node may have removed a backend server because its heartbeats were late. The server's planned stop must not fail then, since
-// there are no calls to wait for.
+// A node may have removed a backend server because its heartbeats were late. The server's planned stop must not fail
+// then, since there are no calls to wait for.
 func TestLeaveEndsWhenNodeHasRemovedTheServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
--- a/pkg/appender/client.go
+++ b/pkg/appender/client.go
@@ -1,7 +1,7 @@
 package appender
 
-// The client implements the protocol of docs/LOG.md over HTTP. It never retries an append: only its caller can find out, by
-// reading the log, whether an append took effect whose answer was lost.
+// The client implements the protocol of docs/LOG.md over HTTP. It never retries an append: only its caller can find
+// out, by reading the log, whether an append took effect whose answer was lost.
 //
 // Example: c, err := NewClient("http://127.0.0.1:7000", http.DefaultClient)
 
@@ -120,7 +120,8 @@
 	return res.StatusCode, answer, nil
 }
 
-// notSent reports whether err occurred before a connection was established, so that the log can't have received the request.
+// notSent reports whether err occurred before a connection was established, so that the log can't have received the
+// request.
 func notSent(err error) bool {
 	var e *net.OpError
 	return errors.As(err, &e) && e.Op == "dial"
--- a/pkg/appender/errors.go
+++ b/pkg/appender/errors.go
@@ -1,7 +1,8 @@
 package appender
 
-// A caller of the log must distinguish three failures, because each requires another reaction: a request to an unavailable log
-// is retried, an expired offset means that a snapshot is needed, and a refusal is a fault of the caller.
+// A caller of the log must distinguish three failures, because each requires another reaction: a request to an
+// unavailable log is retried, an expired offset means that a snapshot is needed, and a refusal is a fault of the
+// caller.
 //
 // Example: var e Expired; if errors.As(err, &e), continue to read from e.Earliest.
 
@@ -9,9 +10,10 @@
 
 // Unavailable reports that the log gave no usable answer.
 //
-// An append that ends with it may have taken effect: a caller that appends again may write the record twice, and readers would
-// process the same change two times. Records therefore carry a unique id, by which readers recognize a duplicate and the caller
-// finds out what happened. NotSent marks the one case in which the append can't have taken effect.
+// An append that ends with it may have taken effect: a caller that appends again may write the record twice, and
+// readers would process the same change two times. Records therefore carry a unique id, by which readers recognize a
+// duplicate and the caller finds out what happened. NotSent marks the one case in which the append can't have taken
+// effect.
 type Unavailable struct {
 	Operation string
 	// NotSent is set if the request never left this process.
--- a/pkg/appender/types.go
+++ b/pkg/appender/types.go
@@ -1,8 +1,8 @@
 package appender
 
-// The platform's log is the product's only store, and the platform is operated by others. This interface contains everything
-// that the product needs of it, so that another log needs one more implementation and no other change. The package defines
-// its own types, because it may be imported from outside this project.
+// The platform's log is the product's only store, and the platform is operated by others. This interface contains
+// everything that the product needs of it, so that another log needs one more implementation and no other change. The
+// package defines its own types, because it may be imported from outside this project.
 //
 // Example: Append returns offset 17; Read(ctx, 17, 1, 0) returns that record, and Next 18 as the offset to continue from.
 
--- a/pkg/appender/wire.go
+++ b/pkg/appender/wire.go
@@ -1,7 +1,7 @@
 package appender
 
-// These are the JSON messages of the log's protocol, as docs/LOG.md publishes it. The client and the stand-in for tests share
-// them, so that a test against the stand-in tests the published protocol.
+// These are the JSON messages of the log's protocol, as docs/LOG.md publishes it. The client and the stand-in for tests
+// share them, so that a test against the stand-in tests the published protocol.
 //
 // Example: {"earliest":1,"next":3,"end":3,"records":[{"offset":2,"timeMs":1780000000000,"data":"aGk="}]}
 
