--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -1,8 +1,8 @@
 package checker
 
-// The TOML library's own strict mode names all unknown keys, but stops at the first value of a wrong type. A
-// Table reads the decoded file field by field instead: what nobody asked for is unknown, what does not fit is
-// a fault, and reading goes on.
+// The TOML library's strict mode reports all unknown keys, but stops at the first value of a wrong type. A Table reads
+// the decoded file field by field instead: a key that was never requested is unknown, an invalid value adds a fault,
+// and reading continues after either.
 //
 // Example: t, err := Parse(data); n := t.Table("node"); name := n.Name("name"); err = t.Finish()
 
@@ -17,16 +17,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Table is one table of a file while it is read.
+// Table is one table of a file that is being read.
 type Table struct {
-	path   string
-	values map[string]any
-	known  map[string]bool
-	inner  []*Table
-	faults *Faults
+	path      string
+	values    map[string]any
+	requested map[string]bool
+	children  []*Table
+	faults    *Faults
 }
 
-// Parse decodes a file; its error is of the TOML itself, with line and column.
+// Parse decodes a file; its error is a TOML syntax fault, with line and column.
 func Parse(data []byte) (*Table, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(data, &values); err != nil {
@@ -48,7 +48,7 @@
 }
 
 func newTable(path string, values map[string]any, faults *Faults) *Table {
-	return &Table{path: path, values: values, known: map[string]bool{}, faults: faults}
+	return &Table{path: path, values: values, requested: map[string]bool{}, faults: faults}
 }
 
 // Finish adds the unknown keys and returns all faults of the file, or nil.
@@ -59,22 +59,22 @@
 
 func (t *Table) addUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(t.values)) {
-		if !t.known[key] {
+		if !t.requested[key] {
 			t.Fault(key, "unknown key")
 		}
 	}
-	for _, i := range t.inner {
+	for _, i := range t.children {
 		i.addUnknown()
 	}
 }
 
-// Has tells whether the file gives the key.
+// Has reports whether the table contains the key.
 func (t *Table) Has(key string) bool {
 	_, ok := t.values[key]
 	return ok
 }
 
-// Fault adds a fault of a field of this table.
+// Fault adds a fault for a field of this table.
 func (t *Table) Fault(key, problem string) {
 	*t.faults = append(*t.faults, Fault{
 		Field:   t.field(key),
@@ -83,31 +83,31 @@
 	})
 }
 
-// Faultf adds a fault of a field of this table.
+// Faultf adds a fault with a formatted message for a field of this table.
 func (t *Table) Faultf(key, format string, args ...any) {
 	t.Fault(key, fmt.Sprintf(format, args...))
 }
 
-// Table returns the table under the key; one that is missing is empty, so that its required fields are named.
+// Table returns the table under the key; a missing table is returned empty, so that its required fields are reported.
 func (t *Table) Table(key string) *Table {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	values, ok := v.(map[string]any)
 	if given && !ok {
 		t.Fault(key, "want a table")
 	}
-	inner := newTable(t.field(key), values, t.faults)
-	t.inner = append(t.inner, inner)
-	return inner
+	child := newTable(t.field(key), values, t.faults)
+	t.children = append(t.children, child)
+	return child
 }
 
-// Keys returns the keys of this table, sorted; each has to be read.
+// Keys returns the sorted keys of this table; a key that the caller does not read counts as unknown.
 func (t *Table) Keys() []string {
 	return slices.Sorted(maps.Keys(t.values))
 }
 
 // Tables returns the tables of an array such as [[team]].
 func (t *Table) Tables(key string) []*Table {
-	v, given := t.take(key)
+	v, given := t.lookUp(key)
 	if !given {
 		return nil
 	}
@@ -123,15 +123,15 @@
 			t.Faultf(key, "want tables, each headed [[%s]]", key)
 			continue
 		}
-		inner := newTable(fmt.Sprintf("%s[%d]", t.field(key), i+1), values, t.faults)
-		tables = append(tables, inner)
+		child := newTable(fmt.Sprintf("%s[%d]", t.field(key), i+1), values, t.faults)
+		tables = append(tables, child)
 	}
-	t.inner = append(t.inner, tables...)
+	t.children = append(t.children, tables...)
 	return tables
 }
 
-func (t *Table) take(key string) (any, bool) {
-	t.known[key] = true
+func (t *Table) lookUp(key string) (any, bool) {
+	t.requested[key] = true
 	v, ok := t.values[key]
 	return v, ok
 }
@@ -143,8 +143,8 @@
 	return t.path + "." + key
 }
 
-// longestLiteral keeps a value that was pasted in the wrong place from flooding the report.
-const longestLiteral = 60
+// maxLiteralRunes keeps the message short when a long value was pasted into the wrong field.
+const maxLiteralRunes = 60
 
 func literal(v any) string {
 	var text string
@@ -160,8 +160,8 @@
 	default:
 		text = fmt.Sprint(v)
 	}
-	if r := []rune(text); len(r) > longestLiteral {
-		return string(r[:longestLiteral]) + "…"
+	if r := []rune(text); len(r) > maxLiteralRunes {
+		return string(r[:maxLiteralRunes]) + "…"
 	}
 	return text
 }
--- a/internal/configurer/measure_test.go
+++ b/internal/configurer/configurer_test.go
@@ -13,26 +13,27 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// settle publishes and switches, and waits until every node has the preset in force.
-func settle(t *testing.T, w *world) {
+// publishAndWait publishes a preset, puts it in force, and waits until every node has it in force.
+func publishAndWait(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(3 * clock.Second)
 	w.append(configurer.PublishPreset{Change: configurer.Change{ID: "p", Wall: w.wall()}, Preset: definer.Preset{Name: "ordinary"}})
 	w.append(configurer.SwitchPreset{Change: configurer.Change{ID: "s", Wall: w.wall()}, Preset: "ordinary"})
 	w.run(4 * clock.Second)
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		p, version := m.c.InForce()
 		assert.Assert(t, p != nil && version == 2, "%s", m.id)
 	}
 }
 
-// A key is withdrawn while one message in five is lost; a slow or missed node would go on taking it, which
-// its team's former member notices and nobody else. The figures go to docs/design/configuration.md.
-func TestWithdrawnKeyStopsEverywhere(t *testing.T) {
+// A key is withdrawn while one message in five is lost. A node that gets the withdrawal late or not at all would
+// continue to accept the key, which only its holder could notice. The logged figures are for
+// docs/design/configuration.md.
+func TestWithdrawnKeyRejectedByAllNodes(t *testing.T) {
 	tests := map[string]struct {
 		domains []int
 		loss    float64
-		// bytes bounds the control bytes per node and second while ten records a second are passed on.
+		// bytes is the upper bound of control bytes per node and second while ten records a second are relayed.
 		bytes int
 	}{
 		"14 nodes":                   {domains: []int{4, 4, 3, 3}, bytes: 4000},
@@ -44,27 +45,27 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(7, test.domains...)
+			w := newSimulation(7, test.domains...)
 			w.loss = test.loss
-			settle(t, w)
+			publishAndWait(t, w)
 			var worst clock.Duration
 			for round := range 3 {
 				hash := identifier.KeyHash(rune('a' + round))
 				id := configurer.ChangeID("issue " + hash)
 				w.append(configurer.IssueKey{Change: configurer.Change{ID: id, Wall: w.wall()}, Key: definer.Key{Hash: hash, Team: "team"}})
 				w.run(3 * clock.Second)
-				base := w.machines[0].c.Base(configurer.Subject{Kind: configurer.SubjectKey, Name: string(hash)})
+				base := w.nodes[0].c.Base(configurer.Subject{Kind: configurer.SubjectKey, Name: string(hash)})
 				withdrawal := configurer.Change{ID: "withdraw " + id, Base: base, Wall: w.wall()}
 				w.append(configurer.WithdrawKey{Change: withdrawal, Hash: hash})
 				start := w.now
 				w.run(3 * clock.Second)
-				for _, m := range w.machines {
+				for _, m := range w.nodes {
 					_, ok := m.c.Resolve(hash)
-					assert.Assert(t, !ok, "%s still takes the key", m.id)
+					assert.Assert(t, !ok, "%s still accepts the withdrawn key", m.id)
 					worst = max(worst, m.changed.Sub(start))
 				}
 			}
-			assert.Assert(t, worst <= 2*clock.Second, "%d ms", worst)
+			assert.Assert(t, worst <= 2*clock.Second, "the slowest node applied a withdrawal after %d ms, want at most 2 s", worst)
 			w.messages, w.bytes = 0, 0
 			w.run(2 * clock.Second)
 			idle, idleBytes := w.messages, w.bytes
@@ -73,7 +74,7 @@
 				w.append(configurer.State{Snapshot: configurer.Snapshot{InForce: "a record of a hundred bytes, as those of claims are: name, holder, epoch, witness, time"}})
 				w.run(100 * clock.Millisecond)
 			}
-			n := 2 * len(w.machines)
+			n := 2 * len(w.nodes)
 			t.Logf("withdrawn everywhere after %d ms; per node and second: idle %.2f messages, %d bytes; at 10 records a second %.1f messages, %d bytes",
 				worst, float64(idle)/float64(n), idleBytes/n, float64(w.messages)/float64(n), w.bytes/n)
 			assert.Assert(t, w.bytes/n <= test.bytes)
@@ -81,34 +82,34 @@
 	}
 }
 
-// Every VM is replaced at once, longer after the last change than the log keeps records. Without snapshots in
-// time the fleet would find no preset and no key, and refuse everyone.
-func TestReplacedFleetFindsItsConfiguration(t *testing.T) {
-	w := newWorld(3, 2, 2)
-	settle(t, w)
+// Every VM is replaced at once, and the last change is older than the log's retention. Without timely snapshots the fleet
+// would find no preset and no key, and refuse all calls.
+func TestReplacedFleetRecoversConfiguration(t *testing.T) {
+	w := newSimulation(3, 2, 2)
+	publishAndWait(t, w)
 	w.run(5 * w.retention / 2)
 	assert.Assert(t, w.earliest > 1)
-	for i, m := range w.machines {
-		w.machines[i] = w.start(m.domain)
+	for i, m := range w.nodes {
+		w.nodes[i] = w.startNode(m.domain)
 	}
-	w.introduce()
+	w.updatePeers()
 	w.run(3 * clock.Second)
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		p, version := m.c.InForce()
 		assert.Assert(t, p != nil && p.Name == "ordinary" && version == 2)
 	}
 	snapshots := len(w.log) - 2
-	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half terms from four readers, some appended twice", snapshots)
+	assert.Assert(t, snapshots <= 2*4*5, "%d snapshots in five half retention periods from four readers, some appended twice", snapshots)
 }
 
-// The hints of a change are lost on the way to one node. Pings alone must bring it up to date, or it would
-// serve by the old rules until the next change.
-func TestPingBringsMissedRecord(t *testing.T) {
-	w := newWorld(5, 4)
-	settle(t, w)
-	m := w.machines[0]
+// One node misses the hints of a change. Pings alone must bring it up to date, because it would otherwise serve with
+// the old configuration until the next change.
+func TestPingRecoversMissedRecord(t *testing.T) {
+	w := newSimulation(5, 4)
+	publishAndWait(t, w)
+	m := w.nodes[0]
 	if m.c.Reads() {
-		m = w.machines[1]
+		m = w.nodes[1]
 	}
 	m.paused = w.now.Add(500)
 	w.append(configurer.IssueKey{Change: configurer.Change{ID: "k", Wall: w.wall()}, Key: definer.Key{Hash: "h", Team: "team"}})
@@ -117,8 +118,8 @@
 	assert.Assert(t, ok)
 }
 
-// A node without any news serves on with the keys it knows, unless its settings bound the silence.
-func TestSilenceIsBoundedOnlyBySetting(t *testing.T) {
+// A node without contact to the log continues to serve with the keys it knows, unless its settings limit that time.
+func TestMaxSilenceLimitsServing(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit clock.Duration
 		want  bool
@@ -133,25 +134,25 @@
 	}
 }
 
-// A node comes back after its records have expired. It reads the log's end, but can't know what was withdrawn
-// in between; calling its news fresh would hide that from the operator.
-func TestGapIsNotFresh(t *testing.T) {
+// A node reads the log after the records it needs have expired. It reaches the log's end, but can't know which keys were
+// withdrawn in between; if it reported a fresh contact, the operator would not see that.
+func TestFreshnessUnknownAfterGap(t *testing.T) {
 	c := configurer.New(configurer.Options{Node: "n1", Rand: rand.New(rand.NewPCG(1, 1))})
 	c.LogRead(configurer.Batch{Earliest: 10, Next: 10, Asked: 1}, 5, 0)
 	assert.Assert(t, !c.Complete())
-	assert.Equal(t, c.Freshness(6), configurer.NeverHeard)
+	assert.Equal(t, c.Freshness(6), configurer.NoContact)
 }
 
 func BenchmarkResolve(b *testing.B) {
 	for _, keys := range []int{8, 1000} {
 		b.Run(fmt.Sprintf("%d keys", keys), func(b *testing.B) {
-			w := newWorld(1, 1)
+			w := newSimulation(1, 1)
 			for i := range keys {
 				hash := identifier.KeyHash(rune(i + 1000))
 				w.append(configurer.IssueKey{Change: configurer.Change{ID: configurer.ChangeID(hash)}, Key: definer.Key{Hash: hash, Team: "team"}})
 			}
 			w.run(10 * clock.Second)
-			c := w.machines[0].c
+			c := w.nodes[0].c
 			assert.Equal(b, c.Version(), identifier.Version(keys))
 			hash := identifier.KeyHash(rune(1000 + keys/2))
 			b.ReportAllocs()
--- a/internal/logkeeper/handler.go
+++ b/internal/logkeeper/handler.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The handler gives the stand-in the platform's published protocol (docs/LOG.md), and beside it the paths that
-// only the stand-in has: /switches and /forget.
+// The handler serves the platform's published log protocol (docs/LOG.md) and two paths that only the stand-in has:
+// /switches and /forget.
 //
 // Example: curl -X POST -d '{"outage":true}' http://127.0.0.1:7000/switches
 
@@ -21,13 +21,13 @@
 )
 
 const (
-	// maxBody bounds what the handler reads: a largest record in base64 with its field name.
-	maxBody = 2 * appender.MaxRecord
-	// maxWait bounds a waiting read, whatever the reader asks for.
+	// maxBodyBytes bounds a request body: a record of the largest size in base64, with its field name.
+	maxBodyBytes = 2 * appender.MaxRecord
+	// maxWait bounds the wait of a read, whatever the reader requests.
 	maxWait = time.Minute
 )
 
-// switchesWire has pointers so that a switch that is left out stays as it is.
+// switchesWire has pointers so that a switch missing in a request keeps its value.
 type switchesWire struct {
 	Outage      *bool  `json:"outage"`
 	DelayMs     *int64 `json:"delayMs"`
@@ -40,7 +40,7 @@
 	Before int64 `json:"before"`
 }
 
-// Handler returns the log's HTTP form.
+// Handler returns the log's HTTP handler.
 func (k *Keeper) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(appender.RecordsPath, k.serveAppend).Methods(http.MethodPost)
@@ -52,7 +52,7 @@
 }
 
 func (k *Keeper) serveAppend(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		fail(w, http.StatusRequestEntityTooLarge, err)
 		return
@@ -72,17 +72,17 @@
 }
 
 func (k *Keeper) serveRead(w http.ResponseWriter, r *http.Request) {
-	from, err := number(r, "from")
+	from, err := queryNumber(r, "from")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	limit, err := number(r, "limit")
+	limit, err := queryNumber(r, "limit")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	waitMs, err := number(r, "waitMs")
+	waitMs, err := queryNumber(r, "waitMs")
 	if err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
@@ -105,13 +105,13 @@
 
 func (k *Keeper) serveSet(w http.ResponseWriter, r *http.Request) {
 	var f switchesWire
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	k.Set(f.over(k.Switches()))
+	k.Set(f.applyTo(k.Switches()))
 	k.serveSwitches(w, r)
 }
 
@@ -122,7 +122,7 @@
 
 func (k *Keeper) serveForget(w http.ResponseWriter, r *http.Request) {
 	var f forgetWire
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&f); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&f); err != nil {
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
@@ -130,7 +130,7 @@
 	reply(w, http.StatusOK, []byte("{}"), nil)
 }
 
-func (f switchesWire) over(s Switches) Switches {
+func (f switchesWire) applyTo(s Switches) Switches {
 	if f.Outage != nil {
 		s.Outage = *f.Outage
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// number returns a query parameter; one that is left out is zero.
-func number(r *http.Request, name string) (int64, error) {
+// queryNumber returns a numeric query parameter, or zero if it is missing.
+func queryNumber(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -188,7 +188,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reader that has gone away reads again from the same offset, so a failed write needs no care here.
+	// A reader whose connection is lost reads again from the same offset, so a failed write needs no handling here.
 	_, _ = w.Write(answer)
 }
 
--- a/internal/logkeeper/keeper.go
+++ b/internal/logkeeper/keeper.go
@@ -1,9 +1,9 @@
 package logkeeper
 
-// The keeper holds the records. It is the only implementation of the log's rules (offsets, retention, waiting
-// reads); the handler in handler.go and the switches only stand around it.
+// The keeper holds the records and alone implements the log's rules: offsets, retention and waiting reads. The handler in
+// handler.go only maps them to HTTP.
 //
-// Example: with KeepCount 2, after appends at offsets 1, 2 and 3 the earliest is 2.
+// Example: with KeepCount 2, after appends at offsets 1, 2 and 3 the earliest offset is 2.
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 
 // Options configures a Keeper.
 type Options struct {
-	// Wall reads the clock that dates records; the default is the machine's.
+	// Wall returns the time for the records' timestamps; the default is the machine's wall clock.
 	Wall func() clock.Wall
 }
 
-// Keeper is a log in memory.
+// Keeper is an in-memory log.
 type Keeper struct {
 	wall func() clock.Wall
 
@@ -29,7 +29,7 @@
 	switches Switches
 	records  []appender.Record
 	next     appender.Offset
-	// changed is closed and replaced whenever a waiting read should look again.
+	// changed is closed and replaced whenever waiting reads must check the records again.
 	changed chan struct{}
 }
 
@@ -44,7 +44,7 @@
 	return &Keeper{wall: wall, next: 1, changed: make(chan struct{})}
 }
 
-// Append adds a record, as the switches allow.
+// Append adds a record, unless the switches make it fail.
 func (k *Keeper) Append(ctx context.Context, data []byte) (appender.Offset, error) {
 	const operation = "append"
 	if err := k.delay(ctx); err != nil {
@@ -74,7 +74,7 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		b, changed, err := k.look(from, limit)
+		b, changed, err := k.readAvailable(from, limit)
 		if err != nil || len(b.Records) > 0 {
 			return b, err
 		}
@@ -88,24 +88,24 @@
 	}
 }
 
-// Switches returns the switches as they stand.
+// Switches returns the current switches.
 func (k *Keeper) Switches() Switches {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.switches
 }
 
-// Set replaces the switches; waiting reads notice.
+// Set replaces the switches; they also apply to reads that already wait.
 func (k *Keeper) Set(s Switches) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
 	k.switches = s
 	k.expire()
-	k.wake()
+	k.wakeReaders()
 }
 
-// Forget drops every record before the given offset, as a log that has lost its past.
+// Forget drops every record before the given offset, to simulate a log that has lost its history.
 func (k *Keeper) Forget(before appender.Offset) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -113,10 +113,10 @@
 	k.records = slices.DeleteFunc(k.records, func(r appender.Record) bool {
 		return r.Offset < before
 	})
-	k.wake()
+	k.wakeReaders()
 }
 
-// Next returns the offset that the next record will have.
+// Next returns the offset that the next record will get.
 func (k *Keeper) Next() appender.Offset {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -132,7 +132,7 @@
 		Data:   slices.Clone(data),
 	})
 	k.expire()
-	k.wake()
+	k.wakeReaders()
 	return o
 }
 
@@ -146,7 +146,7 @@
 	return true
 }
 
-func (k *Keeper) look(from appender.Offset, limit int) (appender.Batch, <-chan struct{}, error) {
+func (k *Keeper) readAvailable(from appender.Offset, limit int) (appender.Batch, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.switches.Outage {
@@ -161,14 +161,14 @@
 		b.Next = k.next
 		return b, nil, appender.Expired{From: from, Earliest: b.Earliest}
 	}
-	b.Records = k.slice(from, limit)
+	b.Records = k.recordsFrom(from, limit)
 	if n := len(b.Records); n > 0 {
 		b.Next = b.Records[n-1].Offset + 1
 	}
 	return b, k.changed, nil
 }
 
-func (k *Keeper) slice(from appender.Offset, limit int) []appender.Record {
+func (k *Keeper) recordsFrom(from appender.Offset, limit int) []appender.Record {
 	if limit <= 0 || limit > appender.MaxLimit {
 		limit = appender.MaxLimit
 	}
@@ -206,7 +206,7 @@
 	k.records = slices.Delete(k.records, 0, drop)
 }
 
-func (k *Keeper) wake() {
+func (k *Keeper) wakeReaders() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -1,7 +1,7 @@
 package logkeeper
 
-// The oracle is a plain slice: whatever was appended, less what retention dropped, must come back through the
-// published protocol, in order and whole.
+// The oracle is a plain slice: reads through the published protocol must return all appended records, except those that
+// retention dropped, in order and unchanged.
 
 import (
 	"bytes"
@@ -31,12 +31,12 @@
 	return k, c, s.URL
 }
 
-// direct calls the handler without a socket, so that thousands of steps cost no ports.
-type direct struct {
+// handlerTransport calls the handler without a socket, so that thousands of steps use no ports.
+type handlerTransport struct {
 	handler http.Handler
 }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	d.handler.ServeHTTP(w, r)
 	return w.Result(), nil
@@ -53,23 +53,24 @@
 
 func (o *oracle) expire() {
 	for o.earliest < len(o.all) {
-		old := o.keep.KeepAge > 0 && o.times[o.earliest] < o.now.Add(-o.keep.KeepAge)
-		many := o.keep.KeepCount > 0 && len(o.all)-o.earliest > o.keep.KeepCount
-		if !old && !many {
+		tooOld := o.keep.KeepAge > 0 && o.times[o.earliest] < o.now.Add(-o.keep.KeepAge)
+		tooMany := o.keep.KeepCount > 0 && len(o.all)-o.earliest > o.keep.KeepCount
+		if !tooOld && !tooMany {
 			return
 		}
 		o.earliest++
 	}
 }
 
-// The log forgets, loses answers and ages while readers and writers use it. A reader that then gets a record
-// twice, skips one unawares or gets another's bytes would put a configuration in force that nobody accepted.
+// The log drops and expires records and loses answers while readers and writers use it. A reader that then got a record
+// twice, skipped one without an error or got another record's bytes would put a configuration in force that was never
+// accepted.
 func TestKeeperAgainstOracle(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
 		var o oracle
 		k := New(Options{Wall: func() clock.Wall { return o.now }})
-		c, err := appender.NewClient("http://log", &http.Client{Transport: direct{k.Handler()}})
+		c, err := appender.NewClient("http://log", &http.Client{Transport: handlerTransport{k.Handler()}})
 		assert.NilError(rt, err)
 		rt.Repeat(map[string]func(*rapid.T){
 			"append": func(rt *rapid.T) {
@@ -128,9 +129,9 @@
 	})
 }
 
-// The log is down for a while and then comes back. A reader that waited must learn of the outage at once rather
-// than sit on a dead request, and a writer must not take silence for success.
-func TestOutageEndsWaitingReads(t *testing.T) {
+// The log has an outage and then recovers. A waiting read must fail at once instead of staying open, and an append
+// during the outage must return an error.
+func TestOutageFailsWaitingReads(t *testing.T) {
 	k, c, url := serve(t, Options{})
 	failed := make(chan error, 1)
 	go func() {
@@ -151,11 +152,11 @@
 	k.Set(Switches{})
 	o, err := c.Append(context.Background(), []byte("x"))
 	assert.NilError(t, err)
-	assert.Equal(t, o, appender.Offset(1), "an append in an outage takes no effect")
+	assert.Equal(t, o, appender.Offset(1), "an append during an outage must have no effect")
 }
 
-// Nodes wait for the tail of the log. If an append did not wake them, a withdrawn key would go on working until
-// their wait ran out.
+// Nodes wait for new records of the log. If an append did not end their waiting reads, a withdrawn key would remain
+// valid until the wait times out.
 func TestAppendWakesWaitingRead(t *testing.T) {
 	_, c, _ := serve(t, Options{})
 	got := make(chan appender.Batch, 1)
@@ -170,7 +171,7 @@
 	case b := <-got:
 		assert.Equal(t, len(b.Records), 1)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the waiting read did not see the append")
+		t.Fatal("the waiting read did not return the appended record within 5 s")
 	}
 }
 
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -34,25 +34,25 @@
 
 func (n *node) newConfigurationWatcher() *watcher.Watcher {
 	return watcher.New(watcher.Options{
-		Topic: relayedTopic{Topic: n.options.Outside.Operators, node: n},
-		Wait:  n.readWait,
-		Rest:  configurationRest,
-		Slack: storeSlack,
+		Topic:             relayedTopic{Topic: n.options.Outside.Operators, node: n},
+		Wait:              n.readWait,
+		PauseAfterRecords: configurationRest,
+		Slack:             storeSlack,
 
-		Backoff: n.storeBackoff,
-		Now:     clock.Boot{}.Now,
-		Took:    n.takeOrders,
-		Lost: func(err error) {
+		Backoff:  n.storeBackoff,
+		Now:      clock.Boot{}.Now,
+		OnUpdate: n.takeOrders,
+		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "operators", "error", err.Error())
 		},
-		Regained: func() { n.recorder.Event("store regained", "topic", "operators") },
+		OnRegained: func() { n.recorder.Event("store regained", "topic", "operators") },
 	})
 }
 
 // coveredBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
 // come with the reports, soon after the collector has them. Trying like a collector, 195 nodes would make a thousand calls
 // in an outage of some seconds.
-var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Most: 4 * clock.Second, Factor: 20}
+var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Max: 4 * clock.Second, Factor: 20}
 
 func (n *node) storeBackoff() watcher.Backoff {
 	relied := false
@@ -140,19 +140,19 @@
 
 func (n *node) watchMembers(ctx context.Context) {
 	w := watcher.New(watcher.Options{
-		Topic: n.options.Outside.Members,
-		Wait:  func() clock.Duration { return membersWait },
-		Need:  n.followsStore,
-		Rest:  membersRest,
-		Slack: storeSlack,
+		Topic:             n.options.Outside.Members,
+		Wait:              func() clock.Duration { return membersWait },
+		Need:              n.followsStore,
+		PauseAfterRecords: membersRest,
+		Slack:             storeSlack,
 
-		Backoff: n.storeBackoff,
-		Now:     clock.Boot{}.Now,
-		Took:    n.takeMembers,
-		Lost: func(err error) {
+		Backoff:  n.storeBackoff,
+		Now:      clock.Boot{}.Now,
+		OnUpdate: n.takeMembers,
+		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "members", "error", err.Error())
 		},
-		Regained: func() { n.recorder.Event("store regained", "topic", "members") },
+		OnRegained: func() { n.recorder.Event("store regained", "topic", "members") },
 	})
 	w.Run(ctx)
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -24,11 +24,11 @@
 
 func newPublisher(log appender.Log, random io.Reader) *Publisher {
 	return New(Options{
-		Log:        log,
-		Operator:   "eva",
-		Wall:       func() clock.Wall { return 1 },
-		Random:     random,
-		TryTimeout: clock.Second,
+		Log:            log,
+		Operator:       "eva",
+		Wall:           func() clock.Wall { return 1 },
+		Random:         random,
+		AttemptTimeout: clock.Second,
 	})
 }
 
@@ -36,35 +36,35 @@
 	return definer.Preset{Name: name, Teams: []definer.Team{{Name: "agents", Rate: 1000, Burst: 1000, Weight: weight}}}
 }
 
-// model is the oracle: the version of each subject, counted by hand.
+// model is the expected state: the version of each subject.
 type model struct {
-	version identifier.Version
-	of      map[configurer.Subject]identifier.Version
+	version  identifier.Version
+	versions map[configurer.Subject]identifier.Version
 }
 
-// judge tells what must become of a change made against base.
-func (m *model) judge(rt *rapid.T, s configurer.Subject, base, got identifier.Version, err error) {
+// checkOutcome compares the outcome of a change made against base with the model and updates the model.
+func (m *model) checkOutcome(rt *rapid.T, s configurer.Subject, base, got identifier.Version, err error) {
 	var conflict configurer.Conflict
-	if base != m.of[s] {
+	if base != m.versions[s] {
 		assert.Assert(rt, errors.As(err, &conflict), "%v", err)
-		assert.Equal(rt, conflict.Current, m.of[s])
+		assert.Equal(rt, conflict.Current, m.versions[s])
 		return
 	}
 	assert.NilError(rt, err)
 	m.version++
-	m.of[s] = m.version
+	m.versions[s] = m.version
 	assert.Equal(rt, got, m.version)
 }
 
-// Several operators work at once with views of different age, and the log loses the answers of appends that took
-// effect. If one change were judged twice, or two made against the same version both told accepted, an operator
-// would believe in a preset that is not in force, and end users would be served by other rules than announced.
+// Several operators make changes with views of different age, and the log loses the answers of appends that took
+// effect. If one change were decided on twice, or two changes against the same version were both reported as accepted,
+// an operator would assume a preset that is not in force, and end users would be served by other rules than announced.
 func TestOperatorsRace(t *testing.T) {
 	ctx := context.Background()
 	rapid.Check(t, func(rt *rapid.T) {
 		k := logkeeper.New(logkeeper.Options{})
 		p := newPublisher(k, rand.Reader)
-		m := model{of: map[configurer.Subject]identifier.Version{}}
+		m := model{versions: map[configurer.Subject]identifier.Version{}}
 		views := make([]*View, 3)
 		for i := range views {
 			v, err := p.Load(ctx)
@@ -81,16 +81,16 @@
 				v, name := draw(rt), names.Draw(rt, "name")
 				base := v.Base(PresetSubject(name))
 				got, err := p.Publish(ctx, v, preset(name, int(m.version)+1), base)
-				m.judge(rt, PresetSubject(name), base, got, err)
+				m.checkOutcome(rt, PresetSubject(name), base, got, err)
 			},
 			"switch": func(rt *rapid.T) {
 				v, name := draw(rt), names.Draw(rt, "name")
-				if m.of[PresetSubject(name)] == 0 {
+				if m.versions[PresetSubject(name)] == 0 {
 					rt.Skip("never published")
 				}
 				base := v.Base(InForce)
 				got, err := p.Switch(ctx, v, name, base)
-				m.judge(rt, InForce, base, got, err)
+				m.checkOutcome(rt, InForce, base, got, err)
 			},
 			"refresh": func(rt *rapid.T) {
 				assert.NilError(rt, draw(rt).catchUp(ctx, k))
@@ -99,51 +99,51 @@
 				fresh, err := p.Load(ctx)
 				assert.NilError(rt, err)
 				assert.Equal(rt, fresh.Version(), m.version)
-				assert.Equal(rt, fresh.Base(InForce), m.of[InForce])
+				assert.Equal(rt, fresh.Base(InForce), m.versions[InForce])
 			},
 		})
 	})
 }
 
-// failing is a log whose appends or reads fail as told.
-type failing struct {
+// failingLog is a log whose appends or reads fail with the given errors.
+type failingLog struct {
 	appender.Log
 	appendErr, readErr error
 }
 
-func (f *failing) Append(ctx context.Context, data []byte) (appender.Offset, error) {
+func (f *failingLog) Append(ctx context.Context, data []byte) (appender.Offset, error) {
 	if f.appendErr != nil {
 		return 0, f.appendErr
 	}
 	return f.Log.Append(ctx, data)
 }
 
-func (f *failing) Read(ctx context.Context, from appender.Offset, limit int, wait time.Duration) (appender.Batch, error) {
+func (f *failingLog) Read(ctx context.Context, from appender.Offset, limit int, wait time.Duration) (appender.Batch, error) {
 	if f.readErr != nil {
 		return appender.Batch{}, f.readErr
 	}
 	return f.Log.Read(ctx, from, limit, wait)
 }
 
-// The log goes away in the middle of a change. The operator must be told whether certainly nothing was changed or
-// nobody can know; a wrong "nothing was changed" makes them publish something else over an accepted change.
-func TestLogGoesAway(t *testing.T) {
+// The log becomes unavailable in the middle of a change. The operator must learn whether certainly nothing was changed
+// or the outcome is unknown; a wrong "nothing was changed" makes them publish something else over an accepted change.
+func TestLogUnavailableDuringChange(t *testing.T) {
 	cause := errors.New("gone")
 	lost := appender.Unavailable{Operation: "append", Cause: cause}
 	cases := map[string]struct {
 		appendErr, readErr error
-		doubt              bool
+		inDoubt            bool
 	}{
 		"not sent":              {appendErr: appender.Unavailable{NotSent: true, Cause: cause}},
 		"refused":               {appendErr: appender.Refused{Operation: "append", Status: 413}},
-		"answer lost":           {appendErr: lost, doubt: true},
-		"added, not read back":  {readErr: appender.Unavailable{Operation: "read", Cause: cause}, doubt: true},
+		"answer lost":           {appendErr: lost, inDoubt: true},
+		"added, not read back":  {readErr: appender.Unavailable{Operation: "read", Cause: cause}, inDoubt: true},
 		"not sent, reads fail":  {appendErr: appender.Unavailable{NotSent: true, Cause: cause}, readErr: cause},
-		"answer lost, no reads": {appendErr: lost, readErr: cause, doubt: true},
+		"answer lost, no reads": {appendErr: lost, readErr: cause, inDoubt: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			log := &failing{Log: logkeeper.New(logkeeper.Options{})}
+			log := &failingLog{Log: logkeeper.New(logkeeper.Options{})}
 			p := newPublisher(log, rand.Reader)
 			v, err := p.Load(context.Background())
 			assert.NilError(t, err)
@@ -151,17 +151,17 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 			defer cancel()
 			_, err = p.Publish(ctx, v, preset("peak", 1), 0)
-			var doubt InDoubtError
-			var not NotAppendedError
-			assert.Equal(t, errors.As(err, &doubt), c.doubt, "%v", err)
-			assert.Equal(t, errors.As(err, &not), !c.doubt, "%v", err)
+			var inDoubt InDoubtError
+			var notAppended NotAppendedError
+			assert.Equal(t, errors.As(err, &inDoubt), c.inDoubt, "%v", err)
+			assert.Equal(t, errors.As(err, &notAppended), !c.inDoubt, "%v", err)
 		})
 	}
 }
 
-// A log has dropped its first records before any node wrote a snapshot. Judged from the rest alone, a withdrawn key
-// could look valid and an old preset new, so the operator is told that nothing can be judged.
-func TestGapIsNotGuessedOver(t *testing.T) {
+// A log has dropped its first records before any node appended a snapshot. From the remaining records alone a withdrawn
+// key could look valid and an old preset new, so the operator gets a GapError.
+func TestGapIsReported(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
 	p := newPublisher(k, rand.Reader)
@@ -177,11 +177,11 @@
 	assert.Assert(t, errors.As(err, &gap), "%v", err)
 	assert.Equal(t, gap.Earliest, appender.Offset(2))
 	_, err = p.Switch(ctx, v, "peak", 2)
-	assert.NilError(t, err, "a view from before the gap goes on")
+	assert.NilError(t, err, "a view loaded before the gap remains usable")
 }
 
-// Keys leak through what prints them. Whoever reads the log, or a value that holds a key, must not learn it.
-func TestKeyIsNowhere(t *testing.T) {
+// Neither the log's records nor the printed forms of a value that contains a key may reveal the key.
+func TestKeyIsNotExposed(t *testing.T) {
 	ctx := context.Background()
 	k := logkeeper.New(logkeeper.Options{})
 	p := newPublisher(k, rand.Reader)
@@ -221,7 +221,7 @@
 	assert.Assert(t, errors.As(err, &none), "%v", err)
 }
 
-// BenchmarkLoad reads a day of 12,000 changes over HTTP, as each verb does before it acts.
+// BenchmarkLoad reads a day of 12,000 changes over HTTP, as each operator command does before it acts.
 func BenchmarkLoad(b *testing.B) {
 	const changes = 12_000
 	ctx := context.Background()
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// fakeTopic is a topic in memory that can drop its history, stay silent or refuse.
+// fakeTopic is a topic in memory that can drop its history, leave requests unanswered or refuse them.
 type fakeTopic struct {
 	mu      sync.Mutex
 	records []Record
@@ -31,7 +31,7 @@
 	f.records = append(f.records, Record{Key: key, Value: []byte(value), Offset: identifier.Offset(len(f.records))})
 }
 
-func (f *fakeTopic) state(ctx context.Context) error {
+func (f *fakeTopic) simulateFault(ctx context.Context) error {
 	f.mu.Lock()
 	silent, refuse := f.silent, f.refuse
 	f.mu.Unlock()
@@ -46,7 +46,7 @@
 }
 
 func (f *fakeTopic) Newest(ctx context.Context) (Batch, error) {
-	if err := f.state(ctx); err != nil {
+	if err := f.simulateFault(ctx); err != nil {
 		return Batch{}, err
 	}
 	f.mu.Lock()
@@ -72,7 +72,7 @@
 		if ctx.Err() != nil {
 			return Batch{}, ctx.Err()
 		}
-		if err := f.state(ctx); err != nil {
+		if err := f.simulateFault(ctx); err != nil {
 			return Batch{}, err
 		}
 		f.mu.Lock()
@@ -96,14 +96,14 @@
 
 func (f *fakeTopic) Write(context.Context, string, []byte) error { return nil }
 
-type seen struct {
+type updateRecorder struct {
 	mu             sync.Mutex
 	values         map[string]string
 	updates        []Update
 	lost, regained int
 }
 
-func (s *seen) took(u Update) {
+func (s *updateRecorder) record(u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updates = append(s.updates, u)
@@ -112,20 +112,20 @@
 	}
 }
 
-func (s *seen) value(key string) string {
+func (s *updateRecorder) value(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.values[key]
 }
 
-func watch(t *testing.T, f *fakeTopic) *seen {
+func watch(t *testing.T, f *fakeTopic) *updateRecorder {
 	t.Helper()
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	c := clock.New()
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, Took: s.took,
-		Lost:     func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() },
-		Regained: func() { s.mu.Lock(); s.regained++; s.mu.Unlock() },
+		Topic: f, Wait: func() clock.Duration { return 30 }, Slack: 60, Now: c.Now, OnUpdate: s.record,
+		OnLost:     func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() },
+		OnRegained: func() { s.mu.Lock(); s.regained++; s.mu.Unlock() },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -142,7 +142,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not met within 2.5 s: %s", what)
 }
 
 func TestFollowsNewRecords(t *testing.T) {
@@ -155,9 +155,9 @@
 	eventually(t, "second value", func() bool { return s.value("config") == "2" && s.value("other") == "x" })
 }
 
-// The store forgets its history while a node waits for the next record. A node that insisted on the records after its
-// last one would never see another configuration.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
+// The store drops its history while a node waits for the next record. A node that requested only the records after its
+// last one would never get another configuration.
+func TestDroppedHistoryIsReplacedBySnapshot(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -174,9 +174,9 @@
 	eventually(t, "newest value", func() bool { return s.value("config") == "4" })
 }
 
-// The store takes connections and answers nothing. A node that waited on would not notice its return; it asks again,
-// and then for an answer at once.
-func TestSilentStoreIsAskedAgain(t *testing.T) {
+// The store accepts connections and does not answer. A node that only waited would not notice its recovery; it retries,
+// and requests an immediate answer.
+func TestSilentStoreIsRetriedWithoutWait(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -184,12 +184,12 @@
 	f.mu.Lock()
 	f.silent = true
 	f.mu.Unlock()
-	eventually(t, "the loss is noticed", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.lost == 1 })
+	eventually(t, "the loss is reported", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.lost == 1 })
 	f.add("config", "2")
 	f.mu.Lock()
 	f.silent = false
 	f.mu.Unlock()
-	eventually(t, "value after the silence", func() bool { return s.value("config") == "2" })
+	eventually(t, "value after the store answers again", func() bool { return s.value("config") == "2" })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	assert.Equal(t, s.regained, 1)
@@ -204,9 +204,10 @@
 	assert.Assert(t, zero >= 1)
 }
 
-// An empty answer to a waiting read says nothing about the time at which it arrived: a key may have been withdrawn
-// just after the store looked. Taken as of its arrival, it would keep a withdrawn key alive for the length of the wait.
-func TestProofIsAsOfTheQuestion(t *testing.T) {
+// An empty answer to a waiting read proves nothing about the time at which it arrived: a key may have been withdrawn
+// just after the store checked for records. With the arrival as AsOf, a withdrawn key would remain valid for the length
+// of the wait.
+func TestProofIsAsOfRequestTime(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
 	s := watch(t, f)
@@ -215,20 +216,20 @@
 	defer s.mu.Unlock()
 	for i := 2; i < len(s.updates); i++ {
 		apart := s.updates[i].AsOf.Sub(s.updates[i-1].AsOf)
-		assert.Assert(t, apart >= 25, "questions %d ms apart, each waits 30 ms", apart)
+		assert.Assert(t, apart >= 25, "requests %d ms apart, expected at least 25 ms: each waits 30 ms", apart)
 		assert.Assert(t, s.updates[i].Complete)
 	}
 }
 
-// A node relies on another one's proofs and keeps one long read open; then the other one goes. The open read would prove
-// nothing before its end, so it is given up, and the next one is answered at once.
-func TestInterruptedReadIsFollowedByAQuickOne(t *testing.T) {
+// A node relies on another node's proofs of freshness and keeps one long read open; then the other node stops. The open
+// read would prove nothing before its end, so it is interrupted, and the next one is answered at once.
+func TestInterruptedReadIsFollowedByShortRead(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("config", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, Took: s.took,
-		Lost: func(err error) { t.Error(err) }, Regained: func() {},
+		Topic: f, Wait: func() clock.Duration { return 20 * clock.Second }, Slack: 60, Now: clock.New().Now, OnUpdate: s.record,
+		OnLost: func(err error) { t.Error(err) }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -241,7 +242,7 @@
 	time.Sleep(20 * time.Millisecond)
 	assert.Equal(t, updates(), 1)
 	w.Interrupt(clock.Second)
-	eventually(t, "a quick answer", func() bool { return updates() == 2 })
+	eventually(t, "an immediate answer", func() bool { return updates() == 2 })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	assert.Equal(t, f.waits[1], clock.Duration(0))
@@ -254,23 +255,24 @@
 	assert.Equal(t, RefusedError{Status: 503}.Error(), "store refused with status 503")
 }
 
-// Nodes that hear of every change from each other need not follow the topic. One that stops hearing must get all that it
-// missed, not only what comes from then on: an endpoint that joined meanwhile would stay unknown.
+// Nodes that receive every change from each other need not follow the topic. A node that no longer receives them must
+// read all records that it missed, not only new ones: otherwise an endpoint that joined in the meantime would stay
+// unknown.
 func TestTopicIsFollowedOnlyWhileNeeded(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	var needed atomic.Bool
 	w := New(Options{
 		Topic: f, Wait: func() clock.Duration { return 20 }, Need: needed.Load, Slack: 200, Now: clock.Boot{}.Now,
-		Took: s.took, Lost: func(error) {}, Regained: func() {},
+		OnUpdate: s.record, OnLost: func(error) {}, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
 	eventually(t, "first", func() bool { return s.value("a") == "1" })
 	f.add("b", "2")
-	time.Sleep(2 * needPause.Std())
+	time.Sleep(2 * needCheckInterval.Std())
 	f.mu.Lock()
 	reads := f.reads
 	f.mu.Unlock()
@@ -279,34 +281,34 @@
 	eventually(t, "missed", func() bool { return s.value("b") == "2" })
 }
 
-// The store is down and many nodes follow it. Each of their tries costs as much as one that is answered, so those that need
-// not be first to see it come back wait longer.
-func TestTriesAreBounded(t *testing.T) {
+// The store is down and many nodes follow it. A failed attempt costs as much as a successful one, so nodes that need
+// not be the first to notice the recovery wait longer.
+func TestBackoffBoundsAttempts(t *testing.T) {
 	tries := map[clock.Duration]int{}
-	for _, b := range []Backoff{{First: 60, Most: 100, Factor: 2}, {First: 60, Most: 2000, Factor: 2}, {First: 100, Most: 4000, Factor: 8}} {
+	for _, b := range []Backoff{{First: 60, Max: 100, Factor: 2}, {First: 60, Max: 2000, Factor: 2}, {First: 100, Max: 4000, Factor: 8}} {
 		f := &fakeTopic{refuse: true}
 		w := New(Options{
 			Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now,
-			Backoff: func() Backoff { return b },
-			Took:    func(Update) {}, Lost: func(error) {}, Regained: func() {},
+			Backoff:  func() Backoff { return b },
+			OnUpdate: func(Update) {}, OnLost: func(error) {}, OnRegained: func() {},
 		})
-		for pause := clock.Duration(0); pause < 4000; tries[b.Most]++ {
+		for pause := clock.Duration(0); pause < 4000; tries[b.Max]++ {
 			pause += w.backOff()
 		}
 	}
 	assert.Assert(t, tries[100] >= 40 && tries[2000] <= 9 && tries[4000] <= 5, "%v", tries)
 }
 
-// A configuration follows the store's outage closely. A node that waits long between its tries must not sleep through it when
-// another node can tell it.
-func TestRetryEndsTheWaitAfterAFailedTry(t *testing.T) {
+// A new configuration is written soon after the store's outage. A node with long waits between its attempts must not
+// miss it when another node can report that the store answers.
+func TestRetryEndsBackoff(t *testing.T) {
 	f := &fakeTopic{}
 	f.add("a", "1")
-	s := &seen{values: map[string]string{}}
+	s := &updateRecorder{values: map[string]string{}}
 	w := New(Options{
-		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, Took: s.took,
-		Backoff: func() Backoff { return Backoff{First: 20_000, Most: 20_000, Factor: 2} },
-		Lost:    func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, Regained: func() {},
+		Topic: f, Wait: func() clock.Duration { return 20 }, Slack: 200, Now: clock.Boot{}.Now, OnUpdate: s.record,
+		Backoff: func() Backoff { return Backoff{First: 20_000, Max: 20_000, Factor: 2} },
+		OnLost:  func(error) { s.mu.Lock(); s.lost++; s.mu.Unlock() }, OnRegained: func() {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/pkg/appender/client.go
+++ b/pkg/appender/client.go
@@ -1,7 +1,7 @@
 package appender
 
-// The client speaks the protocol of docs/LOG.md over HTTP. It never sends an append again by itself: only its
-// caller can tell, by re-reading, whether a lost append took effect.
+// The client implements the protocol of docs/LOG.md over HTTP. It never retries an append: only its caller can find
+// out, by reading the log, whether an append took effect whose answer was lost.
 //
 // Example: c, err := NewClient("http://127.0.0.1:7000", http.DefaultClient)
 
@@ -19,11 +19,11 @@
 	"time"
 )
 
-// answerMargin is how long a read waits for its answer beyond the wait that it asked for.
+// answerMargin is how long after the end of the requested wait a read still waits for its answer.
 const answerMargin = 5 * time.Second
 
-// maxAnswer bounds an answer in memory: a batch in base64, and some room for its field names.
-const maxAnswer = 4 * MaxBatchBytes
+// maxAnswerBytes bounds an answer in memory: a batch in base64 with its field names.
+const maxAnswerBytes = 4 * MaxBatchBytes
 
 // Client is a Log reached over HTTP.
 type Client struct {
@@ -55,7 +55,7 @@
 	u := c.base.JoinPath(RecordsPath)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
 	if err != nil {
-		return 0, fmt.Errorf("make request: %w", err)
+		return 0, fmt.Errorf("create request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	status, answer, err := c.do(req, operation)
@@ -85,7 +85,7 @@
 	}.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return Batch{}, fmt.Errorf("make request: %w", err)
+		return Batch{}, fmt.Errorf("create request: %w", err)
 	}
 	status, answer, err := c.do(req, operation)
 	if err != nil {
@@ -110,17 +110,18 @@
 		return 0, nil, Unavailable{Operation: operation, NotSent: notSent(err), Cause: err}
 	}
 	defer func() { _ = res.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err != nil {
 		return 0, nil, Unavailable{Operation: operation, Cause: err}
 	}
-	if len(answer) > maxAnswer {
-		return 0, nil, Unavailable{Operation: operation, Cause: fmt.Errorf("answer of more than %d bytes", maxAnswer)}
+	if len(answer) > maxAnswerBytes {
+		return 0, nil, Unavailable{Operation: operation, Cause: fmt.Errorf("answer of more than %d bytes", maxAnswerBytes)}
 	}
 	return res.StatusCode, answer, nil
 }
 
-// notSent tells whether err arose before a connection stood, so that the log cannot have seen the request.
+// notSent reports whether err occurred before a connection was established, so that the log can't have received the
+// request.
 func notSent(err error) bool {
 	var e *net.OpError
 	return errors.As(err, &e) && e.Op == "dial"
@@ -135,6 +136,6 @@
 }
 
 func excerpt(answer []byte) string {
-	const longest = 200
-	return strings.TrimSpace(string(answer[:min(len(answer), longest)]))
+	const maxBytes = 200
+	return strings.TrimSpace(string(answer[:min(len(answer), maxBytes)]))
 }
