--- a/internal/receiver/exchange.go
+++ b/internal/receiver/exchange.go
@@ -23,14 +23,14 @@
 
 const (
 	copyBufferSize = 32 << 10
-	// maxRecorded is the largest answer body kept for retries with the same idempotency id.
-	maxRecorded = 64 << 10
+	// maxRecordedBytes is the largest answer body kept for retries with the same idempotency id.
+	maxRecordedBytes = 64 << 10
 )
 
 type exchange struct {
 	receiver *Receiver
 	id       reducer.CallID
-	box      performer.Mailbox
+	mailbox      performer.Mailbox
 	request  identifier.Request
 	writer   http.ResponseWriter
 	incoming *http.Request
@@ -42,7 +42,7 @@
 func (x *exchange) run() {
 	for {
 		select {
-		case e := <-x.box:
+		case e := <-x.mailbox:
 			if x.act(e) {
 				return
 			}
@@ -107,7 +107,7 @@
 		Method:        q.Method,
 		Path:          x.parts.path,
 		RawQuery:      q.URL.RawQuery,
-		Header:        deliverer.EndToEnd(q.Header, authorization),
+		Header:        deliverer.EndToEnd(q.Header, authorizationHeader),
 		ContentLength: q.ContentLength,
 		Rank:          f.Rank,
 		Deadline:      f.Deadline,
@@ -154,7 +154,7 @@
 	x.writer.WriteHeader(head.Status)
 	var kept *recorder
 	if f.Record {
-		kept = &recorder{limit: maxRecorded}
+		kept = &recorder{limit: maxRecordedBytes}
 	}
 	err := x.copy(a, kept)
 	x.report(ctx, body, reducer.AnswerEnded{
--- a/internal/receiver/interface_test.go
+++ b/internal/receiver/interface_test.go
@@ -13,7 +13,7 @@
 
 // A caller's program is written by the page. A reason or a status that the page does not name would be met first in
 // the night in which it is first given.
-func TestPageNamesEachRefusal(t *testing.T) {
+func TestInterfacePageListsEachRefusal(t *testing.T) {
 	page, err := os.ReadFile("../../docs/INTERFACE.md")
 	assert.NilError(t, err)
 	internal := []reducer.Reason{reducer.EndpointFull, reducer.EndpointLeaving}
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -27,11 +27,11 @@
 const IdempotencyHeader = "Idempotency-Key"
 
 const (
-	bearer          = "bearer "
-	maxIdempotency  = 255
+	bearerPrefix          = "bearer "
+	maxIdempotencyLength  = 255
 	maxDeadlineMs   = 24 * int64(clock.Hour)
-	authorization   = "Authorization"
-	bodiesInFlightD = 4096
+	authorizationHeader   = "Authorization"
+	defaultInFlight = 4096
 )
 
 // Receiver serves calls.
@@ -46,7 +46,7 @@
 // New returns a receiver; inFlight bounds the calls under way at a time, zero takes the default.
 func New(self identifier.Node, c *clock.Clock, p *performer.Performer, f *forwarder.Forwarder, inFlight int) *Receiver {
 	if inFlight == 0 {
-		inFlight = bodiesInFlightD
+		inFlight = defaultInFlight
 	}
 	return &Receiver{self: self, clock: c, performer: p, forwarder: f, inFlight: make(chan struct{}, inFlight)}
 }
@@ -70,7 +70,7 @@
 			return &reducer.CallArrived{
 				Call:          x.id,
 				Request:       x.request,
-				KeyHash:       hashKey(q.Header.Get(authorization)),
+				KeyHash:       hashKey(q.Header.Get(authorizationHeader)),
 				Service:       p.service,
 				Method:        q.Method,
 				Path:          p.path,
@@ -118,9 +118,9 @@
 		r.refuse(w, request, reducer.TooManyRequests, "this node has too many calls under way")
 		return
 	}
-	id, box := r.performer.Open()
+	id, mailbox := r.performer.Open()
 	defer r.performer.Close(id)
-	x := &exchange{receiver: r, id: id, box: box, request: request, writer: w, incoming: q, body: newReplayBody(q.Body), parts: p}
+	x := &exchange{receiver: r, id: id, mailbox: mailbox, request: request, writer: w, incoming: q, body: newReplayBody(q.Body), parts: p}
 	r.performer.Apply(arrived(x, p))
 	x.run()
 }
@@ -191,7 +191,7 @@
 		return "", FieldError{Field: IdempotencyHeader, Value: strings.Join(values, ", "), Want: "one value"}
 	}
 	v := values[0]
-	if v == "" || len(v) > maxIdempotency || strings.ContainsFunc(v, notPrintable) {
+	if v == "" || len(v) > maxIdempotencyLength || strings.ContainsFunc(v, notPrintable) {
 		return "", FieldError{Field: IdempotencyHeader, Value: v, Want: "1 to 255 printable ASCII characters"}
 	}
 	return identifier.Idempotency(v), nil
@@ -201,9 +201,9 @@
 
 // The key itself must not reach the reducer, whose state is dumped and logged.
 func hashKey(header string) identifier.KeyHash {
-	if len(header) <= len(bearer) || !strings.EqualFold(header[:len(bearer)], bearer) {
+	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return ""
 	}
-	sum := sha256.Sum256([]byte(header[len(bearer):]))
+	sum := sha256.Sum256([]byte(header[len(bearerPrefix):]))
 	return identifier.KeyHash(hex.EncodeToString(sum[:]))
 }
--- a/internal/receiver/replay.go
+++ b/internal/receiver/replay.go
@@ -10,8 +10,8 @@
 	"sync"
 )
 
-// replaySize is how much of a request's body is kept for a retry.
-const replaySize = 64 << 10
+// maxReplayBytes is how much of a request's body is kept for a retry.
+const maxReplayBytes = 64 << 10
 
 // replayBody lets several attempts read one body, one after the other.
 type replayBody struct {
@@ -83,7 +83,7 @@
 	if b.overflow {
 		return
 	}
-	if len(b.kept)+len(p) > replaySize {
+	if len(b.kept)+len(p) > maxReplayBytes {
 		b.overflow = true
 		return
 	}
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -74,7 +74,7 @@
 	}.String()}
 	delete(out.Header, r.options.Headers.TimeLeft)
 	// A team that is over its rate is mostly refused there as well, and a body would cross the domains for nothing.
-	out.Hesitant = body.streamed() || s.RateUnchecked && s.Crossing != router.Inside
+	out.ExpectContinue = body.streamed() || s.RateUnchecked && s.Crossing != router.Inside
 	count := r.countCrossing(s, out)
 	asked := r.options.Boot.Now()
 	response, err := r.peers.Do(ctx, s.Address, out)
@@ -127,7 +127,7 @@
 		r.options.Recorder.Dependency("node "+string(s.Node), err)
 		return failed(conductor.Unreached, conductor.EndpointDown)
 	default:
-		r.peers.Forget(s.Address)
+		r.peers.CloseIdle(s.Address)
 		return failed(conductor.Broken, conductor.InDoubt)
 	}
 }
--- a/internal/relayer/delivery.go
+++ b/internal/relayer/delivery.go
@@ -130,8 +130,8 @@
 	h := r.options.Headers
 	p.request.Header[h.Target] = []string{string(p.endpoint)}
 	setMilliseconds(p.request.Header, h.TimeLeft, left)
-	p.request.Hesitant = false
-	p.request.Mine = func(got http.Header) bool { return got.Get(h.RequestID) == p.id }
+	p.request.ExpectContinue = false
+	p.request.Matches = func(got http.Header) bool { return got.Get(h.RequestID) == p.id }
 	response, err := r.endpoints.Do(ctx, r.options.EndpointAddress, p.request)
 	if err != nil {
 		return r.notAnswered(ctx, p, err)
--- a/internal/relayer/probe.go
+++ b/internal/relayer/probe.go
@@ -43,7 +43,7 @@
 		}
 	}
 	r.probed(p.Node, false)
-	r.peers.Forget(p.Address)
+	r.peers.CloseIdle(p.Address)
 }
 
 // probed tells the conductor, and the log where that changes what is believed of the node.
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -65,7 +65,7 @@
 	response, err := r.peers.Do(limited, d.Address, question)
 	if err != nil {
 		// Other connections to a node that failed one may be as dead.
-		r.peers.Forget(d.Address)
+		r.peers.CloseIdle(d.Address)
 		return pooler.Grant{}, err
 	}
 	response.Close(drain(response))
--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -28,7 +28,7 @@
 
 // New returns a client without connections.
 func New(o Options) *Client {
-	return &Client{options: o, pool: newPool(o.MostIdle)}
+	return &Client{options: o, pool: newPool(o.MaxIdle)}
 }
 
 // Dials returns how many connections were opened.
@@ -41,9 +41,9 @@
 	c.pool.expire(c.options.Now())
 }
 
-// Forget closes the idle connections to an address whose server has gone.
-func (c *Client) Forget(address string) {
-	c.pool.forget(address)
+// CloseIdle closes the idle connections to an address whose server has gone.
+func (c *Client) CloseIdle(address string) {
+	c.pool.closeIdle(address)
 }
 
 // Response is an answer whose body has yet to be read.
@@ -53,7 +53,7 @@
 	conn   *conn
 	stop   func() bool
 	sent   <-chan error
-	whole  bool
+	bodyAllowed  bool
 	closed bool
 	framed bool
 }
@@ -107,7 +107,7 @@
 		if err := n.writer.Flush(); err != nil {
 			return nil, err
 		}
-	case r.Hesitant:
+	case r.ExpectContinue:
 		if err := n.writer.Flush(); err != nil {
 			return nil, err
 		}
@@ -124,11 +124,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Mine == nil || r.Mine(head.Header) {
+		if r.Matches == nil || r.Matches(head.Header) {
 			return c.response(n, head, sent, true), nil
 		}
 		// An answer to an earlier request that came too late; the one that belongs here may follow it.
-		if head.ContentLength < 0 || head.ContentLength > longestStray {
+		if head.ContentLength < 0 || head.ContentLength > maxStrayBytes {
 			return nil, errStray
 		}
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
@@ -137,12 +137,12 @@
 	}
 }
 
-// longestStray bounds how much of another request's answer is read to get at the right one.
-const longestStray = 256 << 10
+// maxStrayBytes bounds how much of another request's answer is read to get at the right one.
+const maxStrayBytes = 256 << 10
 
 var errStray = errors.New("answer belongs to another request")
 
-func (c *Client) response(n *conn, head *http.Response, sent <-chan error, whole bool) *Response {
+func (c *Client) response(n *conn, head *http.Response, sent <-chan error, bodyAllowed bool) *Response {
 	if head == nil {
 		return nil
 	}
@@ -150,7 +150,7 @@
 		Response: head,
 		conn:     n,
 		sent:     sent,
-		whole:    whole,
+		bodyAllowed:    bodyAllowed,
 		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 	}
 }
@@ -179,22 +179,22 @@
 		_, _ = w.WriteString(strconv.FormatInt(r.Length, 10))
 		_, _ = w.WriteString("\r\n")
 	}
-	if r.Hesitant && r.Body != nil {
+	if r.ExpectContinue && r.Body != nil {
 		_, _ = w.WriteString("Expect: 100-continue\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
 }
 
-// inlineBody is the largest body that is sent before the answer is looked for: it fits into the socket's buffers, so
+// maxInlineBodyBytes is the largest body that is sent before the answer is looked for: it fits into the socket's buffers, so
 // that sending can't wait for a server that answers without reading.
-const inlineBody = 8 << 10
+const maxInlineBodyBytes = 8 << 10
 
 // sendBody sends the body beside the reading of the answer, since a server may answer before it has read all. A body that
 // can't be read to its end ends the connection: the server would wait for the rest until its time is up.
 func sendBody(n *conn, r *Request) chan error {
 	done := make(chan error, 1)
 	send := func() {
-		body := &notedBody{Reader: r.Body}
+		body := &errorRecordingBody{Reader: r.Body}
 		err := writeBody(n.writer, body, r.Length)
 		if body.err != nil {
 			n.bodyFailed.Store(&BodyError{Cause: body.err})
@@ -202,7 +202,7 @@
 		}
 		done <- err
 	}
-	if r.Length >= 0 && r.Length <= inlineBody {
+	if r.Length >= 0 && r.Length <= maxInlineBodyBytes {
 		send()
 	} else {
 		go send()
@@ -210,14 +210,14 @@
 	return done
 }
 
-// notedBody keeps the error with which the reading of a body ended before its end.
-type notedBody struct {
+// errorRecordingBody keeps the error with which the reading of a body ended before its end.
+type errorRecordingBody struct {
 	io.Reader
 	err error
 }
 
 // Read reads from the body.
-func (b *notedBody) Read(p []byte) (int, error) {
+func (b *errorRecordingBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err != nil && err != io.EOF {
 		b.err = err
@@ -297,14 +297,14 @@
 		_ = r.conn.Close()
 		return
 	}
-	r.conn.until = r.client.options.Now().Add(idle)
+	r.conn.idleUntil = r.client.options.Now().Add(idle)
 	r.client.pool.put(r.conn)
 }
 
 // bodySent tells whether the request's body has been sent whole; a server may still expect the rest of one that was
 // answered early, and would take the next request for it.
 func (r *Response) bodySent() bool {
-	if !r.whole {
+	if !r.bodyAllowed {
 		return false
 	}
 	if r.sent == nil {
@@ -318,9 +318,9 @@
 	}
 }
 
-// idleSafety is how much sooner than the other side a connection is closed here: a request sent just as it closes
+// idleMargin is how much sooner than the other side a connection is closed here: a request sent just as it closes
 // would be lost.
-const idleSafety = 700 * clock.Millisecond
+const idleMargin = 700 * clock.Millisecond
 
 func idleTime(header string) (clock.Duration, bool) {
 	for _, parameter := range strings.Split(header, ",") {
@@ -332,7 +332,7 @@
 		if err != nil || seconds < 0 {
 			return 0, false
 		}
-		return clock.Duration(seconds)*clock.Second - idleSafety, true
+		return clock.Duration(seconds)*clock.Second - idleMargin, true
 	}
 	return 0, false
 }
--- a/internal/requester/client_test.go
+++ b/internal/requester/client_test.go
@@ -56,14 +56,14 @@
 func client() *Client {
 	c := clock.New()
 	return New(Options{
-		DialTimeout: clock.Second, IdleTime: 5 * clock.Second, MostIdle: 4, Connections: NewConnections(100), Now: c.Now,
+		DialTimeout: clock.Second, IdleTime: 5 * clock.Second, MaxIdle: 4, Connections: NewConnections(100), Now: c.Now,
 	})
 }
 
 func get(id string) *Request {
 	return &Request{
 		Method: "GET", URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -84,7 +84,7 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, err := io.WriteString(n, answerTo(r, r.Header.Get("X-Id")))
 		return err == nil
@@ -100,7 +100,7 @@
 
 // A faulty endpoint sends a second answer after a whole one, at once or a moment later. The next caller on that
 // connection would get a stranger's answer.
-func TestSecondAnswerIsNobodys(t *testing.T) {
+func TestUnrequestedAnswerIsNotDelivered(t *testing.T) {
 	tests := map[string]time.Duration{"at once": 0, "while idle": 30 * time.Millisecond}
 	for name, delay := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 
 // An answer to an earlier request arrives where the next one's is expected. It must not be given to the caller, who
 // would take it for its own; the right one follows it.
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		stray := "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 5\r\n\r\nstray"
 		_, err := io.WriteString(n, stray+answerTo(r, "mine"))
@@ -140,7 +140,7 @@
 }
 
 // An answer is cut short. Passed on as it is, it would look whole to a caller that does not count.
-func TestCutAnswerIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		whole := answerTo(r, "a longer body")
 		_, _ = io.WriteString(n, whole[:len(whole)-5])
@@ -168,7 +168,7 @@
 
 // A server answers before it has read a long body and goes on reading. The next request on that connection would be
 // taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "early"))
 		time.Sleep(300 * time.Millisecond)
@@ -230,14 +230,14 @@
 }
 
 // A node turns a long upload away. Had any of the body been read, the upload could not go to another node.
-func TestHesitantBodyStaysUnreadWhenRefused(t *testing.T) {
+func TestBodyStaysUnreadWhenExpectContinueIsRefused(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "no"))
 		return false
 	})
 	r := get("1")
 	body := &counting{Reader: strings.NewReader(strings.Repeat("x", 100000))}
-	r.Method, r.Body, r.Length, r.Hesitant = "POST", body, 100000, true
+	r.Method, r.Body, r.Length, r.ExpectContinue = "POST", body, 100000, true
 	got, err := do(t, client(), s, r)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "no")
@@ -255,7 +255,7 @@
 	return n, err
 }
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsADialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
@@ -266,11 +266,11 @@
 }
 
 // The caller leaves while the endpoint works. The connection must end at once, or the endpoint works on for nobody.
-func TestCancelEndsTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+func TestCancelClosesTheConnection(t *testing.T) {
+	closed := make(chan struct{})
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
 		_, _ = reader.ReadByte()
-		close(gone)
+		close(closed)
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -279,7 +279,7 @@
 	var sent SentError
 	assert.Assert(t, errors.As(err, &sent))
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(time.Second):
 		t.Fatal("the server still holds the connection")
 	}
--- a/internal/requester/connections.go
+++ b/internal/requester/connections.go
@@ -10,9 +10,9 @@
 
 import "sync/atomic"
 
-// crowdedPart of the descriptors may be connections before answers end them. Each request under way needs up to two
+// crowdedFraction of the descriptors may be connections before answers end them. Each request under way needs up to two
 // more, and the endpoint's nested calls as many again.
-const crowdedPart = 0.5
+const crowdedFraction = 0.5
 
 // Connections counts a process's open connections; it is safe for concurrent use.
 type Connections struct {
@@ -22,7 +22,7 @@
 
 // NewConnections returns a count for a process that may have a number of descriptors.
 func NewConnections(descriptors int) *Connections {
-	return &Connections{limit: int64(crowdedPart * float64(descriptors))}
+	return &Connections{limit: int64(crowdedFraction * float64(descriptors))}
 }
 
 // Add counts connections that were opened, or closed where n is negative.
--- a/internal/requester/dial.go
+++ b/internal/requester/dial.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// DeadAfter is how long sent bytes may stay unacknowledged: several times the round trip between failure
+	// AckTimeout is how long sent bytes may stay unacknowledged: several times the round trip between failure
 	// domains (3 ms) and a lost packet's second retransmission (600 ms).
-	DeadAfter = 1500 * time.Millisecond
+	AckTimeout = 1500 * time.Millisecond
 	// probeIdle and probeEvery, in whole seconds by the system's interface, are when a quiet connection is probed.
 	probeIdle  = 2 * time.Second
 	probeEvery = time.Second
@@ -32,7 +32,7 @@
 func Control(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(DeadAfter.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/requester/pool.go
+++ b/internal/requester/pool.go
@@ -30,7 +30,7 @@
 	reader  *bufio.Reader
 	writer  *bufio.Writer
 	address string
-	until   clock.Time
+	idleUntil   clock.Time
 	// reused tells that a request was answered on it before.
 	reused bool
 	count  *Connections
@@ -81,11 +81,11 @@
 type pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
-	most int
+	maxIdle int
 }
 
-func newPool(most int) *pool {
-	return &pool{idle: map[string][]*conn{}, most: most}
+func newPool(maxIdle int) *pool {
+	return &pool{idle: map[string][]*conn{}, maxIdle: maxIdle}
 }
 
 // take returns the connection that was used last, so that the others can grow old and be closed.
@@ -95,7 +95,7 @@
 		if c == nil {
 			return nil
 		}
-		if now < c.until && c.quiet() {
+		if now < c.idleUntil && c.hasNoInput() {
 			return c
 		}
 		_ = c.Close()
@@ -119,7 +119,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if len(list) >= p.most {
+	if len(list) >= p.maxIdle {
 		_ = c.Close()
 		return
 	}
@@ -133,7 +133,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now < c.until {
+			if now < c.idleUntil {
 				kept = append(kept, c)
 				continue
 			}
@@ -147,8 +147,8 @@
 	}
 }
 
-// forget closes all idle connections to an address.
-func (p *pool) forget(address string) {
+// closeIdle closes all idle connections to an address.
+func (p *pool) closeIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -157,8 +157,8 @@
 	delete(p.idle, address)
 }
 
-// quiet tells that nothing can be read on the connection, not even its end.
-func (c *conn) quiet() bool {
+// hasNoInput tells that nothing can be read on the connection, not even its end.
+func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -170,12 +170,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	hasNoInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		hasNoInput = err == unix.EAGAIN
 		return true
 	})
-	return quiet && err == nil
+	return hasNoInput && err == nil
 }
--- a/internal/requester/types.go
+++ b/internal/requester/types.go
@@ -24,12 +24,12 @@
 	// Body is nil where there is none; Length is -1 where it is not known.
 	Body   io.Reader
 	Length int64
-	// Hesitant tells to send the body only when the other side asks for it, so that a refusal leaves it unread.
-	Hesitant bool
+	// ExpectContinue tells to send the body only when the other side asks for it, so that a refusal leaves it unread.
+	ExpectContinue bool
 	// Traffic takes the bytes that the request and its answer have on the wire; nil counts none.
 	Traffic *Traffic
-	// Mine tells whether an answer belongs to this request; another one is read and dropped. Nil takes any.
-	Mine func(http.Header) bool
+	// Matches tells whether an answer belongs to this request; another one is read and dropped. Nil takes any.
+	Matches func(http.Header) bool
 }
 
 // Traffic is what one request has sent and received, heads and bodies, under the connection's own framing.
@@ -43,8 +43,8 @@
 	DialTimeout clock.Duration
 	// IdleTime is how long an unused connection is kept where the other side does not say.
 	IdleTime clock.Duration
-	// MostIdle is how many unused connections are kept for each address.
-	MostIdle int
+	// MaxIdle is how many unused connections are kept for each address.
+	MaxIdle int
 	// Connections counts those of this client with the others of the process.
 	Connections *Connections
 	// Now reads the monotonic clock.
