--- a/internal/deliverer/announce.go
+++ b/internal/deliverer/announce.go
@@ -19,8 +19,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// maxAnnouncement bounds what a backend server may send about itself.
-const maxAnnouncement = 16 << 10
+// maxAnnouncementBytes bounds what a backend server may send about itself.
+const maxAnnouncementBytes = 16 << 10
 
 // Load is reported as a part of the slots and kept in thousandths; more than this is taken as this.
 const (
@@ -67,7 +67,7 @@
 	}).Methods(http.MethodPost)
 	r.HandleFunc("/-/backends/{id}", d.leave).Methods(http.MethodDelete)
 	r.HandleFunc("/-/backends/{id}", func(w http.ResponseWriter, q *http.Request) {
-		answerState(w, q, states)
+		writeState(w, q, states)
 	}).Methods(http.MethodGet)
 }
 
@@ -147,7 +147,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func answerState(w http.ResponseWriter, q *http.Request, states StateReader) {
+func writeState(w http.ResponseWriter, q *http.Request, states StateReader) {
 	id := identifier.Endpoint(mux.Vars(q)["id"])
 	s, known := states.BackendState(id)
 	if !known {
@@ -159,7 +159,7 @@
 }
 
 func decode(w http.ResponseWriter, q *http.Request, v any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxAnnouncement))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxAnnouncementBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
 		return fmt.Errorf("body: %w", err)
--- a/internal/deliverer/deliverer.go
+++ b/internal/deliverer/deliverer.go
@@ -64,7 +64,7 @@
 
 // ServeCall takes a call from a node, waits for its turn, and hands it to the backend server.
 func (d *Deliverer) ServeCall(ctx context.Context, from identifier.Node, head transporter.CallHead, body io.Reader, w transporter.AnswerWriter) {
-	id, box := d.performer.Open()
+	id, mailbox := d.performer.Open()
 	defer d.performer.Close(id)
 	token := newToken()
 	d.performer.Apply(&reducer.DeliveryArrived{
@@ -87,19 +87,19 @@
 		Token:      token,
 	})
 	select {
-	case e := <-box:
-		d.act(ctx, e, box, head, token, body, w)
+	case e := <-mailbox:
+		d.act(ctx, e, mailbox, head, token, body, w)
 	case <-ctx.Done():
 		d.performer.Apply(&reducer.DeliveryCancelled{Delivery: id})
 	}
 }
 
-func (d *Deliverer) act(ctx context.Context, e reducer.CallEffect, box performer.Mailbox, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) {
+func (d *Deliverer) act(ctx context.Context, e reducer.CallEffect, mailbox performer.Mailbox, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) {
 	switch e := e.(type) {
 	case reducer.RefuseDelivery:
 		writeRefusal(w, e)
 	case reducer.Dispatch:
-		d.dispatch(ctx, e, box, head, token, body, w)
+		d.dispatch(ctx, e, mailbox, head, token, body, w)
 	}
 }
 
@@ -118,25 +118,25 @@
 	_ = w.Close(toTail(e.Tail))
 }
 
-func (d *Deliverer) dispatch(parent context.Context, e reducer.Dispatch, box performer.Mailbox, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) {
+func (d *Deliverer) dispatch(parent context.Context, e reducer.Dispatch, mailbox performer.Mailbox, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) {
 	ctx, cancel := context.WithTimeout(parent, e.Deadline.Std())
 	defer cancel()
 	result := d.exchange(ctx, e, head, token, body, w)
 	d.performer.Apply(&reducer.DeliveryEnded{Delivery: e.Delivery, Result: result.delivery})
-	end, ok := (<-box).(reducer.EndDelivery)
-	if !ok || !result.whole {
+	end, ok := (<-mailbox).(reducer.EndDelivery)
+	if !ok || !result.closable {
 		return
 	}
 	_ = w.Close(toTail(end.Tail))
 }
 
-// ended tells how an exchange with a backend server went; whole means that the answer may be closed properly.
-type ended struct {
+// exchangeResult tells how an exchange with a backend server went; whole means that the answer may be closed properly.
+type exchangeResult struct {
 	delivery reducer.DeliveryResult
-	whole    bool
+	closable    bool
 }
 
-func (d *Deliverer) exchange(ctx context.Context, e reducer.Dispatch, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) ended {
+func (d *Deliverer) exchange(ctx context.Context, e reducer.Dispatch, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) exchangeResult {
 	b, ok := d.backend(e.Endpoint)
 	if !ok {
 		return refuse(w, e, reducer.NoBackend, true, reducer.DeliveryAborted)
@@ -151,20 +151,20 @@
 	}
 	defer resp.Body.Close()
 	if err := w.WriteHead(transporter.AnswerHead{Status: resp.StatusCode, Header: answerFields(resp)}); err != nil {
-		return ended{delivery: reducer.DeliveryAborted}
+		return exchangeResult{delivery: reducer.DeliveryAborted}
 	}
 	if err := copyBody(w, resp); err != nil {
-		return ended{delivery: failure(ctx)}
+		return exchangeResult{delivery: failure(ctx)}
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return ended{delivery: reducer.DeliveryFailed, whole: true}
+		return exchangeResult{delivery: reducer.DeliveryFailed, closable: true}
 	}
-	return ended{delivery: reducer.DeliverySucceeded, whole: true}
+	return exchangeResult{delivery: reducer.DeliverySucceeded, closable: true}
 }
 
 // A connection that could not even be made has carried nothing, so the call has not run. After that, a lost
 // connection says nothing about whether the backend server did the work.
-func refuseFailed(ctx context.Context, w transporter.AnswerWriter, e reducer.Dispatch, err error) ended {
+func refuseFailed(ctx context.Context, w transporter.AnswerWriter, e reducer.Dispatch, err error) exchangeResult {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return refuse(w, e, reducer.Unreachable, true, reducer.DeliveryFailed)
@@ -186,12 +186,12 @@
 	}
 }
 
-func refuse(w transporter.AnswerWriter, e reducer.Dispatch, reason reducer.Reason, notRun bool, result reducer.DeliveryResult) ended {
+func refuse(w transporter.AnswerWriter, e reducer.Dispatch, reason reducer.Reason, notRun bool, result reducer.DeliveryResult) exchangeResult {
 	err := w.WriteHead(transporter.AnswerHead{
 		Status:  reason.Status(),
 		Refusal: &transporter.Refusal{Reason: string(reason), NotRun: notRun, RetryAfter: e.RetryAfter, DecidedBy: e.Self},
 	})
-	return ended{delivery: result, whole: err == nil}
+	return exchangeResult{delivery: result, closable: err == nil}
 }
 
 func newBackendRequest(ctx context.Context, b *backend, e reducer.Dispatch, head transporter.CallHead, token reducer.Token, body io.Reader) (*http.Request, error) {
@@ -200,7 +200,7 @@
 		target += "?" + head.RawQuery
 	}
 	if head.ContentLength == 0 {
-		body = emptyBody{}
+		body = nonRewindableBody{}
 	}
 	req, err := http.NewRequestWithContext(ctx, head.Method, target, body)
 	if err != nil {
@@ -220,9 +220,9 @@
 // The HTTP library sends a request without a body a second time, by itself, when a reused connection dies
 // before the answer and the method is GET or an idempotency id is in the header. A booking would then run
 // twice and no retry allowance would be spent. A body that the library cannot rewind stops it from doing so.
-type emptyBody struct{}
+type nonRewindableBody struct{}
 
-func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (nonRewindableBody) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Flushing after each read lets a slow download reach its caller as it comes; an answer that is known to be
 // small is sent in one piece instead.
--- a/internal/deliverer/header.go
+++ b/internal/deliverer/header.go
@@ -30,11 +30,11 @@
 }
 
 // EndToEnd returns the fields of h that may travel on; also drop names the canonical fields to leave out besides.
-func EndToEnd(h http.Header, drop ...string) []transporter.Field {
+func EndToEnd(h http.Header, excluded ...string) []transporter.Field {
 	named := connectionNames(h)
 	fields := make([]transporter.Field, 0, len(h))
 	for name, values := range h {
-		if hopByHop[name] || named[name] || strings.HasPrefix(name, OwnPrefix) || slices.Contains(drop, name) {
+		if hopByHop[name] || named[name] || strings.HasPrefix(name, OwnPrefix) || slices.Contains(excluded, name) {
 			continue
 		}
 		for _, v := range values {
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -188,8 +188,8 @@
 	})
 	n.callers = pipeliner.New(pipeliner.Options{
 		Handler: http.HandlerFunc(n.relayer.ServeOutbound),
-		Most:    mostAhead,
-		Ahead:   n.relayer.MayRunAhead,
+		MaxAhead:    mostAhead,
+		MayStartAhead:   n.relayer.MayRunAhead,
 	})
 	n.configurations = n.newConfigurationWatcher()
 	return n
--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -26,8 +26,8 @@
 	Reduce(event reducer.Event, now clock.Time, out []reducer.Effect) []reducer.Effect
 }
 
-// Outside carries out the effects that concern other processes; its methods must not block.
-type Outside interface {
+// EffectHandler carries out the effects that concern other processes; its methods must not block.
+type EffectHandler interface {
 	Send(reducer.Send)
 	Append(reducer.Append)
 	ReadLog(reducer.ReadLog)
@@ -37,7 +37,7 @@
 // Performer serialises events and spreads effects.
 type Performer struct {
 	clock   *clock.Clock
-	outside Outside
+	handler EffectHandler
 
 	nextCall atomic.Uint64
 
@@ -48,10 +48,10 @@
 }
 
 // New returns a performer of machine's effects.
-func New(c *clock.Clock, m Machine, o Outside) *Performer {
+func New(c *clock.Clock, m Machine, o EffectHandler) *Performer {
 	return &Performer{
 		clock:     c,
-		outside:   o,
+		handler:   o,
 		machine:   m,
 		mailboxes: make(map[reducer.CallID]chan reducer.CallEffect),
 	}
@@ -60,11 +60,11 @@
 // Open makes a new call handle and its mailbox; Close must be called when the call is over.
 func (p *Performer) Open() (reducer.CallID, Mailbox) {
 	id := reducer.CallID(p.nextCall.Add(1))
-	box := make(chan reducer.CallEffect, mailboxSize)
+	mailbox := make(chan reducer.CallEffect, mailboxSize)
 	p.mu.Lock()
-	p.mailboxes[id] = box
+	p.mailboxes[id] = mailbox
 	p.mu.Unlock()
-	return id, box
+	return id, mailbox
 }
 
 // Close forgets the mailbox of a call.
@@ -80,7 +80,7 @@
 	defer p.mu.Unlock()
 	p.effects = p.machine.Reduce(event, p.clock.Now(), p.effects[:0])
 	for i, e := range p.effects {
-		p.spread(e)
+		p.dispatchEffect(e)
 		p.effects[i] = nil
 	}
 }
@@ -92,31 +92,31 @@
 	read(p.clock.Now())
 }
 
-func (p *Performer) spread(e reducer.Effect) {
+func (p *Performer) dispatchEffect(e reducer.Effect) {
 	switch e := e.(type) {
 	case reducer.CallEffect:
-		p.post(e)
+		p.postToMailbox(e)
 	case reducer.Send:
-		p.outside.Send(e)
+		p.handler.Send(e)
 	case reducer.Append:
-		p.outside.Append(e)
+		p.handler.Append(e)
 	case reducer.ReadLog:
-		p.outside.ReadLog(e)
+		p.handler.ReadLog(e)
 	case reducer.Log:
-		p.outside.Log(e)
+		p.handler.Log(e)
 	}
 }
 
 // A call whose goroutine has gone gets no mail; that is no fault, since an effect and the end of its call may
 // cross. A full mailbox would mean that the reducer repeats itself; dropping is better than a lock held forever.
-func (p *Performer) post(e reducer.CallEffect) {
-	box, ok := p.mailboxes[e.Recipient()]
+func (p *Performer) postToMailbox(e reducer.CallEffect) {
+	mailbox, ok := p.mailboxes[e.Recipient()]
 	if !ok {
 		return
 	}
 	select {
-	case box <- e:
+	case mailbox <- e:
 	default:
-		p.outside.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.Recipient())}})
+		p.handler.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.Recipient())}})
 	}
 }
--- a/internal/pipeliner/boundary.go
+++ b/internal/pipeliner/boundary.go
@@ -7,9 +7,9 @@
 
 // boundary finds the end of a head in bytes that come piece by piece.
 type boundary struct {
-	// line is how many bytes the present line has, return its last byte is a carriage return.
-	line     int
-	returned bool
+	// lineLength is how many bytes the present line has, return its last byte is a carriage return.
+	lineLength     int
+	carriageReturn bool
 }
 
 // end returns how many of the bytes belong to the head, and whether it ends there. Lines end as the standard server's
@@ -17,12 +17,12 @@
 func (b *boundary) end(data []byte) (int, bool) {
 	for i, c := range data {
 		if c != '\n' {
-			b.line++
-			b.returned = c == '\r'
+			b.lineLength++
+			b.carriageReturn = c == '\r'
 			continue
 		}
-		empty := b.line == 0 || b.line == 1 && b.returned
-		b.line, b.returned = 0, false
+		empty := b.lineLength == 0 || b.lineLength == 1 && b.carriageReturn
+		b.lineLength, b.carriageReturn = 0, false
 		if empty {
 			return i + 1, true
 		}
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// mostGathered bounds what is held of a caller that sends without waiting: some 200 requests. From there on it is the
+	// maxReadAheadBytes bounds what is held of a caller that sends without waiting: some 200 requests. From there on it is the
 	// system's buffers that fill up, and whether the caller is still there is seen when the next request's turn comes.
-	mostGathered = 64 << 10
-	// readSize is what is gathered at once, one or two requests; each connection has a buffer of it.
-	readSize = 512
+	maxReadAheadBytes = 64 << 10
+	// readChunkBytes is what is gathered at once, one or two requests; each connection has a buffer of it.
+	readChunkBytes = 512
 )
 
 // phase is what the server reads next.
@@ -31,65 +31,65 @@
 
 const (
 	// head: up to the end of the next request's head.
-	head phase = iota
+	headPhase phase = iota
 	// body: what is left of a body whose length is known.
-	body
+	bodyPhase
 	// answering: nothing; a read is the server's look for a caller that has left.
-	answering
+	answeringPhase
 	// plain: anything, since a body in chunks has hidden where requests end.
-	plain
+	passthroughPhase
 )
 
 // connection hands its server one request at a time and gathers what is sent ahead.
 type connection struct {
 	net.Conn
 	options Options
-	// left ends the context of the requests that were begun ahead.
-	left    context.CancelFunc
+	// cancel ends the context of the requests that were begun ahead.
+	cancel    context.CancelFunc
 	context context.Context
 
 	mu       sync.Mutex
 	phase    phase
 	boundary boundary
-	gathered []byte
-	// buffer is what gathering reads into.
-	buffer []byte
+	readAhead []byte
+	// readBuffer is what gathering reads into.
+	readBuffer []byte
 	// bodyLeft is how much of the body has not been handed out.
 	bodyLeft int64
 	// serving tells that a request is being answered.
 	serving bool
 	// closing tells that the answer under way ends the connection.
 	closing bool
-	// withdrawn tells that the server no longer waits for its look; changed is told of that.
-	withdrawn bool
-	changed   *sync.Cond
+	// readAborted tells that the server no longer waits for its look; changed is told of that.
+	readAborted bool
+	readAbortedCond   *sync.Cond
 	queue     queue
-	// turn is the run that was begun ahead for the request whose head was handed out last, nil for none.
-	turn *run
+	// handedRun is the run that was begun ahead for the request whose head was handed out last, nil for none.
+	handedRun *run
 }
 
 func newConnection(inner net.Conn, o Options) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &connection{Conn: inner, options: o, context: ctx, left: cancel}
-	c.changed = sync.NewCond(&c.mu)
+	c := &connection{Conn: inner, options: o, context: ctx, cancel: cancel}
+	c.readAbortedCond = sync.NewCond(&c.mu)
 	return c
 }
 
 // SetReadDeadline bounds reads; a time in the past is how the server takes its look back.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.withdrawn = !t.IsZero() && t.Before(time.Now())
-	c.changed.Broadcast()
+	c.readAborted = !t.IsZero() && t.Before(time.Now())
+	c.readAbortedCond.Broadcast()
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
 // Close closes the connection and ends what was begun ahead.
 func (c *connection) Close() error {
-	c.left()
+	c.cancel()
 	c.mu.Lock()
-	c.withdrawn = true
-	c.changed.Broadcast()
+	c.readAborted = true
+	c.readAbortedCond.Broadcast()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
@@ -98,10 +98,10 @@
 func (c *connection) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	for {
-		if c.phase == answering {
-			return c.gather()
+		if c.phase == answeringPhase {
+			return c.backgroundRead()
 		}
-		if len(c.gathered) > 0 {
+		if len(c.readAhead) > 0 {
 			n := c.handOut(p)
 			c.mu.Unlock()
 			return n, nil
@@ -112,73 +112,73 @@
 			return n, err
 		}
 		c.mu.Lock()
-		c.gathered = append(c.gathered, p[:n]...)
+		c.readAhead = append(c.readAhead, p[:n]...)
 	}
 }
 
 // handOut gives the server what belongs to the present request; the caller holds the lock.
 func (c *connection) handOut(p []byte) int {
-	n := min(len(p), len(c.gathered))
+	n := min(len(p), len(c.readAhead))
 	ended := false
 	switch c.phase {
-	case head:
-		n, ended = c.boundary.end(c.gathered[:n])
-	case body:
+	case headPhase:
+		n, ended = c.boundary.end(c.readAhead[:n])
+	case bodyPhase:
 		n = int(min(int64(n), c.bodyLeft))
 		c.bodyLeft -= int64(n)
 		ended = c.bodyLeft == 0
 	}
-	copy(p, c.gathered[:n])
-	c.gathered = append(c.gathered[:0], c.gathered[n:]...)
+	copy(p, c.readAhead[:n])
+	c.readAhead = append(c.readAhead[:0], c.readAhead[n:]...)
 	switch {
-	case ended && c.phase == head:
-		c.turn = c.queue.handed(n)
-		c.phase = answering
+	case ended && c.phase == headPhase:
+		c.handedRun = c.queue.consume(n)
+		c.phase = answeringPhase
 	case ended:
 		c.phase = c.afterBody()
-	case c.phase == head:
-		c.queue.handed(n)
+	case c.phase == headPhase:
+		c.queue.consume(n)
 	}
 	return n
 }
 
 func (c *connection) afterBody() phase {
 	if c.serving {
-		return answering
+		return answeringPhase
 	}
-	return head
+	return headPhase
 }
 
-// gather reads ahead until the connection ends or the server takes its look back; the caller holds the lock, gather lets
+// backgroundRead reads ahead until the connection ends or the server takes its look back; the caller holds the lock, gather lets
 // go of it.
-func (c *connection) gather() (int, error) {
+func (c *connection) backgroundRead() (int, error) {
 	defer c.mu.Unlock()
-	c.begin()
-	if c.buffer == nil {
-		c.buffer = make([]byte, readSize)
+	c.startAllowed()
+	if c.readBuffer == nil {
+		c.readBuffer = make([]byte, readChunkBytes)
 	}
-	for len(c.gathered) < mostGathered {
+	for len(c.readAhead) < maxReadAheadBytes {
 		c.mu.Unlock()
-		n, err := c.Conn.Read(c.buffer)
+		n, err := c.Conn.Read(c.readBuffer)
 		c.mu.Lock()
-		c.gathered = append(c.gathered, c.buffer[:n]...)
+		c.readAhead = append(c.readAhead, c.readBuffer[:n]...)
 		if err != nil {
 			if !isTimeout(err) {
-				c.left()
+				c.cancel()
 			}
 			return 0, err
 		}
-		c.begin()
+		c.startAllowed()
 	}
-	for !c.withdrawn {
-		c.changed.Wait()
+	for !c.readAborted {
+		c.readAbortedCond.Wait()
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
 func isTimeout(err error) bool {
-	failed, ok := err.(net.Error)
-	return ok && failed.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
 // serve notes that the server begins to answer a request, and returns the run that was begun for it ahead, if any.
@@ -188,17 +188,17 @@
 	c.serving = true
 	c.closing = c.closing || r.Close
 	switch {
-	case c.phase == plain:
+	case c.phase == passthroughPhase:
 	case r.ContentLength > 0:
-		c.phase, c.bodyLeft = body, r.ContentLength
+		c.phase, c.bodyLeft = bodyPhase, r.ContentLength
 	case r.ContentLength < 0:
-		c.phase = plain
+		c.phase = passthroughPhase
 	default:
-		c.begin()
+		c.startAllowed()
 	}
-	turn := c.turn
-	c.turn = nil
-	return turn
+	handedRun := c.handedRun
+	c.handedRun = nil
+	return handedRun
 }
 
 // served notes that the request has its answer.
@@ -206,35 +206,35 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = false
-	if c.phase == answering {
-		c.phase = head
+	if c.phase == answeringPhase {
+		c.phase = headPhase
 	}
 }
 
-// begin starts the requests that were sent ahead, as many as are allowed at once; the caller holds the lock.
-func (c *connection) begin() {
-	for c.serving && !c.closing && c.phase == answering && c.queue.len() < c.options.Most {
-		ahead := c.gathered[c.queue.covered:]
+// startAllowed starts the requests that were sent ahead, as many as are allowed at once; the caller holds the lock.
+func (c *connection) startAllowed() {
+	for c.serving && !c.closing && c.phase == answeringPhase && c.queue.len() < c.options.MaxAhead {
+		ahead := c.readAhead[c.queue.coveredBytes:]
 		var b boundary
 		n, whole := b.end(ahead)
 		if !whole {
 			return
 		}
-		request, ok := parse(ahead[:n])
-		if !ok || !c.options.Ahead(request) {
+		request, ok := parseHead(ahead[:n])
+		if !ok || !c.options.MayStartAhead(request) {
 			return
 		}
 		c.closing = request.Close
-		c.queue.add(c.start(request, n))
+		c.queue.add(c.startRun(request, n))
 	}
 }
 
 // mayClose tells whether the answer to a request may end the connection. Where requests behind it were begun it may not:
 // they have been passed on, and would go without an answer. Otherwise nothing behind it is begun any more.
-func (c *connection) mayClose(of *run) bool {
+func (c *connection) mayClose(answered *run) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.queue.behind(of) > 0 {
+	if c.queue.countBehind(answered) > 0 {
 		return false
 	}
 	c.closing = true
--- a/internal/pipeliner/pipeliner.go
+++ b/internal/pipeliner/pipeliner.go
@@ -1,7 +1,7 @@
 package pipeliner
 
 // The standard server takes a connection's requests one after the other. Around it stand a listener, whose connections
-// gather what is sent ahead, and a handler, which gives the server the answers to requests that were begun before
+// backgroundRead what is sent ahead, and a handler, which gives the server the answers to requests that were begun before
 // their turn.
 //
 // Example: p := New(o); server := &http.Server{Handler: p, ConnContext: p.Context}; server.Serve(p.Listen(l))
@@ -16,11 +16,11 @@
 type Options struct {
 	// Handler answers requests; it must be safe for several at once.
 	Handler http.Handler
-	// Most is how many requests of a connection may be begun ahead of their turn; 0 begins none.
-	Most int
-	// Ahead tells whether a request may be begun before those ahead of it are answered. One that may not run twice must
+	// MaxAhead is how many requests of a connection may be begun ahead of their turn; 0 begins none.
+	MaxAhead int
+	// MayStartAhead tells whether a request may be begun before those ahead of it are answered. One that may not run twice must
 	// not: its caller sends it again where the connection ends before its turn.
-	Ahead func(*http.Request) bool
+	MayStartAhead func(*http.Request) bool
 }
 
 // Pipeliner serves callers that send requests ahead; it is safe for concurrent use.
@@ -52,11 +52,11 @@
 	return newConnection(inner, l.options), nil
 }
 
-// place is the key of a request's place on its connection in its context.
-type place struct{}
+// positionKey is the key of a request's place on its connection in its context.
+type positionKey struct{}
 
-// at is a request's place: its connection, and its run if it was begun ahead of its turn.
-type at struct {
+// position is a request's place: its connection, and its run if it was begun ahead of its turn.
+type position struct {
 	connection *connection
 	run        *run
 }
@@ -64,30 +64,30 @@
 // Context is to be the server's ConnContext.
 func (p *Pipeliner) Context(ctx context.Context, inner net.Conn) context.Context {
 	if c, ok := inner.(*connection); ok {
-		return context.WithValue(ctx, place{}, at{connection: c})
+		return context.WithValue(ctx, positionKey{}, position{connection: c})
 	}
 	return ctx
 }
 
 // ServeHTTP answers a request whose turn has come.
 func (p *Pipeliner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	here, ok := r.Context().Value(place{}).(at)
+	current, ok := r.Context().Value(positionKey{}).(position)
 	if !ok {
 		p.options.Handler.ServeHTTP(w, r)
 		return
 	}
-	turn := here.connection.serve(r)
-	defer here.connection.served()
-	if turn == nil {
+	handedRun := current.connection.serve(r)
+	defer current.connection.served()
+	if handedRun == nil {
 		p.options.Handler.ServeHTTP(w, r)
 		return
 	}
-	turn.answer(w)
+	handedRun.answer(w)
 }
 
 // MayClose tells a handler whether its answer may end the connection. It may not where requests behind it have been
 // begun; where it may, no more are begun.
 func MayClose(ctx context.Context) bool {
-	here, ok := ctx.Value(place{}).(at)
-	return !ok || here.connection.mayClose(here.run)
+	current, ok := ctx.Value(positionKey{}).(position)
+	return !ok || current.connection.mayClose(current.run)
 }
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -28,10 +28,10 @@
 	begun     []string
 	cancelled []string
 	running   atomic.Int64
-	most      atomic.Int64
+	maxRunning      atomic.Int64
 }
 
-func (s *service) note(list *[]string, path string) {
+func (s *service) record(list *[]string, path string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*list = append(*list, path)
@@ -44,8 +44,8 @@
 }
 
 func (s *service) serve(w http.ResponseWriter, r *http.Request) {
-	s.note(&s.begun, r.URL.Path)
-	s.most.Store(max(s.most.Load(), s.running.Add(1)))
+	s.record(&s.begun, r.URL.Path)
+	s.maxRunning.Store(max(s.maxRunning.Load(), s.running.Add(1)))
 	defer s.running.Add(-1)
 	var milliseconds, size int
 	_, _ = fmt.Sscanf(r.URL.Path, "/%d/%d", &milliseconds, &size)
@@ -53,7 +53,7 @@
 	select {
 	case <-time.After(time.Duration(milliseconds) * time.Millisecond):
 	case <-r.Context().Done():
-		s.note(&s.cancelled, r.URL.Path)
+		s.record(&s.cancelled, r.URL.Path)
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -74,10 +74,10 @@
 
 func isLookup(r *http.Request) bool { return r.Method == http.MethodGet }
 
-func serve(t testing.TB, most int) *service {
+func serve(t testing.TB, maxAhead int) *service {
 	t.Helper()
 	s := &service{}
-	p := New(Options{Handler: http.HandlerFunc(s.serve), Most: most, Ahead: isLookup})
+	p := New(Options{Handler: http.HandlerFunc(s.serve), MaxAhead: maxAhead, MayStartAhead: isLookup})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: p, ConnContext: p.Context, IdleTimeout: 3 * time.Second}
@@ -140,7 +140,7 @@
 
 // A caller sends three lookups at once, the first of which is slow. Taken one after the other, the quick ones behind it
 // would be late as well; each is begun at once, and their answers come in the order of the requests.
-func TestSlowLookupDoesNotHoldThoseBehindIt(t *testing.T) {
+func TestSlowLookupDoesNotDelayLaterOnes(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	begun := time.Now()
@@ -155,7 +155,7 @@
 
 // A caller that has sent further requests closes the connection while the first is under way. Endpoints would work on for
 // nobody, until their slots are full of such requests.
-func TestLeavingCallerCancelsAllItSent(t *testing.T) {
+func TestClosedConnectionCancelsAllItsRequests(t *testing.T) {
 	for name, behind := range map[string][]string{
 		"alone":           nil,
 		"lookups behind":  {lookup("/900/b"), lookup("/900/c")},
@@ -202,8 +202,8 @@
 }
 
 // An answer ends its connection. What was sent behind it counts as unread, and its caller sends it again elsewhere: nothing
-// behind may be passed on. Where something behind has been passed on already, the connection stays.
-func TestNothingIsPassedOnBehindAnAnswerThatCloses(t *testing.T) {
+// countBehind may be passed on. Where something behind has been passed on already, the connection stays.
+func TestNothingIsStartedBehindAnAnswerThatCloses(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	c.send(t, lookup("/50/close"))
@@ -225,7 +225,7 @@
 
 // An answer breaks off. Its caller must not take what follows on the connection for the rest of it, so the connection
 // ends there also where the request was begun ahead of its turn.
-func TestBrokenAnswerEndsTheConnection(t *testing.T) {
+func TestAbortedAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	c.send(t, lookup("/50/a"), lookup("/0/cut"), lookup("/0/c"))
@@ -237,7 +237,7 @@
 
 // A caller sends thousands of requests without reading an answer. Each one that is held or begun costs memory, which
 // other callers then lack.
-func TestThousandsSentAheadAreBounded(t *testing.T) {
+func TestReadAheadIsBounded(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	var before, after runtime.MemStats
@@ -258,7 +258,7 @@
 	time.Sleep(300 * time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	assert.Assert(t, s.most.Load() <= 5, "%d at once", s.most.Load())
+	assert.Assert(t, s.maxRunning.Load() <= 5, "%d at once", s.maxRunning.Load())
 	held := int64(after.HeapAlloc) - int64(before.HeapAlloc)
 	assert.Assert(t, held < 1<<20, "%d bytes", held)
 	for range 6_001 {
@@ -324,7 +324,7 @@
 }
 
 // Without a connection of its own, as behind another server, a handler is served as usual.
-func TestPlainServerIsServed(t *testing.T) {
+func TestHandlerWorksWithoutPipelinedConnection(t *testing.T) {
 	p := New(Options{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, MayClose(r.Context()))
 	})})
--- a/internal/pipeliner/run.go
+++ b/internal/pipeliner/run.go
@@ -14,25 +14,25 @@
 	"sync"
 )
 
-// mostKept bounds what is kept of an answer before its turn; ordinary ones have 400 to 6,000 bytes.
-const mostKept = 64 << 10
+// maxPendingBytes bounds what is kept of an answer before its turn; ordinary ones have 400 to 6,000 bytes.
+const maxPendingBytes = 64 << 10
 
 // run is a request that was begun ahead of its turn.
 type run struct {
-	// left is how many bytes of the request's head have not been handed to the server.
-	left int
+	// cancel is how many bytes of the request's head have not been handed to the server.
+	headBytesLeft int
 	// done is closed when the handler has returned; cut tells that it broke the answer off.
 	done chan struct{}
-	cut  bool
+	aborted  bool
 
 	mu     sync.Mutex
-	turned *sync.Cond
-	// to is where the answer goes, from the request's turn on.
-	to      http.ResponseWriter
-	gone    bool
+	turnCond *sync.Cond
+	// writer is where the answer goes, from the request's turn on.
+	writer      http.ResponseWriter
+	callerLeft    bool
 	header  http.Header
 	status  int
-	kept    bytes.Buffer
+	pending    bytes.Buffer
 	cancel  context.CancelFunc
 	request *http.Request
 }
@@ -40,8 +40,8 @@
 // queue holds the runs whose turn is to come, in the order of their requests.
 type queue struct {
 	runs []*run
-	// covered is how many of the gathered bytes are the runs' requests.
-	covered int
+	// coveredBytes is how many of the gathered bytes are the runs' requests.
+	coveredBytes int
 }
 
 func (q *queue) len() int {
@@ -50,26 +50,26 @@
 
 func (q *queue) add(r *run) {
 	q.runs = append(q.runs, r)
-	q.covered += r.left
+	q.coveredBytes += r.headBytesLeft
 }
 
-// handed notes bytes that the server was given; it returns the run whose request they complete, nil for none.
-func (q *queue) handed(n int) *run {
+// consume notes bytes that the server was given; it returns the run whose request they complete, nil for none.
+func (q *queue) consume(n int) *run {
 	if len(q.runs) == 0 {
 		return nil
 	}
 	first := q.runs[0]
-	first.left -= n
-	q.covered -= n
-	if first.left > 0 {
+	first.headBytesLeft -= n
+	q.coveredBytes -= n
+	if first.headBytesLeft > 0 {
 		return nil
 	}
 	q.runs = q.runs[1:]
 	return first
 }
 
-// behind returns how many runs come after one; all do that wait after one whose turn has come, or after nil.
-func (q *queue) behind(r *run) int {
+// countBehind returns how many runs come after one; all do that wait after one whose turn has come, or after nil.
+func (q *queue) countBehind(r *run) int {
 	for i, other := range q.runs {
 		if other == r {
 			return len(q.runs) - i - 1
@@ -78,8 +78,8 @@
 	return len(q.runs)
 }
 
-// parse reads a head as the standard server does. What has a body, or is not plainly in order, waits for the server.
-func parse(head []byte) (*http.Request, bool) {
+// parseHead reads a head as the standard server does. What has a body, or is not plainly in order, waits for the server.
+func parseHead(head []byte) (*http.Request, bool) {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil || request.ContentLength != 0 || request.Host == "" || !request.ProtoAtLeast(1, 1) {
 		return nil, false
@@ -88,14 +88,14 @@
 	return request, !expects && request.Method != http.MethodConnect
 }
 
-// start runs a request's handler beside the one whose turn it is; the caller holds the connection's lock.
-func (c *connection) start(request *http.Request, size int) *run {
+// startRun runs a request's handler beside the one whose turn it is; the caller holds the connection's lock.
+func (c *connection) startRun(request *http.Request, size int) *run {
 	ctx, cancel := context.WithCancel(c.context)
-	r := &run{left: size, done: make(chan struct{}), header: http.Header{}, cancel: cancel}
-	r.turned = sync.NewCond(&r.mu)
-	r.request = request.WithContext(context.WithValue(ctx, place{}, at{connection: c, run: r}))
+	r := &run{headBytesLeft: size, done: make(chan struct{}), header: http.Header{}, cancel: cancel}
+	r.turnCond = sync.NewCond(&r.mu)
+	r.request = request.WithContext(context.WithValue(ctx, positionKey{}, position{connection: c, run: r}))
 	r.request.RemoteAddr = c.RemoteAddr().String()
-	context.AfterFunc(ctx, r.leave)
+	context.AfterFunc(ctx, r.noteCallerLeft)
 	go r.work(c.options.Handler)
 	return r
 }
@@ -103,46 +103,46 @@
 func (r *run) work(h http.Handler) {
 	defer func() {
 		// A handler breaks an answer off by a panic, which is the server's to see at the request's turn.
-		r.cut = recover() != nil
+		r.aborted = recover() != nil
 		close(r.done)
 	}()
 	h.ServeHTTP(r, r.request)
 }
 
-// leave lets an answer go that waits for its turn, since the caller has left.
-func (r *run) leave() {
+// noteCallerLeft lets an answer go that waits for its turn, since the caller has left.
+func (r *run) noteCallerLeft() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone = true
-	r.turned.Broadcast()
+	r.callerLeft = true
+	r.turnCond.Broadcast()
 }
 
 // answer sends the answer when the request's turn has come, and waits for its end.
 func (r *run) answer(w http.ResponseWriter) {
 	r.mu.Lock()
-	r.to = w
+	r.writer = w
 	if r.status != 0 {
 		r.send()
 	}
-	r.turned.Broadcast()
+	r.turnCond.Broadcast()
 	r.mu.Unlock()
 	<-r.done
 	r.cancel()
-	if r.cut {
+	if r.aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // send writes what is kept; the caller holds the lock.
 func (r *run) send() {
-	to := r.to.Header()
+	to := r.writer.Header()
 	for name, values := range r.header {
 		to[name] = values
 	}
-	r.to.WriteHeader(r.status)
+	r.writer.WriteHeader(r.status)
 	// A caller that has gone is seen by the server.
-	_, _ = r.to.Write(r.kept.Bytes())
-	r.kept.Reset()
+	_, _ = r.writer.Write(r.pending.Bytes())
+	r.pending.Reset()
 }
 
 // Header returns the answer's header.
@@ -162,7 +162,7 @@
 		return
 	}
 	r.status = status
-	if r.to != nil {
+	if r.writer != nil {
 		r.send()
 	}
 }
@@ -172,25 +172,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writeHeader(http.StatusOK)
-	for r.to == nil && r.kept.Len()+len(p) > mostKept {
-		if r.gone {
+	for r.writer == nil && r.pending.Len()+len(p) > maxPendingBytes {
+		if r.callerLeft {
 			return 0, http.ErrAbortHandler
 		}
-		r.turned.Wait()
+		r.turnCond.Wait()
 	}
-	if r.to != nil {
-		return r.to.Write(p)
+	if r.writer != nil {
+		return r.writer.Write(p)
 	}
-	return r.kept.Write(p)
+	return r.pending.Write(p)
 }
 
 // Flush passes on what was written, from the request's turn on.
 func (r *run) Flush() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.to == nil || r.status == 0 {
+	if r.writer == nil || r.status == 0 {
 		return
 	}
 	// A server without flushing keeps what was written, which is no error.
-	_ = http.NewResponseController(r.to).Flush()
+	_ = http.NewResponseController(r.writer).Flush()
 }
