--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -39,8 +39,8 @@
 	Logger   *log.Logger
 	// Clock is the process's clock; a test may hold on to it in order to pause the node.
 	Clock *clock.Clock
-	// Cut drops all traffic with some peers, for tests.
-	Cut func(peer identifier.Node) bool
+	// Partitioned drops all traffic with some peers, for tests.
+	Partitioned func(peer identifier.Node) bool
 }
 
 // Addresses are where a running node listens.
@@ -53,12 +53,12 @@
 
 // Node is one process of the system.
 type Node struct {
-	app     *fx.App
-	id      identifier.Node
-	servers *servers
-	peer    *transporter.Transporter
-	stopper *stopper
-	source  *source
+	app         *fx.App
+	id          identifier.Node
+	servers     *servers
+	peer        *transporter.Transporter
+	lifecycle   *lifecycle
+	stateReader *stateReader
 }
 
 // New puts a node together; nothing listens yet but the peer address.
@@ -75,10 +75,10 @@
 			newInbox,
 			newTransporter,
 			newState,
-			func(o Options, c *clock.Clock, t *transporter.Transporter) *outside {
-				return newOutside(c, o.Logger, o.Log, t)
+			func(o Options, c *clock.Clock, t *transporter.Transporter) *effectRunner {
+				return newEffectRunner(c, o.Logger, o.Log, t)
 			},
-			func(c *clock.Clock, s *reducer.State, o *outside) *performer.Performer {
+			func(c *clock.Clock, s *reducer.State, o *effectRunner) *performer.Performer {
 				return performer.New(c, s, o)
 			},
 			deliverer.New,
@@ -88,12 +88,12 @@
 			func(o Options, id identifier.Node, c *clock.Clock, p *performer.Performer, f *forwarder.Forwarder) *receiver.Receiver {
 				return receiver.New(id, c, p, f, int(o.Settings.Limits.MaxBodies))
 			},
-			newSource,
+			newStateReader,
 			newServers,
-			newStopper,
+			newLifecycle,
 		),
 		fx.Invoke(connectInbox, runNode),
-		fx.Populate(&n.servers, &n.peer, &n.stopper, &n.source),
+		fx.Populate(&n.servers, &n.peer, &n.lifecycle, &n.stateReader),
 	)
 	if err := n.app.Err(); err != nil {
 		return nil, fmt.Errorf("assemble node %s: %w", o.Settings.Name, err)
@@ -120,7 +120,7 @@
 
 // Kill ends the node at once, as a crash would.
 func (n *Node) Kill() {
-	n.stopper.kill()
+	n.lifecycle.kill()
 	_ = n.app.Stop(context.Background())
 }
 
@@ -141,7 +141,7 @@
 		ClientTLS: o.Trust.Client(nil),
 		Self:      id,
 		Domain:    o.Settings.Domain,
-		Cut:       o.Cut,
+		Cut:       o.Partitioned,
 	}, in)
 	// The node's address is part of its state, and with port 0 it is only known once the socket is open.
 	if err := t.Start(context.Background()); err != nil {
@@ -175,8 +175,8 @@
 // Pause keeps the node from deciding anything for the given time, as a process would be that its VM does not run, and
 // returns when it is over; it is for tests.
 func (n *Node) Pause(d time.Duration) {
-	n.stopper.performer.View(func(clock.Time) { time.Sleep(d) })
+	n.lifecycle.performer.View(func(clock.Time) { time.Sleep(d) })
 }
 
 // Dump returns the node's state at this moment.
-func (n *Node) Dump() reducer.Dump { return n.source.Dump() }
+func (n *Node) Dump() reducer.Dump { return n.stateReader.Dump() }
--- a/internal/assembler/outside.go
+++ b/internal/assembler/effects.go
@@ -21,54 +21,54 @@
 )
 
 const (
-	sendQueue   = 8192
-	appendQueue = 1024
-	logQueue    = 1024
-	readLimit   = 500
+	sendQueueSize   = 8192
+	appendQueueSize = 1024
+	logQueueSize    = 1024
+	maxReadRecords  = 500
 	// readWait is how long one read waits for a new record; the news of an idle log is at most this old.
-	readWait      = time.Second
-	readTimeout   = 5 * time.Second
-	appendTimeout = 2 * time.Second
-	retryPause    = 200 * time.Millisecond
+	readWait         = time.Second
+	readTimeout      = 5 * time.Second
+	appendTimeout    = 2 * time.Second
+	appendRetryPause = 200 * time.Millisecond
 )
 
-// outside carries out effects that concern other processes.
-type outside struct {
+// effectRunner carries out effects that concern other processes.
+type effectRunner struct {
 	clock       *clock.Clock
 	logger      *log.Logger
 	log         appender.Log
 	transporter *transporter.Transporter
 
-	sends   chan reducer.Send
-	appends chan reducer.Append
-	reads   chan reducer.ReadLog
-	lines   chan reducer.Log
+	sends    chan reducer.Send
+	appends  chan reducer.Append
+	reads    chan reducer.ReadLog
+	logLines chan reducer.Log
 }
 
-func newOutside(c *clock.Clock, logger *log.Logger, l appender.Log, t *transporter.Transporter) *outside {
-	return &outside{
+func newEffectRunner(c *clock.Clock, logger *log.Logger, l appender.Log, t *transporter.Transporter) *effectRunner {
+	return &effectRunner{
 		clock:       c,
 		logger:      logger,
 		log:         l,
 		transporter: t,
-		sends:       make(chan reducer.Send, sendQueue),
-		appends:     make(chan reducer.Append, appendQueue),
+		sends:       make(chan reducer.Send, sendQueueSize),
+		appends:     make(chan reducer.Append, appendQueueSize),
 		reads:       make(chan reducer.ReadLog, 1),
-		lines:       make(chan reducer.Log, logQueue),
+		logLines:    make(chan reducer.Log, logQueueSize),
 	}
 }
 
 // Send queues a control message.
-func (o *outside) Send(e reducer.Send) { offer(o.sends, e) }
+func (o *effectRunner) Send(e reducer.Send) { offer(o.sends, e) }
 
 // Append queues a record.
-func (o *outside) Append(e reducer.Append) { offer(o.appends, e) }
+func (o *effectRunner) Append(e reducer.Append) { offer(o.appends, e) }
 
 // ReadLog queues a read.
-func (o *outside) ReadLog(e reducer.ReadLog) { offer(o.reads, e) }
+func (o *effectRunner) ReadLog(e reducer.ReadLog) { offer(o.reads, e) }
 
 // Log queues a log line.
-func (o *outside) Log(e reducer.Log) { offer(o.lines, e) }
+func (o *effectRunner) Log(e reducer.Log) { offer(o.logLines, e) }
 
 func offer[T any](queue chan T, v T) {
 	select {
@@ -78,14 +78,14 @@
 }
 
 // run works off the queues until ctx ends.
-func (o *outside) run(ctx context.Context, apply func(reducer.Event)) {
+func (o *effectRunner) run(ctx context.Context, apply func(reducer.Event)) {
 	go o.runSends(ctx)
 	go o.runAppends(ctx)
 	go o.runReads(ctx, apply)
-	go o.runLines(ctx)
+	go o.runLogLines(ctx)
 }
 
-func (o *outside) runSends(ctx context.Context) {
+func (o *effectRunner) runSends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -96,7 +96,7 @@
 	}
 }
 
-func (o *outside) sendOne(e reducer.Send) {
+func (o *effectRunner) sendOne(e reducer.Send) {
 	b, err := encoder.Encode(e.Message)
 	if err != nil {
 		o.logger.Error("message cannot be encoded", "error", err)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (o *outside) runAppends(ctx context.Context) {
+func (o *effectRunner) runAppends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -121,7 +121,7 @@
 
 // A claim is appended once: the claimer judges by reading it back, and appends anew in its own time. Other records
 // are repeated until the log has them, since nobody else would.
-func (o *outside) appendOne(ctx context.Context, e reducer.Append) {
+func (o *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
 	b, err := encoder.Encode(e.Record)
 	if err != nil {
 		o.logger.Error("record cannot be encoded", "error", err)
@@ -137,10 +137,10 @@
 	if _, isClaim := e.Record.(claimer.Claim); isClaim {
 		return
 	}
-	time.AfterFunc(retryPause, func() { o.Append(e) })
+	time.AfterFunc(appendRetryPause, func() { o.Append(e) })
 }
 
-func (o *outside) runReads(ctx context.Context, apply func(reducer.Event)) {
+func (o *effectRunner) runReads(ctx context.Context, apply func(reducer.Event)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *outside) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
+func (o *effectRunner) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
 	from := appender.Offset(e.From)
 	b, err := o.read(ctx, from)
 	var expired appender.Expired
@@ -177,18 +177,18 @@
 	return event
 }
 
-func (o *outside) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
+func (o *effectRunner) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
 	ctx, cancel := context.WithTimeout(parent, readTimeout)
 	defer cancel()
-	return o.log.Read(ctx, from, readLimit, readWait)
+	return o.log.Read(ctx, from, maxReadRecords, readWait)
 }
 
-func (o *outside) runLines(ctx context.Context) {
+func (o *effectRunner) runLogLines(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.lines:
+		case e := <-o.logLines:
 			o.logger.Info(e.Message, e.Fields...)
 		}
 	}
--- a/internal/assembler/inbox.go
+++ b/internal/assembler/inbox.go
@@ -22,7 +22,7 @@
 type inbox struct {
 	clock  *clock.Clock
 	logger *log.Logger
-	ready  atomic.Pointer[inboxTarget]
+	target atomic.Pointer[inboxTarget]
 }
 
 type inboxTarget struct {
@@ -35,19 +35,19 @@
 }
 
 func connectInbox(in *inbox, d *deliverer.Deliverer, p *performer.Performer) {
-	in.ready.Store(&inboxTarget{deliverer: d, performer: p})
+	in.target.Store(&inboxTarget{deliverer: d, performer: p})
 }
 
 // ServeCall passes a call on to the deliverer.
 func (in *inbox) ServeCall(ctx context.Context, from identifier.Node, head transporter.CallHead, body io.Reader, w transporter.AnswerWriter) {
-	if t := in.ready.Load(); t != nil {
+	if t := in.target.Load(); t != nil {
 		t.deliverer.ServeCall(ctx, from, head, body, w)
 	}
 }
 
 // ServeControl passes a message on to the reducer.
 func (in *inbox) ServeControl(from identifier.Node, message []byte) {
-	t := in.ready.Load()
+	t := in.target.Load()
 	if t == nil {
 		return
 	}
--- a/internal/assembler/lifecycle.go
+++ b/internal/assembler/lifecycle.go
@@ -20,56 +20,56 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond
-	idlePoll     = 20 * time.Millisecond
-	// stopSlack is what a stop needs besides waiting for calls.
-	stopSlack = 15 * time.Second
+	tickInterval     = 10 * time.Millisecond
+	idlePollInterval = 20 * time.Millisecond
+	// stopMargin is what a stop needs besides waiting for calls.
+	stopMargin = 15 * time.Second
 )
 
 func stopTimeout(o Options) time.Duration {
-	return o.Settings.Limits.DrainTimeout.Std() + stopSlack
+	return o.Settings.Limits.DrainTimeout.Std() + stopMargin
 }
 
-type stopper struct {
-	killed      atomic.Bool
-	clock       *clock.Clock
-	logger      *log.Logger
-	performer   *performer.Performer
-	state       *reducer.State
-	transporter *transporter.Transporter
-	outside     *outside
-	servers     *servers
-	source      *source
-	drain       time.Duration
-	cancel      context.CancelFunc
+type lifecycle struct {
+	killed       atomic.Bool
+	clock        *clock.Clock
+	logger       *log.Logger
+	performer    *performer.Performer
+	state        *reducer.State
+	transporter  *transporter.Transporter
+	effectRunner *effectRunner
+	servers      *servers
+	stateReader  *stateReader
+	drainTimeout time.Duration
+	cancel       context.CancelFunc
 }
 
-func newStopper(o Options, c *clock.Clock, p *performer.Performer, s *reducer.State, t *transporter.Transporter, out *outside, v *servers, src *source) *stopper {
-	return &stopper{
-		clock:       c,
-		logger:      o.Logger,
-		performer:   p,
-		state:       s,
-		transporter: t,
-		outside:     out,
-		servers:     v,
-		source:      src,
-		drain:       o.Settings.Limits.DrainTimeout.Std(),
+func newLifecycle(o Options, c *clock.Clock, p *performer.Performer, s *reducer.State, t *transporter.Transporter, runner *effectRunner, v *servers, reader *stateReader) *lifecycle {
+	return &lifecycle{
+		clock:        c,
+		logger:       o.Logger,
+		performer:    p,
+		state:        s,
+		transporter:  t,
+		effectRunner: runner,
+		servers:      v,
+		stateReader:  reader,
+		drainTimeout: o.Settings.Limits.DrainTimeout.Std(),
 	}
 }
 
-func runNode(lc fx.Lifecycle, s *stopper) {
+func runNode(lc fx.Lifecycle, s *lifecycle) {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return s.start() },
 		OnStop:  s.stop,
 	})
 }
 
-func (s *stopper) start() error {
-	publishMetrics(s.source)
+func (s *lifecycle) start() error {
+	publishMetrics(s.stateReader)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.outside.run(ctx, s.performer.Apply)
+	s.effectRunner.run(ctx, s.performer.Apply)
 	go s.tick(ctx)
 	for _, v := range []*server{s.servers.admin, s.servers.local, s.servers.caller} {
 		if err := v.start(); err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (s *stopper) tick(ctx context.Context) {
+func (s *lifecycle) tick(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -94,7 +94,7 @@
 }
 
 // kill makes the stop that follows a crash.
-func (s *stopper) kill() {
+func (s *lifecycle) kill() {
 	s.killed.Store(true)
 	s.cancel()
 	for _, v := range []*server{s.servers.caller, s.servers.local, s.servers.admin} {
@@ -102,33 +102,33 @@
 	}
 }
 
-func (s *stopper) stop(ctx context.Context) error {
+func (s *lifecycle) stop(ctx context.Context) error {
 	defer s.cancel()
-	defer withdrawMetrics(s.source.id)
+	defer withdrawMetrics(s.stateReader.id)
 	if s.killed.Load() {
-		now, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		_ = s.transporter.Close(now)
+		_ = s.transporter.Close(cancelled)
 		return nil
 	}
-	drain, cancel := context.WithTimeout(ctx, s.drain)
+	drainCtx, cancel := context.WithTimeout(ctx, s.drainTimeout)
 	defer cancel()
 	s.performer.Apply(&reducer.NodeLeaving{Wall: s.clock.Wall()})
 	// Callers may go on until the listener closes; their connections end with the answers under way.
-	callers := s.servers.caller.stop(drain)
-	if callers != nil {
-		s.logger.Warn("drain timeout passed", "error", callers)
+	callerErr := s.servers.caller.stop(drainCtx)
+	if callerErr != nil {
+		s.logger.Warn("drain timeout passed", "error", callerErr)
 	}
-	s.awaitIdle(drain)
-	_ = s.servers.local.stop(drain)
-	err := s.transporter.Close(drain)
+	s.awaitIdle(drainCtx)
+	_ = s.servers.local.stop(drainCtx)
+	err := s.transporter.Close(drainCtx)
 	_ = s.servers.admin.stop(ctx)
 	s.logger.Info("node stopped")
 	return err
 }
 
-func (s *stopper) awaitIdle(ctx context.Context) {
-	t := time.NewTicker(idlePoll)
+func (s *lifecycle) awaitIdle(ctx context.Context) {
+	t := time.NewTicker(idlePollInterval)
 	defer t.Stop()
 	for {
 		idle := false
--- a/internal/assembler/metrics.go
+++ b/internal/assembler/metrics.go
@@ -26,7 +26,7 @@
 	Backends   []reducer.BackendDump
 }
 
-func publishMetrics(s *source) {
+func publishMetrics(s *stateReader) {
 	nodeMetrics.Set(string(s.id), expvar.Func(func() any {
 		d := s.Dump()
 		return inspector.Camel(metrics{
--- a/internal/assembler/servers.go
+++ b/internal/assembler/servers.go
@@ -37,7 +37,7 @@
 	listener net.Listener
 }
 
-func newServers(o Options, r *receiver.Receiver, d *deliverer.Deliverer, s *source) (*servers, error) {
+func newServers(o Options, r *receiver.Receiver, d *deliverer.Deliverer, s *stateReader) (*servers, error) {
 	l := o.Settings.Listen
 	callerTLS, err := callerTLS(o.Settings.CallerCertificates)
 	if err != nil {
--- a/internal/assembler/servers_test.go
+++ b/internal/assembler/servers_test.go
@@ -70,7 +70,7 @@
 
 // A client stops in the middle of its upload and keeps the connection open. Its call would hold a place for ever. A
 // client that is slow but goes on, and an answer that takes long, must not be cut.
-func TestOnlyStalledBodiesAreCut(t *testing.T) {
+func TestOnlyStalledUploadsTimeOut(t *testing.T) {
 	tests := map[string]struct {
 		parts int
 		pause time.Duration
@@ -99,7 +99,7 @@
 
 // A client asks for a long answer and does not read it. The node must not wait for it for ever; one that reads slowly
 // gets all of it.
-func TestOnlyStalledReadersAreCut(t *testing.T) {
+func TestOnlyStalledReadersTimeOut(t *testing.T) {
 	ended := make(chan error, 1)
 	s := serve(t, 0, func(w http.ResponseWriter, _ *http.Request) {
 		_, err := io.CopyN(w, endless{}, 64<<20)
@@ -121,7 +121,7 @@
 
 // A backend server sends its last bytes and ends its answer a while later. The end must still reach the caller, and the
 // next request on the connection be served.
-func TestLateEndReachesCaller(t *testing.T) {
+func TestLateEndOfAnswerReachesCaller(t *testing.T) {
 	c := dial(t, serve(t, 0, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 		time.Sleep(2 * testIdle.Std())
--- a/internal/assembler/source.go
+++ b/internal/assembler/state_reader.go
@@ -15,33 +15,33 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-type source struct {
+type stateReader struct {
 	performer *performer.Performer
 	state     *reducer.State
 	domain    identifier.FailureDomain
 	id        identifier.Node
 }
 
-func newSource(o Options, id identifier.Node, p *performer.Performer, s *reducer.State) *source {
-	return &source{performer: p, state: s, domain: o.Settings.Domain, id: id}
+func newStateReader(o Options, id identifier.Node, p *performer.Performer, s *reducer.State) *stateReader {
+	return &stateReader{performer: p, state: s, domain: o.Settings.Domain, id: id}
 }
 
 // Dump returns the state at this moment.
-func (s *source) Dump() reducer.Dump {
+func (s *stateReader) Dump() reducer.Dump {
 	var d reducer.Dump
 	s.performer.View(func(now clock.Time) { d = s.state.Dump(now) })
 	return d
 }
 
 // Explain returns the node's decisions on a request.
-func (s *source) Explain(r identifier.Request) []reducer.Decision {
+func (s *stateReader) Explain(r identifier.Request) []reducer.Decision {
 	var d []reducer.Decision
 	s.performer.View(func(clock.Time) { d = s.state.Explain(r) })
 	return d
 }
 
 // Status returns the configuration in force here and, as far as it was heard, at the other nodes.
-func (s *source) Status() inspector.Status {
+func (s *stateReader) Status() inspector.Status {
 	var own reducer.Status
 	var fleet map[identifier.Node]reducer.Status
 	var leaving bool
@@ -61,13 +61,13 @@
 	return status
 }
 
-// neverHeard is how a status tells that there was no news at all.
-const neverHeard = -1
+// silenceUnknown is how a status tells that there was no news at all.
+const silenceUnknown = -1
 
-func (s *source) nodeStatus(n identifier.Node, st reducer.Status) inspector.NodeStatus {
+func (s *stateReader) nodeStatus(n identifier.Node, st reducer.Status) inspector.NodeStatus {
 	silence := int64(st.Silence)
 	if st.Silence > clock.Hour*24*365 {
-		silence = neverHeard
+		silence = silenceUnknown
 	}
 	return inspector.NodeStatus{
 		Node:          string(n),
@@ -79,7 +79,7 @@
 }
 
 // BackendState returns what is known of one backend server of this VM.
-func (s *source) BackendState(id identifier.Endpoint) (deliverer.BackendState, bool) {
+func (s *stateReader) BackendState(id identifier.Endpoint) (deliverer.BackendState, bool) {
 	var b reducer.BackendDump
 	var ok bool
 	s.performer.View(func(clock.Time) { b, ok = s.state.BackendState(id) })
--- a/internal/deliverer/deliverer.go
+++ b/internal/deliverer/deliverer.go
@@ -133,7 +133,7 @@
 // exchangeResult tells how an exchange with a backend server went; whole means that the answer may be closed properly.
 type exchangeResult struct {
 	delivery reducer.DeliveryResult
-	closable    bool
+	closable bool
 }
 
 func (d *Deliverer) exchange(ctx context.Context, e reducer.Dispatch, head transporter.CallHead, token reducer.Token, body io.Reader, w transporter.AnswerWriter) exchangeResult {
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -226,7 +226,7 @@
 	r.cut[d] = cut
 	r.mu.Unlock()
 	if cut {
-		r.fleet.Cut(d)
+		r.fleet.Partition(d)
 		return
 	}
 	r.fleet.Heal(d)
--- a/internal/launcher/callers_test.go
+++ b/internal/launcher/callers_test.go
@@ -27,7 +27,7 @@
 // The callers' interface, request by request: what each can expect when all is well, when they err, and when the fleet is
 // in trouble. A status or a field that changes by accident would break their programs.
 func TestCallers(t *testing.T) {
-	s := newStand(t)
+	s := newTestFleet(t)
 	files, err := filepath.Glob("testdata/callers/*.session")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) >= 6)
@@ -44,7 +44,7 @@
 
 // replay runs a session: lines with ">" are requests and their headers, with "!" what happens meanwhile, with "%"
 // remarks, and with "<" answers, which are made anew.
-func (s *stand) replay(t *testing.T, script string) string {
+func (s *testFleet) replay(t *testing.T, script string) string {
 	t.Helper()
 	var out strings.Builder
 	var request []string
@@ -68,7 +68,7 @@
 			send()
 			out.WriteString(line + "\n")
 			if kind == "!" {
-				s.happen(t, strings.Fields(rest))
+				s.runEvent(t, strings.Fields(rest))
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 	return out.String()
 }
 
-func (s *stand) happen(t *testing.T, words []string) {
+func (s *testFleet) runEvent(t *testing.T, words []string) {
 	t.Helper()
 	switch words[0] {
 	case "withdraw":
@@ -89,19 +89,19 @@
 	case "flood":
 		s.flood(words[1])
 	case "calm":
-		s.calm()
+		s.stopFlood()
 	default:
 		t.Fatalf("unknown event %q", words[0])
 	}
 }
 
 // request sends one request and returns its answer, normalised.
-func (s *stand) request(t *testing.T, lines []string) string {
+func (s *testFleet) request(t *testing.T, lines []string) string {
 	t.Helper()
 	until := ""
 	for _, l := range lines {
 		if l == "Until: error" {
-			return s.failing(t, lines)
+			return s.truncatedRequest(t, lines)
 		}
 		if reason, ok := strings.CutPrefix(l, "Until: "); ok {
 			until = fmt.Sprintf("%q: %q", "reason", reason)
@@ -118,25 +118,25 @@
 	return ""
 }
 
-// failing sends a request whose answer is cut. How much of it comes through before the cut is chance; but it may never
+// truncatedRequest sends a request whose answer is cut. How much of it comes through before the cut is chance; but it may never
 // look whole.
-func (s *stand) failing(t *testing.T, lines []string) string {
+func (s *testFleet) truncatedRequest(t *testing.T, lines []string) string {
 	t.Helper()
 	status, text := s.send(t, lines)
-	if status == 0 || status >= http.StatusInternalServerError || strings.Contains(text, cutShort) {
+	if status == 0 || status >= http.StatusInternalServerError || strings.Contains(text, truncatedLine) {
 		return "< an error\n"
 	}
 	return text
 }
 
-const cutShort = "< error: the answer was cut short\n"
+const truncatedLine = "< error: the answer was cut short\n"
 
-func (s *stand) send(t *testing.T, lines []string) (int, string) {
+func (s *testFleet) send(t *testing.T, lines []string) (int, string) {
 	t.Helper()
 	words := strings.Fields(lines[0])
 	// Each request enters by another node than the one before.
-	base := s.fleet.Members[s.next%len(s.fleet.Members)].CallerURL()
-	s.next++
+	base := s.fleet.Members[s.nextEntry%len(s.fleet.Members)].CallerURL()
+	s.nextEntry++
 	switch words[0] {
 	case "LOCAL":
 		base, words = s.member(words[1]).LocalURL(), words[2:]
@@ -156,11 +156,11 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	s.requests = append(s.requests, resp.Header.Get("Jackdawtide-Request-Id"))
-	fmt.Fprintln(&s.seen, resp.Header, string(body))
+	fmt.Fprintln(&s.output, resp.Header, string(body))
 	return resp.StatusCode, describe(resp, body, err)
 }
 
-func (s *stand) setHeader(t *testing.T, req *http.Request, name, value string) {
+func (s *testFleet) setHeader(t *testing.T, req *http.Request, name, value string) {
 	t.Helper()
 	switch name {
 	case "Until":
@@ -180,19 +180,19 @@
 		req.Header.Set(name, value)
 	case responder.CallHeader:
 		if value == "kept" {
-			assert.Assert(t, s.kept != "")
-			value = s.kept
+			assert.Assert(t, s.finishedToken != "")
+			value = s.finishedToken
 		}
 		req.Header.Set(name, value)
 	default:
-		req.Header.Set(name, s.idFor(value))
+		req.Header.Set(name, s.resolveID(value))
 	}
 }
 
 var idPattern = regexp.MustCompile(`^id\((\d+)(?:, (?:(\w+) (ago|ahead)|(\w+:)))?\)$`)
 
-// idFor makes the id that a session names by number, once, with its time moved if it says so.
-func (s *stand) idFor(value string) string {
+// resolveID makes the id that a session names by number, once, with its time moved if it says so.
+func (s *testFleet) resolveID(value string) string {
 	m := idPattern.FindStringSubmatch(value)
 	if m == nil {
 		return value
@@ -215,12 +215,12 @@
 	return s.ids[m[1]]
 }
 
-var shown = []string{"Content-Type", "Www-Authenticate", "Idempotent-Replayed"}
+var shownHeaders = []string{"Content-Type", "Www-Authenticate", "Idempotent-Replayed"}
 
 func describe(resp *http.Response, body []byte, err error) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "< %d\n", resp.StatusCode)
-	for _, name := range shown {
+	for _, name := range shownHeaders {
 		if v := resp.Header.Get(name); v != "" {
 			fmt.Fprintf(&b, "< %s: %s\n", name, v)
 		}
@@ -229,7 +229,7 @@
 		b.WriteString("< Retry-After: N\n")
 	}
 	if err != nil {
-		b.WriteString(cutShort)
+		b.WriteString(truncatedLine)
 		return b.String()
 	}
 	lines := bufio.NewScanner(bytes.NewReader(indent(resp, body)))
--- a/internal/launcher/fleet.go
+++ b/internal/launcher/fleet.go
@@ -44,9 +44,9 @@
 	Logs io.Writer
 	// Debug makes the nodes log at debug level.
 	Debug bool
-	// Bare leaves the publishing of presets and keys to the caller.
-	Bare bool
-	Seed uint64
+	// SkipPublish leaves the publishing of presets and keys to the caller.
+	SkipPublish bool
+	Seed        uint64
 }
 
 // Fleet is a running fleet.
@@ -63,9 +63,9 @@
 	logServer *http.Server
 	log       appender.Log
 
-	mu  sync.Mutex
-	cut map[identifier.FailureDomain]bool
-	of  map[identifier.Node]identifier.FailureDomain
+	mu          sync.Mutex
+	partitioned map[identifier.FailureDomain]bool
+	domainOf    map[identifier.Node]identifier.FailureDomain
 }
 
 // Member is one VM of the fleet: a node and the backend server behind it.
@@ -92,11 +92,11 @@
 // Start launches the fleet and waits until it serves.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{
-		options: o,
-		Keeper:  logkeeper.New(logkeeper.Options{}),
-		Keys:    make(map[identifier.Team]string),
-		cut:     make(map[identifier.FailureDomain]bool),
-		of:      make(map[identifier.Node]identifier.FailureDomain),
+		options:     o,
+		Keeper:      logkeeper.New(logkeeper.Options{}),
+		Keys:        make(map[identifier.Team]string),
+		partitioned: make(map[identifier.FailureDomain]bool),
+		domainOf:    make(map[identifier.Node]identifier.FailureDomain),
 	}
 	if err := f.start(ctx); err != nil {
 		f.Close()
@@ -116,7 +116,7 @@
 	if err = f.startMembers(ctx); err != nil {
 		return err
 	}
-	if f.options.Bare {
+	if f.options.SkipPublish {
 		return nil
 	}
 	if err = f.PublishPlan(ctx); err != nil {
@@ -184,18 +184,18 @@
 		m.Clock = clock.New()
 	}
 	node, err := assembler.New(assembler.Options{
-		Settings: f.settings(m),
-		Trust:    trust,
-		Log:      cutLog{fleet: f, domain: m.Domain, log: f.log},
-		Logger:   f.logger(m),
-		Clock:    m.Clock,
-		Cut:      func(peer identifier.Node) bool { return f.isCut(m.Domain, peer) },
+		Settings:    f.settings(m),
+		Trust:       trust,
+		Log:         partitionedLog{fleet: f, domain: m.Domain, log: f.log},
+		Logger:      f.logger(m),
+		Clock:       m.Clock,
+		Partitioned: func(peer identifier.Node) bool { return f.isPartitioned(m.Domain, peer) },
 	})
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.of[node.ID()] = m.Domain
+	f.domainOf[node.ID()] = m.Domain
 	f.mu.Unlock()
 	if err := node.Start(ctx); err != nil {
 		return fmt.Errorf("start node %s: %w", m.Name, err)
@@ -235,23 +235,23 @@
 		Name:   loader.NodeName(m.Name),
 		Domain: m.Domain,
 		Listen: loader.Listen{
-			Caller: addressOr(m.addresses.Caller),
-			Local:  addressOr(m.addresses.Local),
-			Peer:   addressOr(m.addresses.Peer),
-			Admin:  addressOr(m.addresses.Admin),
+			Caller: addressOrAny(m.addresses.Caller),
+			Local:  addressOrAny(m.addresses.Local),
+			Peer:   addressOrAny(m.addresses.Peer),
+			Admin:  addressOrAny(m.addresses.Admin),
 		},
 		Log:    loader.Log{URL: f.LogURL, Retention: loader.DefaultRetention},
 		Limits: limits,
 	}
 	for i, other := range f.Members {
 		if other != m && i < 3 {
-			s.Seeds = append(s.Seeds, addressOr(other.addresses.Peer))
+			s.Seeds = append(s.Seeds, addressOrAny(other.addresses.Peer))
 		}
 	}
 	return s
 }
 
-func addressOr(address string) netip.AddrPort {
+func addressOrAny(address string) netip.AddrPort {
 	if address == "" {
 		return netip.MustParseAddrPort("127.0.0.1:0")
 	}
--- a/internal/launcher/stand_test.go
+++ b/internal/launcher/helpers_test.go
@@ -21,19 +21,19 @@
 	"github.com/jackdawtide/jackdawtide/pkg/announcer"
 )
 
-// stand is a small fleet with all that its callers do to it, and all that it says.
-type stand struct {
+// testFleet is a small fleet with all that its callers do to it, and all that it says.
+type testFleet struct {
 	t     *testing.T
 	fleet *Fleet
 	logs  *lockedBuffer
-	// seen is everything that callers and backend servers were told.
-	seen bytes.Buffer
-	// kept is the token of a call that is over.
-	kept     string
-	requests []string
-	ids      map[string]string
-	next     int
-	calm     func()
+	// output is everything that callers and backend servers were told.
+	output bytes.Buffer
+	// finishedToken is the token of a call that is over.
+	finishedToken string
+	requests      []string
+	ids           map[string]string
+	nextEntry     int
+	stopFlood     func()
 }
 
 type lockedBuffer struct {
@@ -65,9 +65,9 @@
 	}
 }
 
-func newStand(t *testing.T) *stand {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
-	s := &stand{t: t, logs: &lockedBuffer{}, ids: map[string]string{}}
+	s := &testFleet{t: t, logs: &lockedBuffer{}, ids: map[string]string{}}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	var err error
@@ -76,16 +76,16 @@
 	t.Cleanup(s.fleet.Close)
 	s.fleet.Keys["another"], err = s.fleet.Issue(ctx, "captains")
 	assert.NilError(t, err)
-	s.announceBroken(ctx)
+	s.announceTruncatingBackend(ctx)
 	// Ids made before their owners took over are answered as unknown; and gossip has to bring the new backend server.
 	time.Sleep(2 * time.Second)
 	return s
 }
 
-// announceBroken adds a backend server that cuts its answers short, at the node of ice.
-func (s *stand) announceBroken(ctx context.Context) {
+// announceTruncatingBackend adds a backend server that cuts its answers short, at the node of ice.
+func (s *testFleet) announceTruncatingBackend(ctx context.Context) {
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.kept = r.Header.Get(responder.CallHeader)
+		s.finishedToken = r.Header.Get(responder.CallHeader)
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -109,7 +109,7 @@
 	s.t.Cleanup(a.Stop)
 }
 
-func (s *stand) member(service string) *Member {
+func (s *testFleet) member(service string) *Member {
 	if service == "broken" {
 		service = "ice"
 	}
@@ -118,7 +118,7 @@
 }
 
 // flood sends far more to a service than it can take, until calm.
-func (s *stand) flood(service string) {
+func (s *testFleet) flood(service string) {
 	b := s.member(service).Backend
 	b.SetServiceTime(100 * time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,7 +140,7 @@
 			}
 		})
 	}
-	s.calm = func() {
+	s.stopFlood = func() {
 		cancel()
 		group.Wait()
 		b.SetServiceTime(time.Millisecond)
--- a/internal/launcher/publish.go
+++ b/internal/launcher/publish.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	readyBound = 20 * time.Second
-	readyPoll  = 20 * time.Millisecond
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
 // PublishPlan publishes the plan's presets, puts the first in force and issues a key for each of its teams.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, m := range f.Members {
 		if err := f.awaitVersion(ctx, m, v.Version()); err != nil {
@@ -129,7 +129,7 @@
 		if err == nil && st.Self.Version >= int64(v) {
 			return nil
 		}
-		if !clock.Sleep(ctx, readyPoll) {
+		if !clock.Sleep(ctx, readyPollInterval) {
 			return NotReadyError{Node: m.Name, What: fmt.Sprintf("version %d not in force", v), Cause: ctx.Err()}
 		}
 	}
@@ -143,7 +143,7 @@
 		if known > 0 && held == known {
 			return nil
 		}
-		if !clock.Sleep(ctx, readyPoll) {
+		if !clock.Sleep(ctx, readyPollInterval) {
 			return NotReadyError{Node: m.Name, What: fmt.Sprintf("%d of %d claims held", held, known), Cause: ctx.Err()}
 		}
 	}
--- a/internal/launcher/secrets_test.go
+++ b/internal/launcher/secrets_test.go
@@ -15,7 +15,7 @@
 
 // Somebody reads a log file, a dump, or the platform's log, and finds a key in it. From then on they are that team, and
 // nobody notices. So every output of a fleet that has seen each kind of request is searched for every key.
-func (s *stand) checkNoKey(t *testing.T) {
+func (s *testFleet) checkNoKey(t *testing.T) {
 	// In an outage of the log the nodes have something to say at debug level.
 	s.fleet.Keeper.Set(logkeeper.Switches{Outage: true})
 	time.Sleep(1500 * time.Millisecond)
@@ -32,7 +32,7 @@
 			text, err := io.ReadAll(resp.Body)
 			assert.NilError(t, err)
 			assert.NilError(t, resp.Body.Close())
-			s.seen.Write(text)
+			s.output.Write(text)
 			if resp.StatusCode == http.StatusOK {
 				found++
 			}
@@ -43,12 +43,12 @@
 	b, err := s.fleet.Keeper.Read(context.Background(), 0, 0, 0)
 	assert.NilError(t, err)
 	for _, r := range b.Records {
-		s.seen.Write(r.Data)
+		s.output.Write(r.Data)
 	}
 	s.logs.mu.Lock()
 	defer s.logs.mu.Unlock()
 	assert.Assert(t, strings.Contains(s.logs.b.String(), `"level":"debug"`), "the nodes did not log at debug level")
-	all := s.seen.String() + s.logs.b.String()
+	all := s.output.String() + s.logs.b.String()
 	assert.Assert(t, strings.Contains(all, "keyHash") || strings.Contains(all, `"hash"`))
 	for _, key := range s.fleet.Keys {
 		assert.Assert(t, !strings.Contains(all, strings.TrimPrefix(key, "jt_")), "a key is in some output")
--- a/internal/launcher/streaming_test.go
+++ b/internal/launcher/streaming_test.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	longBody = 200 << 20
-	// maxGrowth is far less than a body, and more than the buffers of some connections.
-	maxGrowth = 48 << 20
+	longBodyBytes = 200 << 20
+	// maxHeapGrowth is far less than a body, and more than the buffers of some connections.
+	maxHeapGrowth = 48 << 20
 )
 
 // A crew manifest of 200 MB goes up, and a table of the same size comes down to a client on a slow line. A node that
-// kept them in memory would be ended by its VM with all its other calls.
-func (s *stand) checkStreaming(t *testing.T) {
+// finishedToken them in memory would be ended by its VM with all its other calls.
+func (s *testFleet) checkStreaming(t *testing.T) {
 	entry := s.member("board").CallerURL()
 	tests := map[string]func(t *testing.T){
 		"upload": func(t *testing.T) {
-			resp := s.stream(t, http.MethodPost, entry+"/uploads/tables", io.LimitReader(zeros{}, longBody))
+			resp := s.stream(t, http.MethodPost, entry+"/uploads/tables", io.LimitReader(zeros{}, longBodyBytes))
 			text, err := io.ReadAll(resp.Body)
 			assert.NilError(t, err)
-			assert.Assert(t, strings.HasPrefix(string(text), fmt.Sprintf("uploads POST /tables got %d bytes", longBody)), string(text))
+			assert.Assert(t, strings.HasPrefix(string(text), fmt.Sprintf("uploads POST /tables got %d bytes", longBodyBytes)), string(text))
 		},
 		"download by a slow client": func(t *testing.T) {
-			resp := s.stream(t, http.MethodGet, fmt.Sprintf("%s/uploads/tables?bytes=%d", entry, longBody), http.NoBody)
+			resp := s.stream(t, http.MethodGet, fmt.Sprintf("%s/uploads/tables?bytes=%d", entry, longBodyBytes), http.NoBody)
 			n, err := io.CopyN(io.Discard, resp.Body, 1<<20)
 			assert.NilError(t, err)
 			time.Sleep(time.Second)
 			rest, err := io.Copy(io.Discard, resp.Body)
 			assert.NilError(t, err)
-			assert.Equal(t, n+rest, int64(longBody))
+			assert.Equal(t, n+rest, int64(longBodyBytes))
 		},
 		"download given up": func(t *testing.T) {
-			resp := s.stream(t, http.MethodGet, fmt.Sprintf("%s/uploads/tables?bytes=%d", entry, longBody), http.NoBody)
+			resp := s.stream(t, http.MethodGet, fmt.Sprintf("%s/uploads/tables?bytes=%d", entry, longBodyBytes), http.NoBody)
 			_, err := io.CopyN(io.Discard, resp.Body, 1<<20)
 			assert.NilError(t, err)
 		},
@@ -49,13 +49,13 @@
 		t.Run(name, func(t *testing.T) {
 			grown := watchHeap()
 			run(t)
-			assert.Assert(t, grown() < maxGrowth, "the heap grew by %d MB", grown()>>20)
+			assert.Assert(t, grown() < maxHeapGrowth, "the heap grew by %d MB", grown()>>20)
 		})
 	}
 	s.awaitNoCalls(t)
 }
 
-func (s *stand) stream(t *testing.T, method, url string, body io.Reader) *http.Response {
+func (s *testFleet) stream(t *testing.T, method, url string, body io.Reader) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(method, url, body)
 	assert.NilError(t, err)
@@ -68,36 +68,36 @@
 }
 
 // awaitNoCalls waits until nothing is under way: a download that its client gave up must not hold a slot.
-func (s *stand) awaitNoCalls(t *testing.T) {
+func (s *testFleet) awaitNoCalls(t *testing.T) {
 	t.Helper()
-	var left string
+	var open string
 	for range 200 {
-		left = ""
+		open = ""
 		for _, m := range s.fleet.Members {
 			if d := m.Node.Dump(); d.Calls+d.Deliveries > 0 {
-				left += fmt.Sprintf("%s: %d calls, %d deliveries; ", m.Name, d.Calls, d.Deliveries)
+				open += fmt.Sprintf("%s: %d calls, %d deliveries; ", m.Name, d.Calls, d.Deliveries)
 			}
 		}
-		if left == "" {
+		if open == "" {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal(left)
+	t.Fatal(open)
 }
 
 // watchHeap measures how far the heap grows over what it is now.
 func watchHeap() (grown func() uint64) {
 	runtime.GC()
-	before := heap()
-	var most atomic.Uint64
+	before := heapBytes()
+	var maxGrown atomic.Uint64
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			if h := heap(); h > before {
-				most.Store(max(most.Load(), h-before))
+			if h := heapBytes(); h > before {
+				maxGrown.Store(max(maxGrown.Load(), h-before))
 			}
 			select {
 			case <-stop:
@@ -113,11 +113,11 @@
 			close(stop)
 			<-done
 		}
-		return most.Load()
+		return maxGrown.Load()
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -45,12 +45,12 @@
 	net.Conn
 	options Options
 	// cancel ends the context of the requests that were begun ahead.
-	cancel    context.CancelFunc
+	cancel  context.CancelFunc
 	context context.Context
 
-	mu       sync.Mutex
-	phase    phase
-	boundary boundary
+	mu        sync.Mutex
+	phase     phase
+	boundary  boundary
 	readAhead []byte
 	// readBuffer is what gathering reads into.
 	readBuffer []byte
@@ -61,9 +61,9 @@
 	// closing tells that the answer under way ends the connection.
 	closing bool
 	// readAborted tells that the server no longer waits for its look; changed is told of that.
-	readAborted bool
-	readAbortedCond   *sync.Cond
-	queue     queue
+	readAborted     bool
+	readAbortedCond *sync.Cond
+	queue           queue
 	// handedRun is the run that was begun ahead for the request whose head was handed out last, nil for none.
 	handedRun *run
 }
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -23,12 +23,12 @@
 
 // service is a server whose answers take as long as their path says, in milliseconds.
 type service struct {
-	address   string
-	mu        sync.Mutex
-	begun     []string
-	cancelled []string
-	running   atomic.Int64
-	maxRunning      atomic.Int64
+	address    string
+	mu         sync.Mutex
+	begun      []string
+	cancelled  []string
+	running    atomic.Int64
+	maxRunning atomic.Int64
 }
 
 func (s *service) record(list *[]string, path string) {
--- a/internal/pipeliner/run.go
+++ b/internal/pipeliner/run.go
@@ -22,19 +22,19 @@
 	// cancel is how many bytes of the request's head have not been handed to the server.
 	headBytesLeft int
 	// done is closed when the handler has returned; cut tells that it broke the answer off.
-	done chan struct{}
-	aborted  bool
+	done    chan struct{}
+	aborted bool
 
-	mu     sync.Mutex
+	mu       sync.Mutex
 	turnCond *sync.Cond
 	// writer is where the answer goes, from the request's turn on.
-	writer      http.ResponseWriter
-	callerLeft    bool
-	header  http.Header
-	status  int
+	writer     http.ResponseWriter
+	callerLeft bool
+	header     http.Header
+	status     int
 	pending    bytes.Buffer
-	cancel  context.CancelFunc
-	request *http.Request
+	cancel     context.CancelFunc
+	request    *http.Request
 }
 
 // queue holds the runs whose turn is to come, in the order of their requests.
--- a/internal/receiver/exchange.go
+++ b/internal/receiver/exchange.go
@@ -30,7 +30,7 @@
 type exchange struct {
 	receiver *Receiver
 	id       reducer.CallID
-	mailbox      performer.Mailbox
+	mailbox  performer.Mailbox
 	request  identifier.Request
 	writer   http.ResponseWriter
 	incoming *http.Request
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -27,11 +27,11 @@
 const IdempotencyHeader = "Idempotency-Key"
 
 const (
-	bearerPrefix          = "bearer "
-	maxIdempotencyLength  = 255
-	maxDeadlineMs   = 24 * int64(clock.Hour)
-	authorizationHeader   = "Authorization"
-	defaultInFlight = 4096
+	bearerPrefix         = "bearer "
+	maxIdempotencyLength = 255
+	maxDeadlineMs        = 24 * int64(clock.Hour)
+	authorizationHeader  = "Authorization"
+	defaultInFlight      = 4096
 )
 
 // Receiver serves calls.
--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -49,13 +49,13 @@
 // Response is an answer whose body has yet to be read.
 type Response struct {
 	*http.Response
-	client *Client
-	conn   *conn
-	stop   func() bool
-	sent   <-chan error
-	bodyAllowed  bool
-	closed bool
-	framed bool
+	client      *Client
+	conn        *conn
+	stop        func() bool
+	sent        <-chan error
+	bodyAllowed bool
+	closed      bool
+	framed      bool
 }
 
 // Do sends a request and returns the head of its answer. The context bounds everything up to the end of the body.
@@ -147,11 +147,11 @@
 		return nil
 	}
 	return &Response{
-		Response: head,
-		conn:     n,
-		sent:     sent,
-		bodyAllowed:    bodyAllowed,
-		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
+		Response:    head,
+		conn:        n,
+		sent:        sent,
+		bodyAllowed: bodyAllowed,
+		framed:      head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 	}
 }
 
--- a/internal/requester/pool.go
+++ b/internal/requester/pool.go
@@ -27,10 +27,10 @@
 // conn is one connection and its buffers.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	address string
-	idleUntil   clock.Time
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	address   string
+	idleUntil clock.Time
 	// reused tells that a request was answered on it before.
 	reused bool
 	count  *Connections
@@ -79,8 +79,8 @@
 }
 
 type pool struct {
-	mu   sync.Mutex
-	idle map[string][]*conn
+	mu      sync.Mutex
+	idle    map[string][]*conn
 	maxIdle int
 }
 
