--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -187,9 +187,9 @@
 		Recorder:        log,
 	})
 	n.callers = pipeliner.New(pipeliner.Options{
-		Handler: http.HandlerFunc(n.relayer.ServeOutbound),
-		MaxAhead:    mostAhead,
-		MayStartAhead:   n.relayer.MayRunAhead,
+		Handler:       http.HandlerFunc(n.relayer.ServeOutbound),
+		MaxAhead:      mostAhead,
+		MayStartAhead: n.relayer.MayRunAhead,
 	})
 	n.configurations = n.newConfigurationWatcher()
 	return n
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -44,9 +44,9 @@
 type connection struct {
 	net.Conn
 	options Options
-	// cancel ends the context of the requests that were begun ahead.
-	cancel  context.CancelFunc
-	context context.Context
+	// cancelAhead ends the context of the requests that were begun ahead.
+	cancelAhead context.CancelFunc
+	context     context.Context
 
 	mu        sync.Mutex
 	phase     phase
@@ -70,7 +70,7 @@
 
 func newConnection(inner net.Conn, o Options) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &connection{Conn: inner, options: o, context: ctx, cancel: cancel}
+	c := &connection{Conn: inner, options: o, context: ctx, cancelAhead: cancel}
 	c.readAbortedCond = sync.NewCond(&c.mu)
 	return c
 }
@@ -86,7 +86,7 @@
 
 // Close closes the connection and ends what was begun ahead.
 func (c *connection) Close() error {
-	c.cancel()
+	c.cancelAhead()
 	c.mu.Lock()
 	c.readAborted = true
 	c.readAbortedCond.Broadcast()
@@ -164,7 +164,7 @@
 		c.readAhead = append(c.readAhead, c.readBuffer[:n]...)
 		if err != nil {
 			if !isTimeout(err) {
-				c.cancel()
+				c.cancelAhead()
 			}
 			return 0, err
 		}
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -82,7 +82,7 @@
 		return requester.New(requester.Options{
 			DialTimeout: dial,
 			IdleTime:    idle,
-			MaxIdle:    mostIdle,
+			MaxIdle:     mostIdle,
 			Connections: o.Connections,
 			Now:         o.Clock.Now,
 		})
