--- a/internal/receiver/doc.go
+++ b/internal/receiver/doc.go
@@ -1,2 +1,3 @@
-// Package receiver takes calls over HTTP, from callers with their key and from backend servers with a token.
+// Package receiver accepts calls over HTTP: from callers, who present a team's key, and from backend servers, which
+// present a call token.
 package receiver
--- a/internal/receiver/exchange.go
+++ b/internal/receiver/exchange.go
@@ -1,5 +1,5 @@
-// One exchange is one caller's request from its arrival to its final answer. It does what the reducer's effects
-// say and reports back how each attempt went; nothing is decided here.
+// An exchange handles one caller's request from its arrival to its final answer. It carries out the reducer's effects
+// and reports the outcome of each attempt to the reducer, which makes all decisions.
 //
 // Example: Forward → the attempt's answer is lost → AnswerEnded{Phase: Sent} → Refuse{LostAnswer}.
 
@@ -23,7 +23,7 @@
 
 const (
 	copyBufferSize = 32 << 10
-	// maxRecordedBytes is the largest answer body kept for retries with the same idempotency id.
+	// maxRecordedBytes is the largest answer body that is recorded for requests with the same idempotency id.
 	maxRecordedBytes = 64 << 10
 )
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// act carries out one effect and tells whether the exchange is over.
+// act carries out one effect and returns whether the exchange is over.
 func (x *exchange) act(e reducer.CallEffect) bool {
 	switch e := e.(type) {
 	case reducer.Forward:
@@ -67,8 +67,8 @@
 	return true
 }
 
-// An answer that has begun cannot be turned into a refusal. Ending the handler normally would make the cut
-// answer look whole to the caller; aborting closes the connection instead, and the caller sees an error.
+// Once an answer has started it cannot be replaced by a refusal. A normal return from the handler would make a truncated
+// answer look complete to the caller; the abort closes the connection instead, so that the caller sees an error.
 func (x *exchange) finish(write func()) {
 	if x.relayed {
 		panic(http.ErrAbortHandler)
@@ -130,7 +130,7 @@
 }
 
 func (x *exchange) reportRefusal(ctx context.Context, body *attemptBody, a forwarder.Answer, r *transporter.Refusal) {
-	// A refusal carries no body; reading to its end brings the tail.
+	// A refusal has no body; its tail is available after it has been read to its end.
 	_, _ = io.Copy(io.Discard, io.LimitReader(a, copyBufferSize))
 	x.report(ctx, body, reducer.AnswerEnded{
 		Phase: reducer.Answered,
@@ -191,7 +191,7 @@
 		if err != nil {
 			return err
 		}
-		// A small answer goes out in one piece at the end; a long one as it comes.
+		// A small answer is sent in one piece at its end; a long one or a stream is flushed after each read.
 		if total < copyBufferSize && !isStream(x.writer.Header()) {
 			continue
 		}
@@ -230,7 +230,7 @@
 	}
 }
 
-// recorder keeps an answer's body up to its limit; a nil recorder keeps nothing.
+// recorder records an answer's body up to its limit; a nil recorder records nothing.
 type recorder struct {
 	limit    int
 	body     []byte
--- a/internal/receiver/interface_test.go
+++ b/internal/receiver/interface_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// A caller's program is written by the page. A reason or a status that the page does not name would be met first in
-// the night in which it is first given.
+// Callers' programs are written from the interface page. A reason or status missing there would reach them for the first
+// time in production, unhandled.
 func TestInterfacePageListsEachRefusal(t *testing.T) {
 	page, err := os.ReadFile("../../docs/INTERFACE.md")
 	assert.NilError(t, err)
--- a/internal/receiver/problem.go
+++ b/internal/receiver/problem.go
@@ -1,5 +1,5 @@
-// Every refusal has one form, so that a caller's program can tell from two fields what to do next: notRun says
-// whether sending the request again can run it twice, retryAfterMs when.
+// All refusals have the same form, so that a caller's program can decide on a retry from two fields: notRun is true when
+// a retry cannot run the request twice, retryAfterMs is how long to wait before the retry.
 //
 // Example: {"type":"urn:jackdawtide:refusal:shed","title":"Shed under overload","status":503,"reason":"shed",
 // "notRun":true,"requestId":"…","retryAfterMs":800}
@@ -70,7 +70,7 @@
 		h.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(status)
-	// A caller that is gone by now cannot be told anything more.
+	// Encode fails only if the caller has disconnected, so its error is ignored.
 	_ = json.NewEncoder(w).Encode(problem{
 		Type:         typePrefix + string(r.Reason),
 		Title:        titles[r.Reason],
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -1,8 +1,8 @@
-// Callers and backend servers speak plain HTTP by service path. What differs is only who they are known by: a
-// team's key at the callers' listener, the token of the parent call at the local one.
+// Callers and backend servers send HTTP requests whose path starts with the name of a service. They differ only in how
+// they authenticate: by a team's key at the callers' listener, by the token of the parent call at the local listener.
 //
 // Example: GET /ice/bulletins?port=aniva with "Authorization: Bearer jt_…" is a call of service "ice" with
-// path "/bulletins"; the key is hashed here and goes no further.
+// path "/bulletins"; the key is hashed here, and only its hash is passed on.
 
 package receiver
 
@@ -23,7 +23,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// IdempotencyHeader is the field by which a caller names a request that must run at most once.
+// IdempotencyHeader is the header field with the idempotency id of a request that must run at most once.
 const IdempotencyHeader = "Idempotency-Key"
 
 const (
@@ -34,7 +34,7 @@
 	defaultInFlight      = 4096
 )
 
-// Receiver serves calls.
+// Receiver serves the calls of callers and of this VM's backend servers.
 type Receiver struct {
 	self      identifier.Node
 	clock     *clock.Clock
@@ -43,7 +43,7 @@
 	inFlight  chan struct{}
 }
 
-// New returns a receiver; inFlight bounds the calls under way at a time, zero takes the default.
+// New returns a receiver; inFlight bounds the concurrent calls, zero means defaultInFlight.
 func New(self identifier.Node, c *clock.Clock, p *performer.Performer, f *forwarder.Forwarder, inFlight int) *Receiver {
 	if inFlight == 0 {
 		inFlight = defaultInFlight
@@ -51,19 +51,19 @@
 	return &Receiver{self: self, clock: c, performer: p, forwarder: f, inFlight: make(chan struct{}, inFlight)}
 }
 
-// FieldError reports a part of a request that cannot be read.
+// FieldError reports a header field of a request that cannot be parsed.
 type FieldError struct {
 	Field string
 	Value string
 	Want  string
 }
 
-// Error names field, value and what was wanted.
+// Error names the field, its value and the expected form.
 func (e FieldError) Error() string {
 	return e.Field + ": " + strconv.Quote(e.Value) + ": want " + e.Want
 }
 
-// Callers returns the handler of the callers' listener.
+// Callers returns the handler for the callers' listener.
 func (r *Receiver) Callers() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.serve(w, q, func(x *exchange, p parts) reducer.Event {
@@ -83,7 +83,7 @@
 	})
 }
 
-// Nested returns the handler for calls that backend servers of this VM make.
+// Nested returns the handler for nested calls, which backend servers of this VM make.
 func (r *Receiver) Nested() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.serve(w, q, func(x *exchange, p parts) reducer.Event {
@@ -142,7 +142,7 @@
 	return 0
 }
 
-// parts are what the request's line and header say.
+// parts holds what is parsed from the request line and the header.
 type parts struct {
 	service     identifier.Service
 	path        string
@@ -199,7 +199,7 @@
 
 func notPrintable(c rune) bool { return c < 0x20 || c > 0x7e }
 
-// The key itself must not reach the reducer, whose state is dumped and logged.
+// The reducer gets only the hash of the key, because its state appears in dumps and logs.
 func hashKey(header string) identifier.KeyHash {
 	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return ""
--- a/internal/receiver/replay.go
+++ b/internal/receiver/replay.go
@@ -1,7 +1,7 @@
-// A retry needs the request's body from its start, but an upload of 200 MB cannot be kept. The first part is
-// kept; once more than that was read, the call can no longer be sent again.
+// A retry needs the request's body from its start, but an upload of 200 MB is too large to hold in memory. The first
+// maxReplayBytes are kept; a call of whose body more has been read cannot be retried.
 //
-// Example: 10 KB are read by a first attempt that fails; the second attempt reads the same 10 KB.
+// Example: the first attempt reads 10 KB and fails; the second attempt reads the same 10 KB.
 
 package receiver
 
@@ -10,10 +10,10 @@
 	"sync"
 )
 
-// maxReplayBytes is how much of a request's body is kept for a retry.
+// maxReplayBytes is how much of a request's body is kept for retries.
 const maxReplayBytes = 64 << 10
 
-// replayBody lets several attempts read one body, one after the other.
+// replayBody lets successive attempts read the same body.
 type replayBody struct {
 	mu       sync.Mutex
 	source   io.Reader
@@ -26,7 +26,7 @@
 	return &replayBody{source: source}
 }
 
-// replayable tells whether another attempt can read the whole body.
+// replayable returns whether another attempt can read the whole body.
 func (b *replayBody) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,8 +47,8 @@
 	tooLarge bool
 }
 
-// An attempt that is over may still have a reader in flight; were it let go on, it would take bytes that belong
-// to the next attempt, and the backend server would get a body with a hole.
+// The transport may still be reading for an attempt that is over. After detach such reads fail; otherwise they would
+// consume bytes of the next attempt, and the backend server would get a body with a gap.
 func (a *attemptBody) Read(p []byte) (int, error) {
 	b := a.body
 	b.mu.Lock()
