--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -1,7 +1,7 @@
 package requester
 
-// The standard client repeats some requests by itself and hides on which connection an answer came. Here each request
-// is sent once, and its caller learns whether it can have run.
+// The standard HTTP client retries some requests on its own and hides the connection that an answer came from. This
+// client sends each request exactly once and reports whether it may have run.
 //
 // Example: response, err := c.Do(ctx, "10.1.0.9:8080", request); defer response.Close()
 
@@ -31,22 +31,22 @@
 	return &Client{options: o, pool: newPool(o.MaxIdle)}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns how many connections the client has tried to open.
 func (c *Client) Dials() int64 {
 	return c.dials.Load()
 }
 
-// Expire closes connections that have been idle too long.
+// Expire closes the connections whose idle time has passed.
 func (c *Client) Expire() {
 	c.pool.expire(c.options.Now())
 }
 
-// CloseIdle closes the idle connections to an address whose server has gone.
+// CloseIdle closes all idle connections to an address, for instance after its server has failed.
 func (c *Client) CloseIdle(address string) {
 	c.pool.closeIdle(address)
 }
 
-// Response is an answer whose body has yet to be read.
+// Response is an answer whose body has not been read yet.
 type Response struct {
 	*http.Response
 	client      *Client
@@ -58,7 +58,7 @@
 	framed      bool
 }
 
-// Do sends a request and returns the head of its answer. The context bounds everything up to the end of the body.
+// Do sends a request and returns the head of its answer. The context covers the exchange until the body has been read.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	n, err := c.connect(ctx, address)
 	if err != nil {
@@ -127,7 +127,7 @@
 		if r.Matches == nil || r.Matches(head.Header) {
 			return c.response(n, head, sent, true), nil
 		}
-		// An answer to an earlier request that came too late; the one that belongs here may follow it.
+		// A late answer to an earlier request on this connection; the answer to this request may follow it.
 		if head.ContentLength < 0 || head.ContentLength > maxStrayBytes {
 			return nil, errStray
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-// maxStrayBytes bounds how much of another request's answer is read to get at the right one.
+// maxStrayBytes is the longest answer to another request that is read and dropped to reach the right one.
 const maxStrayBytes = 256 << 10
 
 var errStray = errors.New("answer belongs to another request")
@@ -156,7 +156,7 @@
 }
 
 func writeHead(w *bufio.Writer, r *Request) {
-	// Errors stay in the writer and come back from Flush.
+	// The writer keeps its first error and returns it from Flush.
 	_, _ = w.WriteString(r.Method)
 	_ = w.WriteByte(' ')
 	_, _ = w.WriteString(r.URI)
@@ -185,12 +185,13 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// maxInlineBodyBytes is the largest body that is sent before the answer is looked for: it fits into the socket's buffers, so
-// that sending can't wait for a server that answers without reading.
+// maxInlineBodyBytes is the largest body that is sent before the answer is read. It fits into the socket's buffers, so
+// sending cannot block on a server that answers without reading.
 const maxInlineBodyBytes = 8 << 10
 
-// sendBody sends the body beside the reading of the answer, since a server may answer before it has read all. A body that
-// can't be read to its end ends the connection: the server would wait for the rest until its time is up.
+// sendBody sends a long body concurrently with the reading of the answer, since a server may answer before it has read
+// all of it. If the body can't be read to its end, the connection is reset; otherwise the server would wait for the rest
+// until its timeout.
 func sendBody(n *conn, r *Request) chan error {
 	done := make(chan error, 1)
 	send := func() {
@@ -210,7 +211,7 @@
 	return done
 }
 
-// errorRecordingBody keeps the error with which the reading of a body ended before its end.
+// errorRecordingBody records the error that ended the reading of a body early.
 type errorRecordingBody struct {
 	io.Reader
 	err error
@@ -277,7 +278,7 @@
 	}
 }
 
-// Close ends the answer: the connection is kept if the answer was read to its end and nothing about it is doubtful.
+// Close ends the exchange. The connection returns to the pool only if request and answer are complete and it may be reused.
 func (r *Response) Close(readToEnd bool) {
 	if r.closed {
 		return
@@ -301,8 +302,8 @@
 	r.client.pool.put(r.conn)
 }
 
-// bodySent tells whether the request's body has been sent whole; a server may still expect the rest of one that was
-// answered early, and would take the next request for it.
+// bodySent returns whether the request's body has been sent completely. A server that answered early may still expect
+// the rest of the body, and would read the next request as part of it.
 func (r *Response) bodySent() bool {
 	if !r.bodyAllowed {
 		return false
@@ -318,8 +319,8 @@
 	}
 }
 
-// idleMargin is how much sooner than the other side a connection is closed here: a request sent just as it closes
-// would be lost.
+// idleMargin is how much earlier than the server this client closes an idle connection: a request sent while the server
+// closes the connection would be lost.
 const idleMargin = 700 * clock.Millisecond
 
 func idleTime(header string) (clock.Duration, bool) {
--- a/internal/requester/client_test.go
+++ b/internal/requester/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// server answers each request on a connection with what respond writes; it counts connections.
+// server calls respond for each request on a connection and counts the connections.
 type server struct {
 	net.Listener
 	connections atomic.Int32
@@ -98,8 +98,8 @@
 	assert.Equal(t, s.connections.Load(), int32(1))
 }
 
-// A faulty endpoint sends a second answer after a whole one, at once or a moment later. The next caller on that
-// connection would get a stranger's answer.
+// A faulty endpoint sends a second answer after a complete one, at once or while the connection is idle. On reuse of the
+// connection the next caller would get that answer.
 func TestUnrequestedAnswerIsNotDelivered(t *testing.T) {
 	tests := map[string]time.Duration{"at once": 0, "while idle": 30 * time.Millisecond}
 	for name, delay := range tests {
@@ -126,8 +126,8 @@
 	}
 }
 
-// An answer to an earlier request arrives where the next one's is expected. It must not be given to the caller, who
-// would take it for its own; the right one follows it.
+// A late answer to an earlier request arrives first. It must not be delivered to the caller as its own; the right
+// answer follows it.
 func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		stray := "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 5\r\n\r\nstray"
@@ -139,7 +139,7 @@
 	assert.Equal(t, got, "mine")
 }
 
-// An answer is cut short. Passed on as it is, it would look whole to a caller that does not count.
+// The connection ends within an answer. Without an error, a caller that does not count bytes would accept it as complete.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		whole := answerTo(r, "a longer body")
@@ -150,8 +150,8 @@
 	assert.Assert(t, errors.Is(err, io.ErrUnexpectedEOF))
 }
 
-// The server closes a kept connection. A request sent on it may be lost, and one that must not run twice could not be
-// sent again; so the connection is looked at first.
+// The server closes an idle connection. A request sent on it may be lost, and one that must not run twice could not be
+// retried; so the connection is checked before reuse.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "mine"))
@@ -166,8 +166,8 @@
 	assert.Equal(t, s.connections.Load(), int32(3))
 }
 
-// A server answers before it has read a long body and goes on reading. The next request on that connection would be
-// taken for the rest of the body.
+// A server answers before it has read a long body and continues to read it. It would read the next request on that
+// connection as the rest of the body.
 func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "early"))
@@ -229,7 +229,7 @@
 	}
 }
 
-// A node turns a long upload away. Had any of the body been read, the upload could not go to another node.
+// A node refuses a long upload. If any of the body had been read, the upload could not be sent to another node.
 func TestBodyStaysUnreadWhenExpectContinueIsRefused(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "no"))
@@ -265,7 +265,8 @@
 	assert.Assert(t, errors.As(err, &dial))
 }
 
-// The caller leaves while the endpoint works. The connection must end at once, or the endpoint works on for nobody.
+// The caller leaves while the endpoint works. Unless the connection is closed at once, the endpoint continues work that
+// nobody waits for.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
@@ -306,8 +307,8 @@
 	}
 }
 
-// The caller leaves while the request is still held up on the way, by a cut or a crowded link. Closed in order, the
-// connection would deliver it once the link is free, and the endpoint would work for nobody; a reset takes it back.
+// The caller leaves while a partition or a congested link still delays the request. After an orderly close the request
+// would be delivered later, and the endpoint would do work that nobody waits for; a reset discards it.
 func TestCancelResetsTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
--- a/internal/requester/connections.go
+++ b/internal/requester/connections.go
@@ -1,17 +1,17 @@
 package requester
 
-// A VM allows a process some thousands of descriptors. Callers whose requests are refused come back on new connections
-// and keep the old ones; with each kept for half a minute, a surge with retries used up all 3,900 of a node within ten
-// seconds. Accepting then fails and is tried again up to a second later, connections wait for that unread, and requests
-// are read seconds after their callers have left. So all parts of a node count their connections together, and from a
-// part of the limit on, answers end their connections.
+// A VM allows a process some thousands of file descriptors. Callers whose requests are refused retry on new connections
+// and keep the old ones open: with an idle time of half a minute, an overload with retries used up all 3,900 descriptors
+// of a node within ten seconds. Accept then fails and is retried up to a second later, new connections stay unread
+// meanwhile, and requests are read seconds after their callers have left. Therefore all parts of a node share one count
+// of open connections, and above a fraction of the limit each answer closes its connection.
 //
-// Example: NewConnections(3900) is crowded from 1,950 open connections on.
+// Example: NewConnections(3900) is crowded above 1,950 open connections.
 
 import "sync/atomic"
 
-// crowdedFraction of the descriptors may be connections before answers end them. Each request under way needs up to two
-// more, and the endpoint's nested calls as many again.
+// crowdedFraction is the fraction of the descriptors above which answers close their connections. The rest is needed for
+// requests in flight: each takes up to two more descriptors, and the endpoint's nested calls as many again.
 const crowdedFraction = 0.5
 
 // Connections counts a process's open connections; it is safe for concurrent use.
@@ -20,12 +20,12 @@
 	limit int64
 }
 
-// NewConnections returns a count for a process that may have a number of descriptors.
+// NewConnections returns a count for a process with the given limit of file descriptors.
 func NewConnections(descriptors int) *Connections {
 	return &Connections{limit: int64(crowdedFraction * float64(descriptors))}
 }
 
-// Add counts connections that were opened, or closed where n is negative.
+// Add adds n opened connections; a negative n counts closed ones.
 func (c *Connections) Add(n int64) {
 	c.open.Add(n)
 }
@@ -35,7 +35,7 @@
 	return c.open.Load()
 }
 
-// Crowded tells whether unused connections should not be kept.
+// Crowded returns whether connections should be closed instead of kept idle.
 func (c *Connections) Crowded() bool {
 	return c.open.Load() > c.limit
 }
--- a/internal/requester/doc.go
+++ b/internal/requester/doc.go
@@ -1,2 +1,3 @@
-// Package requester sends single HTTP/1.1 requests over pooled connections and never reuses a doubtful one.
+// Package requester sends single HTTP/1.1 requests over pooled connections and reuses a connection only
+// after a complete exchange.
 package requester
--- a/internal/requester/pool.go
+++ b/internal/requester/pool.go
@@ -1,9 +1,10 @@
 package requester
 
-// A connection on which something unexpected lies, or whose other side has closed it, would hand a stranger's bytes
-// to the next request. So an idle connection is looked at before it is used again: anything to be read on it, the end
-// included, disqualifies it. Looking costs one system call; without it every restart of an endpoint would fail the
-// requests that met its closed connections, and those that must not run twice could not be sent again.
+// Unexpected bytes on an idle connection would be read as the answer to the next request, and a connection that the
+// server has closed would lose that request. Therefore an idle connection is checked before reuse: if anything can be
+// read on it, end of file included, it is closed. The check costs one system call; without it every restart of an
+// endpoint would fail the requests sent on its closed connections, and those that must not run twice could not be
+// retried.
 //
 // Example: an endpoint sends a second answer after a whole one; the connection is closed instead of reused.
 
@@ -31,7 +32,7 @@
 	writer    *bufio.Writer
 	address   string
 	idleUntil clock.Time
-	// reused tells that a request was answered on it before.
+	// reused is whether a request has been answered on the connection before.
 	reused bool
 	count  *Connections
 	closed atomic.Bool
@@ -41,7 +42,7 @@
 	bodyFailed atomic.Pointer[BodyError]
 }
 
-// Read reads from the connection and counts what came.
+// Read reads from the connection and counts the bytes received.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if t := c.traffic.Load(); t != nil {
@@ -50,7 +51,7 @@
 	return n, err
 }
 
-// Write writes to the connection and counts what went.
+// Write writes to the connection and counts the bytes sent.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if t := c.traffic.Load(); t != nil {
@@ -59,7 +60,7 @@
 	return n, err
 }
 
-// Close closes the connection, and counts that once.
+// Close closes the connection and removes it once from the count of open connections.
 func (c *conn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.count.Add(-1)
@@ -67,12 +68,12 @@
 	return c.Conn.Close()
 }
 
-// abort resets the connection instead of closing it in order. Bytes that a cut or a crowded link holds up are delivered
-// after an orderly close, seconds later: an endpoint then ran requests whose callers had left 5.4 s before. A reset
-// throws them away.
+// abort resets the connection instead of closing it in order. After an orderly close, bytes delayed by a partition or a
+// congested link are still delivered seconds later: an endpoint then ran requests whose callers had left 5.4 s before.
+// A reset discards these bytes.
 func (c *conn) abort() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		// Where this fails the connection is closed already.
+		// This fails only if the connection is closed already.
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
@@ -88,7 +89,7 @@
 	return &pool{idle: map[string][]*conn{}, maxIdle: maxIdle}
 }
 
-// take returns the connection that was used last, so that the others can grow old and be closed.
+// take returns the connection that was used last, so that the others reach their idle time and are closed.
 func (p *pool) take(address string, now clock.Time) *conn {
 	for {
 		c := p.pop(address)
@@ -126,7 +127,7 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// expire closes the connections that have been idle too long.
+// expire closes the connections whose idle time has passed.
 func (p *pool) expire(now clock.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +158,7 @@
 	delete(p.idle, address)
 }
 
-// hasNoInput tells that nothing can be read on the connection, not even its end.
+// hasNoInput returns whether nothing can be read on the connection, not even end of file.
 func (c *conn) hasNoInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/requester/types.go
+++ b/internal/requester/types.go
@@ -1,9 +1,9 @@
 package requester
 
-// What can go wrong with a request falls in two kinds that must never be mixed up: it was not sent, or it may have
-// run.
+// A failed request was either not sent at all or may have run. The error types keep these two cases apart, since only
+// the first can always be retried.
 //
-// Example: var d DialError; errors.As(err, &d) tells that nothing was sent.
+// Example: if errors.As(err, &d) holds for a var d DialError, nothing was sent.
 
 import (
 	"fmt"
@@ -14,44 +14,44 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// Request is what is sent.
+// Request is one HTTP request to send.
 type Request struct {
 	Method string
-	// URI is the path and query as they came, Host the host that was asked for.
+	// URI is the path and query as received, Host the requested host.
 	URI    string
 	Host   string
 	Header http.Header
-	// Body is nil where there is none; Length is -1 where it is not known.
+	// Body is nil if there is none; Length is -1 if it is not known.
 	Body   io.Reader
 	Length int64
-	// ExpectContinue tells to send the body only when the other side asks for it, so that a refusal leaves it unread.
+	// ExpectContinue delays the body until the server answers 100 Continue, so that a refusal leaves the body unread.
 	ExpectContinue bool
-	// Traffic takes the bytes that the request and its answer have on the wire; nil counts none.
+	// Traffic counts the bytes of the request and its answer on the wire; nil counts none.
 	Traffic *Traffic
-	// Matches tells whether an answer belongs to this request; another one is read and dropped. Nil takes any.
+	// Matches returns whether an answer belongs to this request; other answers are read and dropped. Nil accepts any.
 	Matches func(http.Header) bool
 }
 
-// Traffic is what one request has sent and received, heads and bodies, under the connection's own framing.
+// Traffic is the number of bytes that one request has sent and received: heads, bodies and HTTP/1.1 framing.
 type Traffic struct {
 	Sent, Received atomic.Int64
 }
 
-// Options set a client up.
+// Options configures a client.
 type Options struct {
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout clock.Duration
-	// IdleTime is how long an unused connection is kept where the other side does not say.
+	// IdleTime is how long an idle connection is kept unless the server's Keep-Alive field sets a time.
 	IdleTime clock.Duration
-	// MaxIdle is how many unused connections are kept for each address.
+	// MaxIdle is the maximum number of idle connections for each address.
 	MaxIdle int
-	// Connections counts those of this client with the others of the process.
+	// Connections counts the client's connections together with the others of the process.
 	Connections *Connections
 	// Now reads the monotonic clock.
 	Now func() clock.Time
 }
 
-// DialError tells that no connection came about; nothing was sent.
+// DialError reports that no connection could be opened; nothing was sent.
 type DialError struct {
 	Address string
 	Cause   error
@@ -67,7 +67,7 @@
 	return e.Cause
 }
 
-// SentError tells that the request was sent, wholly or in part, and no answer to it came.
+// SentError reports that the request was sent, completely or in part, and got no answer; it may have run.
 type SentError struct {
 	Address string
 	Cause   error
@@ -83,7 +83,7 @@
 	return e.Cause
 }
 
-// StatusError tells that an answer came with a status that says nothing of what was asked.
+// StatusError reports an answer whose status is not one that the request expects.
 type StatusError struct {
 	Address string
 	Status  int
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("answer from %s: status %d", e.Address, e.Status)
 }
 
-// BodyError tells that the request's body could not be read to its end, so that the request was sent in part only.
+// BodyError reports that the request's body could not be read to its end, so that only a part of the request was sent.
 type BodyError struct {
 	Cause error
 }
