--- a/internal/pipeliner/boundary.go
+++ b/internal/pipeliner/boundary.go
@@ -1,19 +1,20 @@
 package pipeliner
 
-// A request's head ends with its first empty line. The standard server hands on whatever it has read with the head, so
-// that nobody can tell where the next request begins; the connection therefore hands out one head at a time.
+// A request's head ends with its first empty line. net/http's server buffers whatever it reads together with the head,
+// and then the start of the next request can't be found any more. Therefore the connection gives the server one head at
+// a time.
 //
 // Example: "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /b": the head ends after 27 bytes.
 
-// boundary finds the end of a head in bytes that come piece by piece.
+// boundary finds the end of a head in bytes that arrive in pieces.
 type boundary struct {
-	// lineLength is how many bytes the present line has, return its last byte is a carriage return.
+	// lineLength is the number of bytes in the current line; carriageReturn is whether its last byte is a carriage return.
 	lineLength     int
 	carriageReturn bool
 }
 
-// end returns how many of the bytes belong to the head, and whether it ends there. Lines end as the standard server's
-// parser takes them to: with a line feed, which one carriage return may precede.
+// end returns how many of the bytes belong to the head, and whether the head ends there. As in net/http's parser, a line
+// ends with a line feed, optionally preceded by one carriage return.
 func (b *boundary) end(data []byte) (int, bool) {
 	for i, c := range data {
 		if c != '\n' {
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -1,13 +1,13 @@
 package pipeliner
 
-// The standard server looks for a caller that has left by reading one byte while it answers. Where the caller has sent its
-// next request already, that byte is the next request's, and the look is over: the caller may close the connection, and
-// what it asked for runs on at an endpoint with nobody waiting. One would notice by endpoints that work long after their
-// callers have left. So that read ends here: it gathers what is sent ahead, within a bound, and returns only when the
-// connection ends or the server takes its look back.
+// While it answers, net/http's server detects that the caller has closed the connection by a background read of one byte.
+// If the caller has already sent its next request, that byte belongs to the request and the detection ends: the caller
+// may then close the connection unnoticed, and endpoints continue work that nobody waits for. Therefore the connection
+// handles this read itself: it reads ahead, up to a bound, and returns only when the connection ends or the server aborts
+// the read.
 //
-// Example: two lookups are sent at once and the connection is closed 150 ms later: the gathering read sees the end, the
-// server cancels the first, and the second is never begun or is cancelled as well.
+// Example: a caller sends two lookups at once and closes the connection 150 ms later: the background read sees the end,
+// the server cancels the first lookup, and the second is never started or is cancelled as well.
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 )
 
 const (
-	// maxReadAheadBytes bounds what is held of a caller that sends without waiting: some 200 requests. From there on it is the
-	// system's buffers that fill up, and whether the caller is still there is seen when the next request's turn comes.
+	// maxReadAheadBytes bounds the bytes held for a caller that sends without waiting: some 200 requests. Beyond it the
+	// system's buffers fill up, and a closed connection is only detected when the next request's turn comes.
 	maxReadAheadBytes = 64 << 10
-	// readChunkBytes is what is gathered at once, one or two requests; each connection has a buffer of it.
+	// readChunkBytes is the size of each connection's read buffer; it holds one or two requests.
 	readChunkBytes = 512
 )
 
@@ -30,21 +30,21 @@
 type phase uint8
 
 const (
-	// head: up to the end of the next request's head.
+	// headPhase: up to the end of the next request's head.
 	headPhase phase = iota
-	// body: what is left of a body whose length is known.
+	// bodyPhase: the rest of a body of known length.
 	bodyPhase
-	// answering: nothing; a read is the server's look for a caller that has left.
+	// answeringPhase: nothing; a read is the server's background read, which detects a closed connection.
 	answeringPhase
-	// plain: anything, since a body in chunks has hidden where requests end.
+	// passthroughPhase: anything, since after a chunked body the request boundaries are not known.
 	passthroughPhase
 )
 
-// connection hands its server one request at a time and gathers what is sent ahead.
+// connection gives its server one request at a time and reads ahead what the caller sends meanwhile.
 type connection struct {
 	net.Conn
 	options Options
-	// cancelAhead ends the context of the requests that were begun ahead.
+	// cancelAhead cancels the context of the requests that were started ahead.
 	cancelAhead context.CancelFunc
 	context     context.Context
 
@@ -52,19 +52,19 @@
 	phase     phase
 	boundary  boundary
 	readAhead []byte
-	// readBuffer is what gathering reads into.
+	// readBuffer is the buffer of backgroundRead.
 	readBuffer []byte
-	// bodyLeft is how much of the body has not been handed out.
+	// bodyLeft is how many bytes of the body have not been given to the server.
 	bodyLeft int64
-	// serving tells that a request is being answered.
+	// serving is whether a request is being answered.
 	serving bool
-	// closing tells that the answer under way ends the connection.
+	// closing is whether the current answer ends the connection.
 	closing bool
-	// readAborted tells that the server no longer waits for its look; changed is told of that.
+	// readAborted is whether the server has aborted its background read; readAbortedCond signals changes of it.
 	readAborted     bool
 	readAbortedCond *sync.Cond
 	queue           queue
-	// handedRun is the run that was begun ahead for the request whose head was handed out last, nil for none.
+	// handedRun is the run started ahead for the request whose head was given to the server last, nil if none was.
 	handedRun *run
 }
 
@@ -75,7 +75,7 @@
 	return c
 }
 
-// SetReadDeadline bounds reads; a time in the past is how the server takes its look back.
+// SetReadDeadline sets the deadline for reads; the server aborts its background read by a time in the past.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.readAborted = !t.IsZero() && t.Before(time.Now())
@@ -84,7 +84,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection and ends what was begun ahead.
+// Close closes the connection and cancels the requests that were started ahead.
 func (c *connection) Close() error {
 	c.cancelAhead()
 	c.mu.Lock()
@@ -94,7 +94,7 @@
 	return c.Conn.Close()
 }
 
-// Read is the server's: the next head, a body, or the look for a caller that has left.
+// Read is called by the server: for the next head, for a body, or as its background read.
 func (c *connection) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	for {
@@ -116,7 +116,7 @@
 	}
 }
 
-// handOut gives the server what belongs to the present request; the caller holds the lock.
+// handOut copies into p what belongs to the current request; the caller holds the lock.
 func (c *connection) handOut(p []byte) int {
 	n := min(len(p), len(c.readAhead))
 	ended := false
@@ -149,8 +149,8 @@
 	return headPhase
 }
 
-// backgroundRead reads ahead until the connection ends or the server takes its look back; the caller holds the lock, gather lets
-// go of it.
+// backgroundRead reads ahead until the connection ends or the server aborts the read; the caller holds the lock, and
+// backgroundRead releases it.
 func (c *connection) backgroundRead() (int, error) {
 	defer c.mu.Unlock()
 	c.startAllowed()
@@ -181,7 +181,7 @@
 	return ok && netErr.Timeout()
 }
 
-// serve notes that the server begins to answer a request, and returns the run that was begun for it ahead, if any.
+// serve records that the server starts to answer a request, and returns the run that was started ahead for it, if any.
 func (c *connection) serve(r *http.Request) *run {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +201,7 @@
 	return handedRun
 }
 
-// served notes that the request has its answer.
+// served records that the request has been answered.
 func (c *connection) served() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// startAllowed starts the requests that were sent ahead, as many as are allowed at once; the caller holds the lock.
+// startAllowed starts requests that were sent ahead, up to Options.MaxAhead; the caller holds the lock.
 func (c *connection) startAllowed() {
 	for c.serving && !c.closing && c.phase == answeringPhase && c.queue.len() < c.options.MaxAhead {
 		ahead := c.readAhead[c.queue.coveredBytes:]
@@ -229,8 +229,8 @@
 	}
 }
 
-// mayClose tells whether the answer to a request may end the connection. Where requests behind it were begun it may not:
-// they have been passed on, and would go without an answer. Otherwise nothing behind it is begun any more.
+// mayClose returns whether the answer to a request may end the connection. It may not if later requests have been started:
+// they have been forwarded, and would get no answer. If it may, no later request is started any more.
 func (c *connection) mayClose(answered *run) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/pipeliner/doc.go
+++ b/internal/pipeliner/doc.go
@@ -1,2 +1,2 @@
-// Package pipeliner serves callers that send further requests on a connection before the first is answered.
+// Package pipeliner serves callers that use HTTP/1.1 pipelining: they send further requests before the first is answered.
 package pipeliner
--- a/internal/pipeliner/pipeliner.go
+++ b/internal/pipeliner/pipeliner.go
@@ -1,7 +1,7 @@
 package pipeliner
 
-// The standard server takes a connection's requests one after the other. Around it stand a listener, whose connections
-// backgroundRead what is sent ahead, and a handler, which gives the server the answers to requests that were begun before
+// net/http's server handles the requests of a connection one after the other. A Pipeliner wraps it with a listener, whose
+// connections read ahead, and with a handler, which gives the server the answers to requests that were started before
 // their turn.
 //
 // Example: p := New(o); server := &http.Server{Handler: p, ConnContext: p.Context}; server.Serve(p.Listen(l))
@@ -12,18 +12,18 @@
 	"net/http"
 )
 
-// Options set a pipeliner up.
+// Options configures a pipeliner.
 type Options struct {
-	// Handler answers requests; it must be safe for several at once.
+	// Handler answers requests; it must be safe for concurrent use.
 	Handler http.Handler
-	// MaxAhead is how many requests of a connection may be begun ahead of their turn; 0 begins none.
+	// MaxAhead is how many requests of a connection may be started ahead of their turn; 0 starts none.
 	MaxAhead int
-	// MayStartAhead tells whether a request may be begun before those ahead of it are answered. One that may not run twice must
-	// not: its caller sends it again where the connection ends before its turn.
+	// MayStartAhead returns whether a request may be started before the earlier ones are answered. It must return false
+	// for a request that may not run twice: if the connection ends before its turn, the caller sends it again.
 	MayStartAhead func(*http.Request) bool
 }
 
-// Pipeliner serves callers that send requests ahead; it is safe for concurrent use.
+// Pipeliner serves callers that pipeline requests; it is safe for concurrent use.
 type Pipeliner struct {
 	options Options
 }
@@ -33,7 +33,7 @@
 	return &Pipeliner{options: o}
 }
 
-// Listen wraps a listener.
+// Listen wraps a listener so that its connections read ahead.
 func (p *Pipeliner) Listen(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, options: p.options}
 }
@@ -52,16 +52,16 @@
 	return newConnection(inner, l.options), nil
 }
 
-// positionKey is the key of a request's place on its connection in its context.
+// positionKey is the context key for a request's position.
 type positionKey struct{}
 
-// position is a request's place: its connection, and its run if it was begun ahead of its turn.
+// position is a request's connection, and its run if it was started ahead of its turn.
 type position struct {
 	connection *connection
 	run        *run
 }
 
-// Context is to be the server's ConnContext.
+// Context must be set as the server's ConnContext.
 func (p *Pipeliner) Context(ctx context.Context, inner net.Conn) context.Context {
 	if c, ok := inner.(*connection); ok {
 		return context.WithValue(ctx, positionKey{}, position{connection: c})
@@ -85,8 +85,8 @@
 	handedRun.answer(w)
 }
 
-// MayClose tells a handler whether its answer may end the connection. It may not where requests behind it have been
-// begun; where it may, no more are begun.
+// MayClose returns whether a handler's answer may end the connection. It may not if later requests have been started; if
+// it may, no more are started.
 func MayClose(ctx context.Context) bool {
 	current, ok := ctx.Value(positionKey{}).(position)
 	return !ok || current.connection.mayClose(current.run)
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -21,7 +21,7 @@
 	"pgregory.net/rapid"
 )
 
-// service is a server whose answers take as long as their path says, in milliseconds.
+// service is a server that answers after the number of milliseconds in the request's path.
 type service struct {
 	address    string
 	mu         sync.Mutex
@@ -135,11 +135,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not met within 1 s: %s", what)
 }
 
-// A caller sends three lookups at once, the first of which is slow. Taken one after the other, the quick ones behind it
-// would be late as well; each is begun at once, and their answers come in the order of the requests.
+// A caller sends three lookups at once. Processed one after the other, the first would delay the others; each is started
+// at once, and the answers come in the order of the requests.
 func TestSlowLookupDoesNotDelayLaterOnes(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -153,8 +153,8 @@
 	assert.Assert(t, took < 450*time.Millisecond, "took %v", took)
 }
 
-// A caller that has sent further requests closes the connection while the first is under way. Endpoints would work on for
-// nobody, until their slots are full of such requests.
+// A caller that has sent further requests closes the connection while the first is under way. If its requests were not
+// cancelled, endpoints would continue work that nobody waits for, until it occupies all their slots.
 func TestClosedConnectionCancelsAllItsRequests(t *testing.T) {
 	for name, behind := range map[string][]string{
 		"alone":           nil,
@@ -187,8 +187,8 @@
 	}
 }
 
-// An order is sent behind a slow lookup. Begun ahead of its turn it would run twice if the connection ended first and its
-// caller sent it again; so it waits, and so does what comes behind it.
+// An order is sent behind a slow lookup. If it were started ahead of its turn, it would run twice when the connection ends
+// before its turn and its caller sends it again; so it waits, and so do the requests behind it.
 func TestOrderWaitsForItsTurn(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -201,8 +201,8 @@
 	}
 }
 
-// An answer ends its connection. What was sent behind it counts as unread, and its caller sends it again elsewhere: nothing
-// countBehind may be passed on. Where something behind has been passed on already, the connection stays.
+// An answer closes its connection. The caller treats later requests as unread and sends them again elsewhere, so none of
+// them may be started. If one has been started already, the connection stays open.
 func TestNothingIsStartedBehindAnAnswerThatCloses(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -223,8 +223,8 @@
 	}
 }
 
-// An answer breaks off. Its caller must not take what follows on the connection for the rest of it, so the connection
-// ends there also where the request was begun ahead of its turn.
+// A handler aborts its answer. The caller must not read what follows on the connection as the rest of that answer, so the
+// connection is closed, also if the request was started ahead of its turn.
 func TestAbortedAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -235,8 +235,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// A caller sends thousands of requests without reading an answer. Each one that is held or begun costs memory, which
-// other callers then lack.
+// A caller sends thousands of requests without reading an answer. Each held or started request takes memory, which other
+// callers would then lack.
 func TestReadAheadIsBounded(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -269,7 +269,7 @@
 	assert.NilError(t, <-sent)
 }
 
-// Answers that are larger than what is kept wait for their turn and are sent whole.
+// Answers larger than the buffer wait for their turn and are sent completely.
 func TestLargeAnswerWaitsForItsTurn(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
@@ -280,9 +280,8 @@
 	}
 }
 
-// Whatever mix of requests comes, in whatever pieces: each gets its own answer, in order, and none is begun twice. A
-// connection that loses its place in the bytes would take a body for a request, which its sender could make into one
-// that nobody sent.
+// For any mix of requests, sent in pieces of any size, each gets its own answer, in order, and none is started twice. A
+// connection that loses track of the request boundaries would parse a body as a request (request smuggling).
 func TestEachRequestGetsItsOwnAnswer(t *testing.T) {
 	s := serve(t, 3)
 	serial := 0
@@ -323,7 +322,7 @@
 	})
 }
 
-// Without a connection of its own, as behind another server, a handler is served as usual.
+// On a connection that was not accepted through Listen, the handler works as usual.
 func TestHandlerWorksWithoutPipelinedConnection(t *testing.T) {
 	p := New(Options{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, MayClose(r.Context()))
--- a/internal/pipeliner/run.go
+++ b/internal/pipeliner/run.go
@@ -1,10 +1,10 @@
 package pipeliner
 
-// A request that was sent behind another is begun at once, so that a slow one does not make those behind it late. Its answer
-// is kept until those before it are sent: answers go out in the order of the requests. An answer that is larger than
-// what is kept waits, unwritten, for its turn.
+// A request that was sent behind another is started at once, so that a slow request does not delay the later ones.
+// Answers are sent in the order of the requests, so an early answer is buffered until the earlier ones are sent. The
+// handler of an answer larger than the buffer blocks until the request's turn.
 //
-// Example: lookups a (900 ms) and b (20 ms) are sent together; b's answer is there after 20 ms, and sent after a's.
+// Example: lookups a (900 ms) and b (20 ms) are sent together; b's answer is ready after 20 ms and is sent after a's.
 
 import (
 	"bufio"
@@ -14,20 +14,20 @@
 	"sync"
 )
 
-// maxPendingBytes bounds what is kept of an answer before its turn; ordinary ones have 400 to 6,000 bytes.
+// maxPendingBytes bounds how much of an answer is buffered before its turn; usual answers have 400 to 6,000 bytes.
 const maxPendingBytes = 64 << 10
 
-// run is a request that was begun ahead of its turn.
+// run is a request that was started ahead of its turn.
 type run struct {
-	// cancel is how many bytes of the request's head have not been handed to the server.
+	// headBytesLeft is how many bytes of the request's head have not been given to the server.
 	headBytesLeft int
-	// done is closed when the handler has returned; cut tells that it broke the answer off.
+	// done is closed when the handler has returned; aborted is whether it ended by a panic.
 	done    chan struct{}
 	aborted bool
 
 	mu       sync.Mutex
 	turnCond *sync.Cond
-	// writer is where the answer goes, from the request's turn on.
+	// writer is the server's writer, nil until the request's turn.
 	writer     http.ResponseWriter
 	callerLeft bool
 	header     http.Header
@@ -37,10 +37,10 @@
 	request    *http.Request
 }
 
-// queue holds the runs whose turn is to come, in the order of their requests.
+// queue holds the runs whose turn has not come, in the order of their requests.
 type queue struct {
 	runs []*run
-	// coveredBytes is how many of the gathered bytes are the runs' requests.
+	// coveredBytes is how many of the connection's readAhead bytes belong to the runs' requests.
 	coveredBytes int
 }
 
@@ -53,7 +53,7 @@
 	q.coveredBytes += r.headBytesLeft
 }
 
-// consume notes bytes that the server was given; it returns the run whose request they complete, nil for none.
+// consume counts bytes given to the server; it returns the run whose request they complete, nil if none.
 func (q *queue) consume(n int) *run {
 	if len(q.runs) == 0 {
 		return nil
@@ -68,7 +68,7 @@
 	return first
 }
 
-// countBehind returns how many runs come after one; all do that wait after one whose turn has come, or after nil.
+// countBehind returns how many runs come after r; if r is nil or its turn has come, that is all runs in the queue.
 func (q *queue) countBehind(r *run) int {
 	for i, other := range q.runs {
 		if other == r {
@@ -78,7 +78,7 @@
 	return len(q.runs)
 }
 
-// parseHead reads a head as the standard server does. What has a body, or is not plainly in order, waits for the server.
+// parseHead parses a head as net/http's server does. Requests with a body or an unusual head are left to the server.
 func parseHead(head []byte) (*http.Request, bool) {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil || request.ContentLength != 0 || request.Host == "" || !request.ProtoAtLeast(1, 1) {
@@ -88,7 +88,7 @@
 	return request, !expects && request.Method != http.MethodConnect
 }
 
-// startRun runs a request's handler beside the one whose turn it is; the caller holds the connection's lock.
+// startRun runs a request's handler concurrently with the request whose turn it is; the caller holds the connection's lock.
 func (c *connection) startRun(request *http.Request, size int) *run {
 	ctx, cancel := context.WithCancel(c.context)
 	r := &run{headBytesLeft: size, done: make(chan struct{}), header: http.Header{}, cancel: cancel}
@@ -102,14 +102,14 @@
 
 func (r *run) work(h http.Handler) {
 	defer func() {
-		// A handler breaks an answer off by a panic, which is the server's to see at the request's turn.
+		// A handler aborts its answer by a panic; answer repeats it for the server at the request's turn.
 		r.aborted = recover() != nil
 		close(r.done)
 	}()
 	h.ServeHTTP(r, r.request)
 }
 
-// noteCallerLeft lets an answer go that waits for its turn, since the caller has left.
+// noteCallerLeft unblocks a handler that waits for the request's turn, since the caller has left.
 func (r *run) noteCallerLeft() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +117,7 @@
 	r.turnCond.Broadcast()
 }
 
-// answer sends the answer when the request's turn has come, and waits for its end.
+// answer sends the answer once the request's turn has come, and waits until the handler has returned.
 func (r *run) answer(w http.ResponseWriter) {
 	r.mu.Lock()
 	r.writer = w
@@ -133,14 +133,14 @@
 	}
 }
 
-// send writes what is kept; the caller holds the lock.
+// send writes the header and the buffered body; the caller holds the lock.
 func (r *run) send() {
 	to := r.writer.Header()
 	for name, values := range r.header {
 		to[name] = values
 	}
 	r.writer.WriteHeader(r.status)
-	// A caller that has gone is seen by the server.
+	// The server itself detects that the caller has left.
 	_, _ = r.writer.Write(r.pending.Bytes())
 	r.pending.Reset()
 }
@@ -150,7 +150,7 @@
 	return r.header
 }
 
-// WriteHeader fixes the answer's status and header.
+// WriteHeader sets the answer's status.
 func (r *run) WriteHeader(status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// Write sends a part of the body, or keeps it until the request's turn.
+// Write sends a part of the body, or buffers it until the request's turn.
 func (r *run) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,13 +184,13 @@
 	return r.pending.Write(p)
 }
 
-// Flush passes on what was written, from the request's turn on.
+// Flush sends what was written, once the request's turn has come.
 func (r *run) Flush() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.writer == nil || r.status == 0 {
 		return
 	}
-	// A server without flushing keeps what was written, which is no error.
+	// A writer that cannot flush keeps its data buffered, which is not an error.
 	_ = http.NewResponseController(r.writer).Flush()
 }
