--- a/internal/deliverer/announce.go
+++ b/internal/deliverer/announce.go
@@ -1,6 +1,5 @@
-// Backend servers announce themselves to the node on their VM, over loopback, in JSON. No list of them exists
-// anywhere else, so a node that was replaced learns its backend server again from the next heartbeat, which it
-// answers with 404.
+// Backend servers announce themselves to the node on their VM, over loopback, in JSON. There is no other list of them. A
+// restarted node answers the next heartbeat with 404, and the backend server then announces itself again.
 //
 // Example: POST /-/backends {"endpoint":"ice-1","service":"ice","address":"127.0.0.1:9000","slots":40,
 // "connectionLimit":340}.
@@ -19,16 +18,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// maxAnnouncementBytes bounds what a backend server may send about itself.
+// maxAnnouncementBytes bounds the body of an announcement or a heartbeat.
 const maxAnnouncementBytes = 16 << 10
 
-// Load is reported as a part of the slots and kept in thousandths; more than this is taken as this.
+// Load is reported as a fraction of the slots and stored in thousandths; larger values are capped at maxLoad.
 const (
 	loadUnit = 1000
 	maxLoad  = 100 * loadUnit
 )
 
-// BackendState is what the reducer knows of an announced backend server.
+// BackendState is the state of an announced backend server in the reducer.
 type BackendState struct {
 	State    string
 	InFlight int
@@ -59,7 +58,7 @@
 	Queued   int    `json:"queued"`
 }
 
-// Routes adds the backend servers' interface to the router of the local listener.
+// Routes adds the handlers for backend servers to the router of the local listener.
 func (d *Deliverer) Routes(r *mux.Router, states StateReader) {
 	r.HandleFunc("/-/backends", d.announce).Methods(http.MethodPost)
 	r.HandleFunc("/-/backends/{id}/heartbeat", func(w http.ResponseWriter, q *http.Request) {
@@ -93,14 +92,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// AnnouncementError reports a field of an announcement that cannot be.
+// AnnouncementError reports an invalid field of an announcement.
 type AnnouncementError struct {
 	Field string
 	Value any
 	Want  string
 }
 
-// Error names field, value and what was wanted.
+// Error names the field, its value and the expected value.
 func (e AnnouncementError) Error() string {
 	return fmt.Sprintf("%s: %v: want %s", e.Field, e.Value, e.Want)
 }
--- a/internal/deliverer/deliverer.go
+++ b/internal/deliverer/deliverer.go
@@ -1,9 +1,9 @@
-// This is the last node a call passes before its backend server. The reducer decides when the call may go; what
-// is done here is only to carry it, to tell truthfully whether it can have run, and to tell the reducer how
-// it ended, since the slot it used must come free whatever happens.
+// A deliverer is the last hop of a call before its backend server. The reducer decides when the call is dispatched. The
+// deliverer sends it, reports to the calling node whether it may have run, and always reports its end to the reducer,
+// because the slot that it used must be freed in every case.
 //
-// Example: a call for endpoint "ice-2" waits in the mailbox loop until Dispatch comes, is sent to
-// 127.0.0.1:9002 with its token, and its answer streams back; EndDelivery brings the tail.
+// Example: a call for endpoint "ice-2" waits for Dispatch from its mailbox, is sent to 127.0.0.1:9002 with its token, and
+// its answer is streamed back; EndDelivery carries the tail.
 
 package deliverer
 
@@ -26,7 +26,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/transporter"
 )
 
-// The header fields that a node sets for its backend server.
+// Header fields that a node sets on requests to its backend server.
 const (
 	TokenHeader     = "Jackdawtide-Call"
 	DeadlineHeader  = "Jackdawtide-Deadline-Ms"
@@ -39,7 +39,7 @@
 	copyBufferSize = 32 << 10
 )
 
-// Deliverer carries calls to the backend servers of this VM.
+// Deliverer sends calls to the backend servers of this VM.
 type Deliverer struct {
 	performer *performer.Performer
 
@@ -52,7 +52,7 @@
 	client  *http.Transport
 }
 
-// New returns a deliverer that asks p for decisions.
+// New returns a deliverer that applies its events to p.
 func New(p *performer.Performer) *Deliverer {
 	return &Deliverer{performer: p, backends: make(map[identifier.Endpoint]*backend)}
 }
@@ -62,7 +62,7 @@
 	return &b
 }}
 
-// ServeCall takes a call from a node, waits for its turn, and hands it to the backend server.
+// ServeCall accepts a call from a node, waits until it is dispatched, and sends it to the backend server.
 func (d *Deliverer) ServeCall(ctx context.Context, from identifier.Node, head transporter.CallHead, body io.Reader, w transporter.AnswerWriter) {
 	id, mailbox := d.performer.Open()
 	defer d.performer.Close(id)
@@ -130,7 +130,8 @@
 	_ = w.Close(toTail(end.Tail))
 }
 
-// exchangeResult tells how an exchange with a backend server went; whole means that the answer may be closed properly.
+// exchangeResult is the outcome of an exchange with a backend server; closable is whether the answer is complete and may
+// be closed with a tail.
 type exchangeResult struct {
 	delivery reducer.DeliveryResult
 	closable bool
@@ -162,8 +163,8 @@
 	return exchangeResult{delivery: reducer.DeliverySucceeded, closable: true}
 }
 
-// A connection that could not even be made has carried nothing, so the call has not run. After that, a lost
-// connection says nothing about whether the backend server did the work.
+// If the connection could not be opened, nothing was sent and the call has not run. If the connection is lost later, the
+// call may or may not have run.
 func refuseFailed(ctx context.Context, w transporter.AnswerWriter, e reducer.Dispatch, err error) exchangeResult {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -217,15 +218,15 @@
 	return req, nil
 }
 
-// The HTTP library sends a request without a body a second time, by itself, when a reused connection dies
-// before the answer and the method is GET or an idempotency id is in the header. A booking would then run
-// twice and no retry allowance would be spent. A body that the library cannot rewind stops it from doing so.
+// nonRewindableBody is an empty body that keeps net/http from retrying. net/http retries a request without a body on its
+// own if a reused connection ends before the answer and the method is GET or the header has an idempotency id. A booking
+// could then run twice, and the retry would not be charged to the retry budget. A body that can't be rewound prevents it.
 type nonRewindableBody struct{}
 
 func (nonRewindableBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Flushing after each read lets a slow download reach its caller as it comes; an answer that is known to be
-// small is sent in one piece instead.
+// copyBody flushes after each read, so that a slow download reaches its caller without delay; an answer known to be small
+// is sent in one piece instead.
 func copyBody(w transporter.AnswerWriter, resp *http.Response) error {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
@@ -254,7 +255,7 @@
 
 func newToken() reducer.Token {
 	var b [tokenBytes]byte
-	// crypto/rand.Read never fails; it ends the process instead.
+	// crypto/rand.Read never returns an error; it crashes the process instead.
 	_, _ = rand.Read(b[:])
 	return reducer.Token(base64.RawURLEncoding.EncodeToString(b[:]))
 }
--- a/internal/deliverer/doc.go
+++ b/internal/deliverer/doc.go
@@ -1,2 +1,2 @@
-// Package deliverer hands calls to the backend servers of this VM, and takes their announcements.
+// Package deliverer sends calls to the backend servers of this VM and accepts their announcements.
 package deliverer
--- a/internal/deliverer/header.go
+++ b/internal/deliverer/header.go
@@ -1,7 +1,7 @@
-// Header fields that belong to one connection must not travel on, and a node's own fields must not be forged by
-// a backend server's answer.
+// Hop-by-hop header fields must not be forwarded, and callers and backend servers must not be able to forge the fields
+// that nodes set.
 //
-// Example: an answer with "Connection: X-Trace" and "X-Trace: 1" passes on neither.
+// Example: of an answer with "Connection: X-Trace" and "X-Trace: 1" neither field is forwarded.
 
 package deliverer
 
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/transporter"
 )
 
-// OwnPrefix starts the names of all header fields that nodes set themselves.
+// OwnPrefix is the prefix of all header fields that nodes set themselves.
 const OwnPrefix = "Jackdawtide-"
 
 var hopByHop = map[string]bool{
@@ -29,7 +29,7 @@
 	"Upgrade":             true,
 }
 
-// EndToEnd returns the fields of h that may travel on; also drop names the canonical fields to leave out besides.
+// EndToEnd returns the fields of h to forward; excluded lists the canonical names of further fields to leave out.
 func EndToEnd(h http.Header, excluded ...string) []transporter.Field {
 	named := connectionNames(h)
 	fields := make([]transporter.Field, 0, len(h))
--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -1,6 +1,6 @@
-// The reducer is a plain state machine; this is the one place where it is called. A lock keeps the events in
-// one order. Effects for a call go to the mailbox of the goroutine that serves it; the others are put on a
-// queue outside the lock, since a slow log or peer must not hold up calls.
+// The reducer is a state machine without locks or I/O, and the performer is its only caller. A lock serializes the events.
+// An effect for a call goes to the mailbox of the goroutine that serves the call; all others go to the EffectHandler,
+// which queues them, since a slow log or peer must not delay calls.
 //
 // Example: p.Apply(&reducer.CallArrived{Call: id, …}) puts reducer.Forward into the mailbox that
 // p.Open() returned together with id.
@@ -15,10 +15,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// mailboxSize is more than the effects that can be under way for one call at a time.
+// mailboxSize is larger than the number of effects that can be pending for one call.
 const mailboxSize = 8
 
-// Mailbox receives the effects meant for one call or delivery.
+// Mailbox receives the effects for one call or delivery.
 type Mailbox <-chan reducer.CallEffect
 
 // Machine is the part of the reducer that the performer drives.
@@ -34,7 +34,7 @@
 	Log(reducer.Log)
 }
 
-// Performer serialises events and spreads effects.
+// Performer serializes events and dispatches the resulting effects.
 type Performer struct {
 	clock   *clock.Clock
 	handler EffectHandler
@@ -47,7 +47,7 @@
 	mailboxes map[reducer.CallID]chan reducer.CallEffect
 }
 
-// New returns a performer of machine's effects.
+// New returns a performer that applies events to m and passes effects on other processes to o.
 func New(c *clock.Clock, m Machine, o EffectHandler) *Performer {
 	return &Performer{
 		clock:     c,
@@ -67,14 +67,14 @@
 	return id, mailbox
 }
 
-// Close forgets the mailbox of a call.
+// Close removes the mailbox of a call.
 func (p *Performer) Close(id reducer.CallID) {
 	p.mu.Lock()
 	delete(p.mailboxes, id)
 	p.mu.Unlock()
 }
 
-// Apply hands one event to the reducer and spreads its effects.
+// Apply passes one event to the reducer and dispatches the effects.
 func (p *Performer) Apply(event reducer.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// View runs read under the lock, so that a dump is one consistent moment.
+// View runs read under the lock, so that it sees a consistent state.
 func (p *Performer) View(read func(now clock.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +107,9 @@
 	}
 }
 
-// A call whose goroutine has gone gets no mail; that is no fault, since an effect and the end of its call may
-// cross. A full mailbox would mean that the reducer repeats itself; dropping is better than a lock held forever.
+// An effect for a call that has been closed is dropped: the effect and the end of the call may occur at the same time. A
+// full mailbox means that the reducer emitted duplicate effects; the effect is dropped, since waiting would block while
+// holding the lock.
 func (p *Performer) postToMailbox(e reducer.CallEffect) {
 	mailbox, ok := p.mailboxes[e.Recipient()]
 	if !ok {
