--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -1,4 +1,4 @@
-// A node is put together by fx from small constructors, in the order in which data flows: transport, state, performer,
+// A node is assembled by fx from small constructors, in the order in which data flows: transport, state, performer,
 // deliverer, forwarder, receiver, listeners.
 //
 // Example: n, err := assembler.New(assembler.Options{Settings: s, Trust: t, Log: l, Logger: g}); n.Start(ctx);
@@ -31,19 +31,19 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// Options are what a node is made of.
+// Options configures a node and holds what it depends on.
 type Options struct {
 	Settings loader.Settings
 	Trust    certifier.Trust
 	Log      appender.Log
 	Logger   *log.Logger
-	// Clock is the process's clock; a test may hold on to it in order to pause the node.
+	// Clock is the process's clock, nil for a new one; a test may keep a reference to it in order to pause the node.
 	Clock *clock.Clock
-	// Partitioned drops all traffic with some peers, for tests.
+	// Partitioned returns whether all traffic with a peer is dropped; nil drops none. It is for tests.
 	Partitioned func(peer identifier.Node) bool
 }
 
-// Addresses are where a running node listens.
+// Addresses holds the addresses on which a running node listens.
 type Addresses struct {
 	Caller string
 	Local  string
@@ -61,7 +61,7 @@
 	stateReader *stateReader
 }
 
-// New puts a node together; nothing listens yet but the peer address.
+// New assembles a node; of its listeners only the one for peers is open yet.
 func New(o Options) (*Node, error) {
 	if o.Clock == nil {
 		o.Clock = clock.New()
@@ -101,8 +101,8 @@
 	return n, nil
 }
 
-// A process that comes back on the same VM must not be taken for the one before it, whose leases and promises it
-// knows nothing of; so every start has an id of its own.
+// Every start of a node gets a new id. Otherwise peers could mistake a restarted process for the previous one on the same
+// VM, whose leases and promises it does not know.
 func newNodeID(name loader.NodeName) identifier.Node {
 	var b [4]byte
 	_, _ = rand.Read(b[:])
@@ -112,13 +112,13 @@
 // ID returns the id of this run of the node.
 func (n *Node) ID() identifier.Node { return n.id }
 
-// Start opens the listeners and begins to work.
+// Start opens the listeners and starts the node's work.
 func (n *Node) Start(ctx context.Context) error { return n.app.Start(ctx) }
 
-// Stop ends the node as planned: it hands over what it holds and finishes every call.
+// Stop is a planned stop: the node hands over its leases and finishes every call.
 func (n *Node) Stop(ctx context.Context) error { return n.app.Stop(ctx) }
 
-// Kill ends the node at once, as a crash would.
+// Kill stops the node at once, like a crash.
 func (n *Node) Kill() {
 	n.lifecycle.kill()
 	_ = n.app.Stop(context.Background())
@@ -169,11 +169,11 @@
 	})
 }
 
-// Carried returns what the node's transport has carried so far.
+// Carried returns the statistics of the node's transport.
 func (n *Node) Carried() transporter.Stats { return n.peer.Stats() }
 
-// Pause keeps the node from deciding anything for the given time, as a process would be that its VM does not run, and
-// returns when it is over; it is for tests.
+// Pause blocks all decisions of the node for the given time, like a VM that does not run the process, and returns when the
+// time is over; it is for tests.
 func (n *Node) Pause(d time.Duration) {
 	n.lifecycle.performer.View(func(clock.Time) { time.Sleep(d) })
 }
--- a/internal/assembler/doc.go
+++ b/internal/assembler/doc.go
@@ -1,2 +1,2 @@
-// Package assembler puts the parts of a node together and runs it from its start to its planned stop.
+// Package assembler assembles the parts of a node and runs it from its start to its planned stop.
 package assembler
--- a/internal/assembler/effects.go
+++ b/internal/assembler/effects.go
@@ -1,6 +1,6 @@
-// The reducer's effects towards other processes are carried out here, outside its lock. A slow peer or log must not
-// hold up calls, so each kind has a bounded queue of its own; what does not fit is dropped, as if the network had
-// lost it, and the matters send again what they still need.
+// The effectRunner carries out the reducer's effects on other processes, without holding the performer's lock. A slow peer
+// or log must not delay calls, so each kind of effect has its own bounded queue. Effects that do not fit are dropped, like
+// messages lost by the network; the reducer's parts send again what they still need.
 
 package assembler
 
@@ -25,14 +25,14 @@
 	appendQueueSize = 1024
 	logQueueSize    = 1024
 	maxReadRecords  = 500
-	// readWait is how long one read waits for a new record; the news of an idle log is at most this old.
+	// readWait is how long one read waits for a new record, and so the upper bound on the age of an idle log's last answer.
 	readWait         = time.Second
 	readTimeout      = 5 * time.Second
 	appendTimeout    = 2 * time.Second
 	appendRetryPause = 200 * time.Millisecond
 )
 
-// effectRunner carries out effects that concern other processes.
+// effectRunner carries out effects on other processes.
 type effectRunner struct {
 	clock       *clock.Clock
 	logger      *log.Logger
@@ -77,7 +77,7 @@
 	}
 }
 
-// run works off the queues until ctx ends.
+// run starts the goroutines that process the queues until ctx is cancelled.
 func (o *effectRunner) run(ctx context.Context, apply func(reducer.Event)) {
 	go o.runSends(ctx)
 	go o.runAppends(ctx)
@@ -119,8 +119,8 @@
 	}
 }
 
-// A claim is appended once: the claimer judges by reading it back, and appends anew in its own time. Other records
-// are repeated until the log has them, since nobody else would.
+// A claim is appended once: the claimer reads it back from the log and appends it again itself if necessary. Other records
+// are retried here until the log has accepted them, because no other part retries them.
 func (o *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
 	b, err := encoder.Encode(e.Record)
 	if err != nil {
--- a/internal/assembler/inbox.go
+++ b/internal/assembler/inbox.go
@@ -1,5 +1,5 @@
-// The transport listens before the rest of the node exists. What arrives in that moment is turned away, and the
-// sender takes it for a node that is not up yet, which is the truth.
+// The transport listens before the rest of the node is assembled. Calls and messages that arrive before that are dropped,
+// and the sender treats the node as not yet started.
 
 package assembler
 
@@ -38,14 +38,14 @@
 	in.target.Store(&inboxTarget{deliverer: d, performer: p})
 }
 
-// ServeCall passes a call on to the deliverer.
+// ServeCall passes a call to the deliverer.
 func (in *inbox) ServeCall(ctx context.Context, from identifier.Node, head transporter.CallHead, body io.Reader, w transporter.AnswerWriter) {
 	if t := in.target.Load(); t != nil {
 		t.deliverer.ServeCall(ctx, from, head, body, w)
 	}
 }
 
-// ServeControl passes a message on to the reducer.
+// ServeControl passes a control message to the reducer.
 func (in *inbox) ServeControl(from identifier.Node, message []byte) {
 	t := in.target.Load()
 	if t == nil {
--- a/internal/assembler/lifecycle.go
+++ b/internal/assembler/lifecycle.go
@@ -1,5 +1,5 @@
-// A planned stop must look to callers like nothing at all: the fleet is told, running calls finish, and only then do
-// the sockets close. A crash is the same without any of it, which is what kill is for in tests.
+// A planned stop must not affect callers: the node announces to the fleet that it is leaving, finishes the calls under
+// way, and only then closes its sockets. kill skips all of this to simulate a crash in tests.
 //
 // Example: Stop with an upload of three minutes under way returns after three minutes, if drainTimeout allows.
 
@@ -22,7 +22,7 @@
 const (
 	tickInterval     = 10 * time.Millisecond
 	idlePollInterval = 20 * time.Millisecond
-	// stopMargin is what a stop needs besides waiting for calls.
+	// stopMargin is the time that a stop takes in addition to the drain timeout.
 	stopMargin = 15 * time.Second
 )
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// kill makes the stop that follows a crash.
+// kill closes the servers at once and makes the following stop behave like a crash.
 func (s *lifecycle) kill() {
 	s.killed.Store(true)
 	s.cancel()
@@ -114,7 +114,7 @@
 	drainCtx, cancel := context.WithTimeout(ctx, s.drainTimeout)
 	defer cancel()
 	s.performer.Apply(&reducer.NodeLeaving{Wall: s.clock.Wall()})
-	// Callers may go on until the listener closes; their connections end with the answers under way.
+	// Callers may send requests until the listener closes; their connections end with the answers under way.
 	callerErr := s.servers.caller.stop(drainCtx)
 	if callerErr != nil {
 		s.logger.Warn("drain timeout passed", "error", callerErr)
--- a/internal/assembler/metrics.go
+++ b/internal/assembler/metrics.go
@@ -1,5 +1,5 @@
-// Metrics are per process, and a process may hold several nodes in tests and in the demo; so they stand under the id of
-// their node.
+// expvar's metrics are per process, but in tests and in the demo a process runs several nodes; therefore each node's metrics
+// are published under its id.
 //
 // Example: GET /debug/vars → {"jackdawtide":{"ice-1.1f2e3d4c":{"counters":{"entered":12,…},…}},…}
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// nodeMetrics is a global because expvar knows no other.
+// nodeMetrics is global because expvar has only global variables.
 var nodeMetrics = expvar.NewMap("jackdawtide")
 
 type metrics struct {
@@ -41,7 +41,7 @@
 	}))
 }
 
-// A stopped node's state would otherwise be kept for as long as the process lives.
+// The published function refers to the node's state, which would otherwise stay in memory after the node has stopped.
 func withdrawMetrics(id identifier.Node) {
 	nodeMetrics.Delete(string(id))
 }
--- a/internal/assembler/progress.go
+++ b/internal/assembler/progress.go
@@ -1,8 +1,8 @@
-// A request or an answer may take as long as it makes progress: an upload of minutes is served, and a client that stops
-// in the middle and keeps its connection open is not. Without this, some hundreds of such clients would hold every place
-// for a body, and all others would be refused with tooManyInFlight while nothing is under way.
+// A request or an answer has no total time limit as long as it makes progress: an upload of several minutes is served, but
+// one that stalls on an open connection times out. Without this limit, some hundreds of stalled clients would use up all
+// concurrent calls, and all others would be refused with tooManyInFlight although no call makes progress.
 //
-// Example: with bodyIdleTimeout = "30s" each read of a body, and each write of an answer, has 30 s of its own.
+// Example: with bodyIdleTimeout = "30s" each read of a body and each write of an answer may take 30 s.
 
 package assembler
 
@@ -19,7 +19,7 @@
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p := &progressWriter{ResponseWriter: w, controller: http.NewResponseController(w), idle: idle}
-		// What the server itself writes after the handler has returned needs time as well.
+		// The server may still write after the handler has returned, and needs a new deadline for that.
 		defer p.renew()
 		if r.Body != nil && r.Body != http.NoBody {
 			r.Body = &progressBody{ReadCloser: r.Body, controller: p.controller, idle: idle}
@@ -34,7 +34,7 @@
 	idle       time.Duration
 }
 
-// Unwrap lets http.ResponseController find the methods of the server's own writer.
+// Unwrap gives http.ResponseController access to the methods of the server's writer.
 func (w *progressWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 func (w *progressWriter) Write(b []byte) (int, error) {
@@ -47,7 +47,7 @@
 	return w.controller.Flush()
 }
 
-// A writer without deadlines, as in some tests, is written to without a bound.
+// Writes to a writer that does not support deadlines, as in some tests, have no time limit.
 func (w *progressWriter) renew() {
 	_ = w.controller.SetWriteDeadline(time.Now().Add(w.idle))
 }
@@ -58,7 +58,7 @@
 	idle       time.Duration
 }
 
-// Once a body has ended the server clears the deadline itself, so that long work is not taken for a client that has gone.
+// The server clears the read deadline at the end of the body, so a long-running handler does not hit the deadline.
 func (b *progressBody) Read(p []byte) (int, error) {
 	_ = b.controller.SetReadDeadline(time.Now().Add(b.idle))
 	return b.ReadCloser.Read(p)
--- a/internal/assembler/servers.go
+++ b/internal/assembler/servers.go
@@ -1,5 +1,5 @@
-// Every listener is bounded: header size, time to send a header, idle time, number of connections. A caller that
-// opens connections and says nothing must not take the node down for the others.
+// Every listener limits header size, header read time, idle time and number of connections, so that a caller that opens
+// connections without sending requests cannot make the node unavailable to others.
 
 package assembler
 
@@ -70,11 +70,11 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// OperatorError reports a valid operator certificate whose name the settings do not let in.
+// OperatorError reports a valid operator certificate whose name is not in the settings' list of operators.
 type OperatorError struct{ Name string }
 
 // Error names the operator.
-func (e OperatorError) Error() string { return "operator " + e.Name + " is not let in" }
+func (e OperatorError) Error() string { return "operator " + e.Name + " is not listed in the settings" }
 
 func operatorsTLS(o Options) *tls.Config {
 	c := o.Trust.Server(nil, certifier.Operator)
--- a/internal/assembler/servers_test.go
+++ b/internal/assembler/servers_test.go
@@ -20,7 +20,7 @@
 
 const testIdle = 150 * clock.Millisecond
 
-// serve starts a listener of a node with tight limits; the handler reads the body, works for a while, and answers.
+// serve starts a node's listener with low limits; the default handler reads the body, sleeps for work, and answers.
 func serve(t *testing.T, work time.Duration, h http.HandlerFunc) *server {
 	t.Helper()
 	l := loader.DefaultLimits()
@@ -68,8 +68,8 @@
 
 var addresses = regexp.MustCompile(`[0-9.:]+->[0-9.:]+\d`)
 
-// A client stops in the middle of its upload and keeps the connection open. Its call would hold a place for ever. A
-// client that is slow but goes on, and an answer that takes long, must not be cut.
+// A client stalls in the middle of its upload and keeps the connection open. Without a timeout its call would never end. A
+// slow client that makes progress, and a handler that works for long, must not time out.
 func TestOnlyStalledUploadsTimeOut(t *testing.T) {
 	tests := map[string]struct {
 		parts int
@@ -97,8 +97,8 @@
 	}
 }
 
-// A client asks for a long answer and does not read it. The node must not wait for it for ever; one that reads slowly
-// gets all of it.
+// A client requests a long answer and does not read it. The write of the answer must time out, while a client that reads
+// slowly must get the whole answer.
 func TestOnlyStalledReadersTimeOut(t *testing.T) {
 	ended := make(chan error, 1)
 	s := serve(t, 0, func(w http.ResponseWriter, _ *http.Request) {
@@ -111,7 +111,7 @@
 	case err := <-ended:
 		assert.ErrorContains(t, err, "i/o timeout")
 	case <-time.After(5 * time.Second):
-		t.Fatal("the answer to a client that does not read went on")
+		t.Fatal("the write to a client that does not read did not time out within 5 s")
 	}
 }
 
@@ -119,8 +119,8 @@
 
 func (endless) Read(b []byte) (int, error) { return len(b), nil }
 
-// A backend server sends its last bytes and ends its answer a while later. The end must still reach the caller, and the
-// next request on the connection be served.
+// A backend server sends its last bytes and ends its answer after the idle timeout. The end must still reach the caller,
+// and the next request on the connection must be served.
 func TestLateEndOfAnswerReachesCaller(t *testing.T) {
 	c := dial(t, serve(t, 0, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
@@ -132,8 +132,8 @@
 	}
 }
 
-// One caller opens more connections than the node takes, and another sends a header of megabytes. The first waits until
-// one of its connections closes, the second is refused; neither takes the node's memory.
+// A caller opens more connections than the limit, and sends a header above the size limit on the last one. The connection
+// waits until another one closes, and the header is refused; neither exhausts the node's memory.
 func TestConnectionsAndHeadersAreBounded(t *testing.T) {
 	s := serve(t, 0, nil)
 	first, second := dial(t, s), dial(t, s)
--- a/internal/assembler/state_reader.go
+++ b/internal/assembler/state_reader.go
@@ -1,5 +1,5 @@
-// The admin endpoint and the backend servers ask about the state; they are answered under the performer's lock, so
-// that no answer mixes two moments.
+// The admin endpoint and the handlers for backend servers read the node's state through the stateReader. It reads under
+// the performer's lock, so that each answer is consistent.
 
 package assembler
 
@@ -26,7 +26,7 @@
 	return &stateReader{performer: p, state: s, domain: o.Settings.Domain, id: id}
 }
 
-// Dump returns the state at this moment.
+// Dump returns the current state.
 func (s *stateReader) Dump() reducer.Dump {
 	var d reducer.Dump
 	s.performer.View(func(now clock.Time) { d = s.state.Dump(now) })
@@ -40,7 +40,7 @@
 	return d
 }
 
-// Status returns the configuration in force here and, as far as it was heard, at the other nodes.
+// Status returns the configuration in force at this node and, as far as their reports were received, at the other nodes.
 func (s *stateReader) Status() inspector.Status {
 	var own reducer.Status
 	var fleet map[identifier.Node]reducer.Status
@@ -61,7 +61,7 @@
 	return status
 }
 
-// silenceUnknown is how a status tells that there was no news at all.
+// silenceUnknown is the silence in the status of a node that has never had news of the configuration.
 const silenceUnknown = -1
 
 func (s *stateReader) nodeStatus(n identifier.Node, st reducer.Status) inspector.NodeStatus {
@@ -78,7 +78,7 @@
 	}
 }
 
-// BackendState returns what is known of one backend server of this VM.
+// BackendState returns the state of one backend server of this VM.
 func (s *stateReader) BackendState(id identifier.Endpoint) (deliverer.BackendState, bool) {
 	var b reducer.BackendDump
 	var ok bool
--- a/internal/launcher/callers_test.go
+++ b/internal/launcher/callers_test.go
@@ -24,8 +24,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// The callers' interface, request by request: what each can expect when all is well, when they err, and when the fleet is
-// in trouble. A status or a field that changes by accident would break their programs.
+// The callers' interface, request by request: answers in normal operation, to invalid requests, and under overload or
+// faults. A status or a field that changes by accident would break callers' programs.
 func TestCallers(t *testing.T) {
 	s := newTestFleet(t)
 	files, err := filepath.Glob("testdata/callers/*.session")
@@ -42,8 +42,8 @@
 	t.Run("streaming", s.checkStreaming)
 }
 
-// replay runs a session: lines with ">" are requests and their headers, with "!" what happens meanwhile, with "%"
-// remarks, and with "<" answers, which are made anew.
+// replay runs a session: lines with ">" are requests and their headers, with "!" events between requests, with "%"
+// comments, and with "<" answers, which are regenerated.
 func (s *testFleet) replay(t *testing.T, script string) string {
 	t.Helper()
 	var out strings.Builder
@@ -95,7 +95,8 @@
 	}
 }
 
-// request sends one request and returns its answer, normalised.
+// request sends one request, if necessary until its answer has the reason of the Until line, and returns the normalised
+// answer.
 func (s *testFleet) request(t *testing.T, lines []string) string {
 	t.Helper()
 	until := ""
@@ -114,12 +115,12 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("never %s for %v", until, lines)
+	t.Fatalf("no answer with %s in 400 attempts at %v", until, lines)
 	return ""
 }
 
-// truncatedRequest sends a request whose answer is cut. How much of it comes through before the cut is chance; but it may never
-// look whole.
+// truncatedRequest sends a request whose answer the backend server truncates. How much of it arrives varies, but it must
+// never look complete.
 func (s *testFleet) truncatedRequest(t *testing.T, lines []string) string {
 	t.Helper()
 	status, text := s.send(t, lines)
@@ -134,7 +135,7 @@
 func (s *testFleet) send(t *testing.T, lines []string) (int, string) {
 	t.Helper()
 	words := strings.Fields(lines[0])
-	// Each request enters by another node than the one before.
+	// Successive requests enter the fleet at different nodes.
 	base := s.fleet.Members[s.nextEntry%len(s.fleet.Members)].CallerURL()
 	s.nextEntry++
 	switch words[0] {
@@ -191,7 +192,8 @@
 
 var idPattern = regexp.MustCompile(`^id\((\d+)(?:, (?:(\w+) (ago|ahead)|(\w+:)))?\)$`)
 
-// resolveID makes the id that a session names by number, once, with its time moved if it says so.
+// resolveID returns the idempotency id that a session names by number; it is generated once, with its time shifted if the
+// session says so.
 func (s *testFleet) resolveID(value string) string {
 	m := idPattern.FindStringSubmatch(value)
 	if m == nil {
--- a/internal/launcher/fleet.go
+++ b/internal/launcher/fleet.go
@@ -1,6 +1,6 @@
-// The fleet consists of the real parts: nodes put together as in production, QUIC with mutual TLS between them, the log
-// stand-in over HTTP, backend servers that announce themselves. Only the process is shared, and loopback stands for
-// the network.
+// The fleet consists of the real parts: nodes assembled as in production, QUIC with mutual TLS between them, the log
+// stand-in over HTTP, backend servers that announce themselves. They only share one process and use loopback as their
+// network.
 //
 // Example: f, err := launcher.Start(ctx, launcher.Options{Plan: plan}); defer f.Close().
 
@@ -37,10 +37,10 @@
 	maxBodies       = 20_000
 )
 
-// Options say what to launch.
+// Options configures the fleet to launch.
 type Options struct {
 	Plan Plan
-	// Logs receives the nodes' log lines; nil drops them.
+	// Logs receives the nodes' log lines; nil discards them.
 	Logs io.Writer
 	// Debug makes the nodes log at debug level.
 	Debug bool
@@ -76,20 +76,20 @@
 	Node    *assembler.Node
 	Clock   *clock.Clock
 	Backend *responder.Server
-	// Address stays the same over restarts of the node, so that peers and callers find it again.
+	// addresses stay the same over restarts of the node, so that peers and callers can reach it again.
 	addresses assembler.Addresses
 }
 
-// CallerURL returns where callers reach the member's node.
+// CallerURL returns the URL at which callers reach the member's node.
 func (m *Member) CallerURL() string { return "http://" + m.addresses.Caller }
 
-// LocalURL returns where the member's backend server reaches the node.
+// LocalURL returns the URL at which the member's backend server reaches the node.
 func (m *Member) LocalURL() string { return "http://" + m.addresses.Local }
 
-// AdminURL returns the admin endpoint of the member's node.
+// AdminURL returns the URL of the node's admin endpoint.
 func (m *Member) AdminURL() string { return "http://" + m.addresses.Admin }
 
-// Start launches the fleet and waits until it serves.
+// Start launches the fleet and waits until it is ready; with SkipPublish it does not wait.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{
 		options:     o,
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// StartNode starts the member's node, at the addresses it had before if it ran already.
+// StartNode starts the member's node; a restarted node reuses its previous addresses.
 func (f *Fleet) StartNode(ctx context.Context, m *Member) error {
 	pair, err := f.authority.Issue(certifier.Identity{Role: certifier.Node, Name: m.Name}, time.Now(), certificateLife)
 	if err != nil {
@@ -270,7 +270,7 @@
 	return l.With("node", m.Name)
 }
 
-// Close stops everything at once.
+// Close kills all nodes and backend servers and closes the log.
 func (f *Fleet) Close() {
 	var group sync.WaitGroup
 	for _, m := range f.Members {
--- a/internal/launcher/fleet_test.go
+++ b/internal/launcher/fleet_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller's request goes through three services on several nodes. If any link were broken, the caller would get no
-// answer, or one that lacks the nested services' parts.
+// A caller's request passes through three services on several nodes. If any hop failed, the caller would get no answer, or
+// one without the nested services' parts.
 func TestCallPassesWholeChain(t *testing.T) {
 	plan, err := PlanOf("kitakaze")
 	assert.NilError(t, err)
--- a/internal/launcher/helpers_test.go
+++ b/internal/launcher/helpers_test.go
@@ -21,14 +21,14 @@
 	"github.com/jackdawtide/jackdawtide/pkg/announcer"
 )
 
-// testFleet is a small fleet with all that its callers do to it, and all that it says.
+// testFleet is a small fleet with the state of its test callers and the collected output.
 type testFleet struct {
 	t     *testing.T
 	fleet *Fleet
 	logs  *lockedBuffer
-	// output is everything that callers and backend servers were told.
+	// output collects all answers to callers and all output of the admin endpoints and the log.
 	output bytes.Buffer
-	// finishedToken is the token of a call that is over.
+	// finishedToken is the token of a finished call.
 	finishedToken string
 	requests      []string
 	ids           map[string]string
@@ -77,12 +77,13 @@
 	s.fleet.Keys["another"], err = s.fleet.Issue(ctx, "captains")
 	assert.NilError(t, err)
 	s.announceTruncatingBackend(ctx)
-	// Ids made before their owners took over are answered as unknown; and gossip has to bring the new backend server.
+	// Wait until the owners of idempotency ids have taken over, since older ids have an unknown outcome, and until gossip
+	// has spread the new backend server.
 	time.Sleep(2 * time.Second)
 	return s
 }
 
-// announceTruncatingBackend adds a backend server that cuts its answers short, at the node of ice.
+// announceTruncatingBackend adds a backend server that truncates its answers, at the node of service ice.
 func (s *testFleet) announceTruncatingBackend(ctx context.Context) {
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.finishedToken = r.Header.Get(responder.CallHeader)
@@ -117,7 +118,7 @@
 	return s.fleet.Members[i]
 }
 
-// flood sends far more to a service than it can take, until calm.
+// flood sends far more load to a service than its capacity, until stopFlood is called.
 func (s *testFleet) flood(service string) {
 	b := s.member(service).Backend
 	b.SetServiceTime(100 * time.Millisecond)
--- a/internal/launcher/partition.go
+++ b/internal/launcher/partition.go
@@ -1,7 +1,7 @@
-// A failure domain is cut off at the transport and at the log, as a failed switch would do it: its nodes and backend
-// servers go on, and nothing passes its border.
+// A failure domain is partitioned at the transport and at the log, like by a failed switch: its nodes and backend servers
+// keep running, but no traffic enters or leaves the domain.
 //
-// Example: f.Cut("abashiri") … f.Heal("abashiri").
+// Example: f.Partition("abashiri") … f.Heal("abashiri").
 
 package launcher
 
@@ -13,10 +13,10 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// Partition separates a failure domain from the others and from the log.
+// Partition drops all traffic between a failure domain and the others, and between the domain and the log.
 func (f *Fleet) Partition(d identifier.FailureDomain) { f.setPartitioned(d, true) }
 
-// Heal ends Cut.
+// Heal ends a partition.
 func (f *Fleet) Heal(d identifier.FailureDomain) { f.setPartitioned(d, false) }
 
 func (f *Fleet) setPartitioned(d identifier.FailureDomain, partitioned bool) {
@@ -41,14 +41,14 @@
 	return f.partitioned[d]
 }
 
-// partitionedLog is the log as one failure domain reaches it.
+// partitionedLog is the log as seen from one failure domain; it fails while the domain is partitioned.
 type partitionedLog struct {
 	fleet  *Fleet
 	domain identifier.FailureDomain
 	log    appender.Log
 }
 
-// Append adds a record unless the domain is cut off.
+// Append adds a record unless the domain is partitioned.
 func (l partitionedLog) Append(ctx context.Context, data []byte) (appender.Offset, error) {
 	if l.fleet.isLogPartitioned(l.domain) {
 		return 0, appender.Unavailable{NotSent: true}
@@ -56,7 +56,7 @@
 	return l.log.Append(ctx, data)
 }
 
-// Read reads records unless the domain is cut off.
+// Read reads records unless the domain is partitioned.
 func (l partitionedLog) Read(ctx context.Context, from appender.Offset, limit int, wait time.Duration) (appender.Batch, error) {
 	if l.fleet.isLogPartitioned(l.domain) {
 		return appender.Batch{}, appender.Unavailable{NotSent: true}
--- a/internal/launcher/plan.go
+++ b/internal/launcher/plan.go
@@ -1,7 +1,7 @@
-// A plan says which services a deployment has and how they call each other. The shapes are the users' own, with the
-// numbers of endpoints and slots divided so that a fleet fits into one process; the divisor is stated in every output.
+// A plan defines a deployment's services and their call graph. The call graphs are those of the users' deployments; the
+// numbers of endpoints and slots are divided so that a fleet fits into one process, and every output states the divisor.
 //
-// Example: PlanOf("kitakaze") has bookings call slotBoard, and slotBoard call ice: a chain three deep.
+// Example: PlanOf("kitakaze") has bookings call slotBoard, and slotBoard call ice: a call chain of depth three.
 
 package launcher
 
@@ -18,7 +18,7 @@
 // Service is one service of a plan.
 type Service struct {
 	Name string
-	// Endpoints is the number of backend servers, each with a node of its own, spread over the failure domains.
+	// Endpoints is the number of backend servers, each with its own node, spread over the failure domains.
 	Endpoints   int
 	Slots       int
 	Connections int
@@ -36,7 +36,7 @@
 	Presets []definer.Preset
 }
 
-// UnknownDeploymentError reports a deployment that there is no plan for.
+// UnknownDeploymentError reports a deployment without a plan.
 type UnknownDeploymentError struct{ Deployment string }
 
 // Error names the deployment and the known ones.
--- a/internal/launcher/publish.go
+++ b/internal/launcher/publish.go
@@ -1,5 +1,5 @@
-// Presets and keys reach the fleet as an operator's would: as records on the log, each against the version it was
-// made for.
+// Presets and keys are published to the fleet like an operator's changes: as records in the log, each based on the version
+// that it was made for.
 
 package launcher
 
@@ -71,7 +71,7 @@
 	return issued.Secret.Reveal(), nil
 }
 
-// Withdraw ends a key.
+// Withdraw withdraws a key.
 func (f *Fleet) Withdraw(ctx context.Context, key string) error {
 	v, err := f.Publisher.Load(ctx)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// AwaitReady waits until every node has the newest version and every rate claim of its domain has a holder.
+// AwaitReady waits until every node has the newest version in force and every claim that it knows has a holder.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	v, err := f.Publisher.Load(ctx)
 	if err != nil {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// NotReadyError reports a node that did not get as far as it should in time.
+// NotReadyError reports a node that did not become ready within readyTimeout.
 type NotReadyError struct {
 	Node  string
 	What  string
 	Cause error
 }
 
-// Error names the node and what it lacks.
+// Error names the node and the missing condition.
 func (e NotReadyError) Error() string {
 	return fmt.Sprintf("node %s: %s: %v", e.Node, e.What, e.Cause)
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// A claim is ready once its holder may act, which at the start of a fleet takes as long as anything that an earlier
+// A claim is ready once its holder may act. At the start of a fleet that takes the longest term of anything that an earlier
 // holder might have granted.
 func (f *Fleet) awaitClaims(ctx context.Context, m *Member) error {
 	for {
@@ -149,7 +149,7 @@
 	}
 }
 
-// claimsHeld counts the claims that the member may hold, and those for which some node has authority.
+// claimsHeld returns how many claims the member knows, and for how many of these some node has authority.
 func (f *Fleet) claimsHeld(m *Member) (held, known int) {
 	authority := make(map[claimer.Name]bool)
 	for _, other := range f.Members {
--- a/internal/launcher/secrets_test.go
+++ b/internal/launcher/secrets_test.go
@@ -13,10 +13,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/logkeeper"
 )
 
-// Somebody reads a log file, a dump, or the platform's log, and finds a key in it. From then on they are that team, and
-// nobody notices. So every output of a fleet that has seen each kind of request is searched for every key.
+// A key that leaks into a log file, a dump or the platform's log lets its reader act as that team unnoticed. After each kind
+// of request has been sent, all output of the fleet is searched for every key.
 func (s *testFleet) checkNoKey(t *testing.T) {
-	// In an outage of the log the nodes have something to say at debug level.
+	// An outage of the log makes the nodes write debug log lines.
 	s.fleet.Keeper.Set(logkeeper.Switches{Outage: true})
 	time.Sleep(1500 * time.Millisecond)
 	s.fleet.Keeper.Set(logkeeper.Switches{})
--- a/internal/launcher/streaming_test.go
+++ b/internal/launcher/streaming_test.go
@@ -15,12 +15,12 @@
 
 const (
 	longBodyBytes = 200 << 20
-	// maxHeapGrowth is far less than a body, and more than the buffers of some connections.
+	// maxHeapGrowth is far smaller than a body, and larger than the buffers of several connections.
 	maxHeapGrowth = 48 << 20
 )
 
-// A crew manifest of 200 MB goes up, and a table of the same size comes down to a client on a slow line. A node that
-// finishedToken them in memory would be ended by its VM with all its other calls.
+// A crew manifest of 200 MB is uploaded, and a table of the same size is downloaded by a slow client. A node that held them
+// in memory would be killed by its VM's memory limit, with all its other calls.
 func (s *testFleet) checkStreaming(t *testing.T) {
 	entry := s.member("board").CallerURL()
 	tests := map[string]func(t *testing.T){
@@ -67,7 +67,7 @@
 	return resp
 }
 
-// awaitNoCalls waits until nothing is under way: a download that its client gave up must not hold a slot.
+// awaitNoCalls waits until no call is under way: a download that its client aborted must not hold a slot.
 func (s *testFleet) awaitNoCalls(t *testing.T) {
 	t.Helper()
 	var open string
@@ -86,7 +86,7 @@
 	t.Fatal(open)
 }
 
-// watchHeap measures how far the heap grows over what it is now.
+// watchHeap measures the maximum growth of the heap from now on.
 func watchHeap() (grown func() uint64) {
 	runtime.GC()
 	before := heapBytes()
