--- a/internal/assembler/outside.go
+++ b/internal/assembler/effects.go
@@ -1,6 +1,6 @@
-// The reducer's effects towards other processes are carried out here, outside its lock. A slow peer or log must not
-// hold up calls, so each kind has a bounded queue of its own; what does not fit is dropped, as if the network had
-// lost it, and the matters send again what they still need.
+// The effectRunner carries out the reducer's effects on other processes, without holding the performer's lock. A slow peer
+// or log must not delay calls, so each kind of effect has its own bounded queue. Effects that do not fit are dropped, like
+// messages lost by the network; the reducer's parts send again what they still need.
 
 package assembler
 
@@ -21,54 +21,54 @@
 )
 
 const (
-	sendQueue   = 8192
-	appendQueue = 1024
-	logQueue    = 1024
-	readLimit   = 500
-	// readWait is how long one read waits for a new record; the news of an idle log is at most this old.
-	readWait      = time.Second
-	readTimeout   = 5 * time.Second
-	appendTimeout = 2 * time.Second
-	retryPause    = 200 * time.Millisecond
+	sendQueueSize   = 8192
+	appendQueueSize = 1024
+	logQueueSize    = 1024
+	maxReadRecords  = 500
+	// readWait is how long one read waits for a new record, and so the upper bound on the age of an idle log's last answer.
+	readWait         = time.Second
+	readTimeout      = 5 * time.Second
+	appendTimeout    = 2 * time.Second
+	appendRetryPause = 200 * time.Millisecond
 )
 
-// outside carries out effects that concern other processes.
-type outside struct {
+// effectRunner carries out effects on other processes.
+type effectRunner struct {
 	clock       *clock.Clock
 	logger      *log.Logger
 	log         appender.Log
 	transporter *transporter.Transporter
 
-	sends   chan reducer.Send
-	appends chan reducer.Append
-	reads   chan reducer.ReadLog
-	lines   chan reducer.Log
+	sends    chan reducer.Send
+	appends  chan reducer.Append
+	reads    chan reducer.ReadLog
+	logLines chan reducer.Log
 }
 
-func newOutside(c *clock.Clock, logger *log.Logger, l appender.Log, t *transporter.Transporter) *outside {
-	return &outside{
+func newEffectRunner(c *clock.Clock, logger *log.Logger, l appender.Log, t *transporter.Transporter) *effectRunner {
+	return &effectRunner{
 		clock:       c,
 		logger:      logger,
 		log:         l,
 		transporter: t,
-		sends:       make(chan reducer.Send, sendQueue),
-		appends:     make(chan reducer.Append, appendQueue),
+		sends:       make(chan reducer.Send, sendQueueSize),
+		appends:     make(chan reducer.Append, appendQueueSize),
 		reads:       make(chan reducer.ReadLog, 1),
-		lines:       make(chan reducer.Log, logQueue),
+		logLines:    make(chan reducer.Log, logQueueSize),
 	}
 }
 
 // Send queues a control message.
-func (o *outside) Send(e reducer.Send) { offer(o.sends, e) }
+func (o *effectRunner) Send(e reducer.Send) { offer(o.sends, e) }
 
 // Append queues a record.
-func (o *outside) Append(e reducer.Append) { offer(o.appends, e) }
+func (o *effectRunner) Append(e reducer.Append) { offer(o.appends, e) }
 
 // ReadLog queues a read.
-func (o *outside) ReadLog(e reducer.ReadLog) { offer(o.reads, e) }
+func (o *effectRunner) ReadLog(e reducer.ReadLog) { offer(o.reads, e) }
 
 // Log queues a log line.
-func (o *outside) Log(e reducer.Log) { offer(o.lines, e) }
+func (o *effectRunner) Log(e reducer.Log) { offer(o.logLines, e) }
 
 func offer[T any](queue chan T, v T) {
 	select {
@@ -77,15 +77,15 @@
 	}
 }
 
-// run works off the queues until ctx ends.
-func (o *outside) run(ctx context.Context, apply func(reducer.Event)) {
+// run starts the goroutines that process the queues until ctx is cancelled.
+func (o *effectRunner) run(ctx context.Context, apply func(reducer.Event)) {
 	go o.runSends(ctx)
 	go o.runAppends(ctx)
 	go o.runReads(ctx, apply)
-	go o.runLines(ctx)
+	go o.runLogLines(ctx)
 }
 
-func (o *outside) runSends(ctx context.Context) {
+func (o *effectRunner) runSends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -96,7 +96,7 @@
 	}
 }
 
-func (o *outside) sendOne(e reducer.Send) {
+func (o *effectRunner) sendOne(e reducer.Send) {
 	b, err := encoder.Encode(e.Message)
 	if err != nil {
 		o.logger.Error("message cannot be encoded", "error", err)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (o *outside) runAppends(ctx context.Context) {
+func (o *effectRunner) runAppends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -119,9 +119,9 @@
 	}
 }
 
-// A claim is appended once: the claimer judges by reading it back, and appends anew in its own time. Other records
-// are repeated until the log has them, since nobody else would.
-func (o *outside) appendOne(ctx context.Context, e reducer.Append) {
+// A claim is appended once: the claimer reads it back from the log and appends it again itself if necessary. Other records
+// are retried here until the log has accepted them, because no other part retries them.
+func (o *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
 	b, err := encoder.Encode(e.Record)
 	if err != nil {
 		o.logger.Error("record cannot be encoded", "error", err)
@@ -137,10 +137,10 @@
 	if _, isClaim := e.Record.(claimer.Claim); isClaim {
 		return
 	}
-	time.AfterFunc(retryPause, func() { o.Append(e) })
+	time.AfterFunc(appendRetryPause, func() { o.Append(e) })
 }
 
-func (o *outside) runReads(ctx context.Context, apply func(reducer.Event)) {
+func (o *effectRunner) runReads(ctx context.Context, apply func(reducer.Event)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *outside) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
+func (o *effectRunner) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
 	from := appender.Offset(e.From)
 	b, err := o.read(ctx, from)
 	var expired appender.Expired
@@ -177,18 +177,18 @@
 	return event
 }
 
-func (o *outside) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
+func (o *effectRunner) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
 	ctx, cancel := context.WithTimeout(parent, readTimeout)
 	defer cancel()
-	return o.log.Read(ctx, from, readLimit, readWait)
+	return o.log.Read(ctx, from, maxReadRecords, readWait)
 }
 
-func (o *outside) runLines(ctx context.Context) {
+func (o *effectRunner) runLogLines(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.lines:
+		case e := <-o.logLines:
 			o.logger.Info(e.Message, e.Fields...)
 		}
 	}
--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -1,6 +1,6 @@
-// The reducer is a plain state machine; this is the one place where it is called. A lock keeps the events in
-// one order. Effects for a call go to the mailbox of the goroutine that serves it; the others are put on a
-// queue outside the lock, since a slow log or peer must not hold up calls.
+// The reducer is a state machine without locks or I/O, and the performer is its only caller. A lock serializes the events.
+// An effect for a call goes to the mailbox of the goroutine that serves the call; all others go to the EffectHandler,
+// which queues them, since a slow log or peer must not delay calls.
 //
 // Example: p.Apply(&reducer.CallArrived{Call: id, …}) puts reducer.Forward into the mailbox that
 // p.Open() returned together with id.
@@ -15,10 +15,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// mailboxSize is more than the effects that can be under way for one call at a time.
+// mailboxSize is larger than the number of effects that can be pending for one call.
 const mailboxSize = 8
 
-// Mailbox receives the effects meant for one call or delivery.
+// Mailbox receives the effects for one call or delivery.
 type Mailbox <-chan reducer.CallEffect
 
 // Machine is the part of the reducer that the performer drives.
@@ -26,18 +26,18 @@
 	Reduce(event reducer.Event, now clock.Time, out []reducer.Effect) []reducer.Effect
 }
 
-// Outside carries out the effects that concern other processes; its methods must not block.
-type Outside interface {
+// EffectHandler carries out the effects that concern other processes; its methods must not block.
+type EffectHandler interface {
 	Send(reducer.Send)
 	Append(reducer.Append)
 	ReadLog(reducer.ReadLog)
 	Log(reducer.Log)
 }
 
-// Performer serialises events and spreads effects.
+// Performer serializes events and dispatches the resulting effects.
 type Performer struct {
 	clock   *clock.Clock
-	outside Outside
+	handler EffectHandler
 
 	nextCall atomic.Uint64
 
@@ -47,11 +47,11 @@
 	mailboxes map[reducer.CallID]chan reducer.CallEffect
 }
 
-// New returns a performer of machine's effects.
-func New(c *clock.Clock, m Machine, o Outside) *Performer {
+// New returns a performer that applies events to m and passes effects on other processes to o.
+func New(c *clock.Clock, m Machine, o EffectHandler) *Performer {
 	return &Performer{
 		clock:     c,
-		outside:   o,
+		handler:   o,
 		machine:   m,
 		mailboxes: make(map[reducer.CallID]chan reducer.CallEffect),
 	}
@@ -60,63 +60,64 @@
 // Open makes a new call handle and its mailbox; Close must be called when the call is over.
 func (p *Performer) Open() (reducer.CallID, Mailbox) {
 	id := reducer.CallID(p.nextCall.Add(1))
-	box := make(chan reducer.CallEffect, mailboxSize)
+	mailbox := make(chan reducer.CallEffect, mailboxSize)
 	p.mu.Lock()
-	p.mailboxes[id] = box
+	p.mailboxes[id] = mailbox
 	p.mu.Unlock()
-	return id, box
+	return id, mailbox
 }
 
-// Close forgets the mailbox of a call.
+// Close removes the mailbox of a call.
 func (p *Performer) Close(id reducer.CallID) {
 	p.mu.Lock()
 	delete(p.mailboxes, id)
 	p.mu.Unlock()
 }
 
-// Apply hands one event to the reducer and spreads its effects.
+// Apply passes one event to the reducer and dispatches the effects.
 func (p *Performer) Apply(event reducer.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.effects = p.machine.Reduce(event, p.clock.Now(), p.effects[:0])
 	for i, e := range p.effects {
-		p.spread(e)
+		p.dispatchEffect(e)
 		p.effects[i] = nil
 	}
 }
 
-// View runs read under the lock, so that a dump is one consistent moment.
+// View runs read under the lock, so that it sees a consistent state.
 func (p *Performer) View(read func(now clock.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	read(p.clock.Now())
 }
 
-func (p *Performer) spread(e reducer.Effect) {
+func (p *Performer) dispatchEffect(e reducer.Effect) {
 	switch e := e.(type) {
 	case reducer.CallEffect:
-		p.post(e)
+		p.postToMailbox(e)
 	case reducer.Send:
-		p.outside.Send(e)
+		p.handler.Send(e)
 	case reducer.Append:
-		p.outside.Append(e)
+		p.handler.Append(e)
 	case reducer.ReadLog:
-		p.outside.ReadLog(e)
+		p.handler.ReadLog(e)
 	case reducer.Log:
-		p.outside.Log(e)
+		p.handler.Log(e)
 	}
 }
 
-// A call whose goroutine has gone gets no mail; that is no fault, since an effect and the end of its call may
-// cross. A full mailbox would mean that the reducer repeats itself; dropping is better than a lock held forever.
-func (p *Performer) post(e reducer.CallEffect) {
-	box, ok := p.mailboxes[e.Recipient()]
+// An effect for a call that has been closed is dropped: the effect and the end of the call may occur at the same time. A
+// full mailbox means that the reducer emitted duplicate effects; the effect is dropped, since waiting would block while
+// holding the lock.
+func (p *Performer) postToMailbox(e reducer.CallEffect) {
+	mailbox, ok := p.mailboxes[e.Recipient()]
 	if !ok {
 		return
 	}
 	select {
-	case box <- e:
+	case mailbox <- e:
 	default:
-		p.outside.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.Recipient())}})
+		p.handler.Log(reducer.Log{Message: "mailbox full", Fields: []any{"call", uint64(e.Recipient())}})
 	}
 }
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -1,13 +1,13 @@
 package pipeliner
 
-// The standard server looks for a caller that has left by reading one byte while it answers. Where the caller has sent its
-// next request already, that byte is the next request's, and the look is over: the caller may close the connection, and
-// what it asked for runs on at an endpoint with nobody waiting. One would notice by endpoints that work long after their
-// callers have left. So that read ends here: it gathers what is sent ahead, within a bound, and returns only when the
-// connection ends or the server takes its look back.
+// While it answers, net/http's server detects that the caller has closed the connection by a background read of one byte.
+// If the caller has already sent its next request, that byte belongs to the request and the detection ends: the caller
+// may then close the connection unnoticed, and endpoints continue work that nobody waits for. Therefore the connection
+// handles this read itself: it reads ahead, up to a bound, and returns only when the connection ends or the server aborts
+// the read.
 //
-// Example: two lookups are sent at once and the connection is closed 150 ms later: the gathering read sees the end, the
-// server cancels the first, and the second is never begun or is cancelled as well.
+// Example: a caller sends two lookups at once and closes the connection 150 ms later: the background read sees the end,
+// the server cancels the first lookup, and the second is never started or is cancelled as well.
 
 import (
 	"context"
@@ -19,89 +19,89 @@
 )
 
 const (
-	// mostGathered bounds what is held of a caller that sends without waiting: some 200 requests. From there on it is the
-	// system's buffers that fill up, and whether the caller is still there is seen when the next request's turn comes.
-	mostGathered = 64 << 10
-	// readSize is what is gathered at once, one or two requests; each connection has a buffer of it.
-	readSize = 512
+	// maxReadAheadBytes bounds the bytes held for a caller that sends without waiting: some 200 requests. Beyond it the
+	// system's buffers fill up, and a closed connection is only detected when the next request's turn comes.
+	maxReadAheadBytes = 64 << 10
+	// readChunkBytes is the size of each connection's read buffer; it holds one or two requests.
+	readChunkBytes = 512
 )
 
 // phase is what the server reads next.
 type phase uint8
 
 const (
-	// head: up to the end of the next request's head.
-	head phase = iota
-	// body: what is left of a body whose length is known.
-	body
-	// answering: nothing; a read is the server's look for a caller that has left.
-	answering
-	// plain: anything, since a body in chunks has hidden where requests end.
-	plain
+	// headPhase: up to the end of the next request's head.
+	headPhase phase = iota
+	// bodyPhase: the rest of a body of known length.
+	bodyPhase
+	// answeringPhase: nothing; a read is the server's background read, which detects a closed connection.
+	answeringPhase
+	// passthroughPhase: anything, since after a chunked body the request boundaries are not known.
+	passthroughPhase
 )
 
-// connection hands its server one request at a time and gathers what is sent ahead.
+// connection gives its server one request at a time and reads ahead what the caller sends meanwhile.
 type connection struct {
 	net.Conn
 	options Options
-	// left ends the context of the requests that were begun ahead.
-	left    context.CancelFunc
-	context context.Context
-
-	mu       sync.Mutex
-	phase    phase
-	boundary boundary
-	gathered []byte
-	// buffer is what gathering reads into.
-	buffer []byte
-	// bodyLeft is how much of the body has not been handed out.
+	// cancelAhead cancels the context of the requests that were started ahead.
+	cancelAhead context.CancelFunc
+	context     context.Context
+
+	mu        sync.Mutex
+	phase     phase
+	boundary  boundary
+	readAhead []byte
+	// readBuffer is the buffer of backgroundRead.
+	readBuffer []byte
+	// bodyLeft is how many bytes of the body have not been given to the server.
 	bodyLeft int64
-	// serving tells that a request is being answered.
+	// serving is whether a request is being answered.
 	serving bool
-	// closing tells that the answer under way ends the connection.
+	// closing is whether the current answer ends the connection.
 	closing bool
-	// withdrawn tells that the server no longer waits for its look; changed is told of that.
-	withdrawn bool
-	changed   *sync.Cond
-	queue     queue
-	// turn is the run that was begun ahead for the request whose head was handed out last, nil for none.
-	turn *run
+	// readAborted is whether the server has aborted its background read; readAbortedCond signals changes of it.
+	readAborted     bool
+	readAbortedCond *sync.Cond
+	queue           queue
+	// handedRun is the run started ahead for the request whose head was given to the server last, nil if none was.
+	handedRun *run
 }
 
 func newConnection(inner net.Conn, o Options) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &connection{Conn: inner, options: o, context: ctx, left: cancel}
-	c.changed = sync.NewCond(&c.mu)
+	c := &connection{Conn: inner, options: o, context: ctx, cancelAhead: cancel}
+	c.readAbortedCond = sync.NewCond(&c.mu)
 	return c
 }
 
-// SetReadDeadline bounds reads; a time in the past is how the server takes its look back.
+// SetReadDeadline sets the deadline for reads; the server aborts its background read by a time in the past.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.withdrawn = !t.IsZero() && t.Before(time.Now())
-	c.changed.Broadcast()
+	c.readAborted = !t.IsZero() && t.Before(time.Now())
+	c.readAbortedCond.Broadcast()
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection and ends what was begun ahead.
+// Close closes the connection and cancels the requests that were started ahead.
 func (c *connection) Close() error {
-	c.left()
+	c.cancelAhead()
 	c.mu.Lock()
-	c.withdrawn = true
-	c.changed.Broadcast()
+	c.readAborted = true
+	c.readAbortedCond.Broadcast()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Read is the server's: the next head, a body, or the look for a caller that has left.
+// Read is called by the server: for the next head, for a body, or as its background read.
 func (c *connection) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	for {
-		if c.phase == answering {
-			return c.gather()
+		if c.phase == answeringPhase {
+			return c.backgroundRead()
 		}
-		if len(c.gathered) > 0 {
+		if len(c.readAhead) > 0 {
 			n := c.handOut(p)
 			c.mu.Unlock()
 			return n, nil
@@ -112,129 +112,129 @@
 			return n, err
 		}
 		c.mu.Lock()
-		c.gathered = append(c.gathered, p[:n]...)
+		c.readAhead = append(c.readAhead, p[:n]...)
 	}
 }
 
-// handOut gives the server what belongs to the present request; the caller holds the lock.
+// handOut copies into p what belongs to the current request; the caller holds the lock.
 func (c *connection) handOut(p []byte) int {
-	n := min(len(p), len(c.gathered))
+	n := min(len(p), len(c.readAhead))
 	ended := false
 	switch c.phase {
-	case head:
-		n, ended = c.boundary.end(c.gathered[:n])
-	case body:
+	case headPhase:
+		n, ended = c.boundary.end(c.readAhead[:n])
+	case bodyPhase:
 		n = int(min(int64(n), c.bodyLeft))
 		c.bodyLeft -= int64(n)
 		ended = c.bodyLeft == 0
 	}
-	copy(p, c.gathered[:n])
-	c.gathered = append(c.gathered[:0], c.gathered[n:]...)
+	copy(p, c.readAhead[:n])
+	c.readAhead = append(c.readAhead[:0], c.readAhead[n:]...)
 	switch {
-	case ended && c.phase == head:
-		c.turn = c.queue.handed(n)
-		c.phase = answering
+	case ended && c.phase == headPhase:
+		c.handedRun = c.queue.consume(n)
+		c.phase = answeringPhase
 	case ended:
 		c.phase = c.afterBody()
-	case c.phase == head:
-		c.queue.handed(n)
+	case c.phase == headPhase:
+		c.queue.consume(n)
 	}
 	return n
 }
 
 func (c *connection) afterBody() phase {
 	if c.serving {
-		return answering
+		return answeringPhase
 	}
-	return head
+	return headPhase
 }
 
-// gather reads ahead until the connection ends or the server takes its look back; the caller holds the lock, gather lets
-// go of it.
-func (c *connection) gather() (int, error) {
+// backgroundRead reads ahead until the connection ends or the server aborts the read; the caller holds the lock, and
+// backgroundRead releases it.
+func (c *connection) backgroundRead() (int, error) {
 	defer c.mu.Unlock()
-	c.begin()
-	if c.buffer == nil {
-		c.buffer = make([]byte, readSize)
+	c.startAllowed()
+	if c.readBuffer == nil {
+		c.readBuffer = make([]byte, readChunkBytes)
 	}
-	for len(c.gathered) < mostGathered {
+	for len(c.readAhead) < maxReadAheadBytes {
 		c.mu.Unlock()
-		n, err := c.Conn.Read(c.buffer)
+		n, err := c.Conn.Read(c.readBuffer)
 		c.mu.Lock()
-		c.gathered = append(c.gathered, c.buffer[:n]...)
+		c.readAhead = append(c.readAhead, c.readBuffer[:n]...)
 		if err != nil {
 			if !isTimeout(err) {
-				c.left()
+				c.cancelAhead()
 			}
 			return 0, err
 		}
-		c.begin()
+		c.startAllowed()
 	}
-	for !c.withdrawn {
-		c.changed.Wait()
+	for !c.readAborted {
+		c.readAbortedCond.Wait()
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
 func isTimeout(err error) bool {
-	failed, ok := err.(net.Error)
-	return ok && failed.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// serve notes that the server begins to answer a request, and returns the run that was begun for it ahead, if any.
+// serve records that the server starts to answer a request, and returns the run that was started ahead for it, if any.
 func (c *connection) serve(r *http.Request) *run {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = true
 	c.closing = c.closing || r.Close
 	switch {
-	case c.phase == plain:
+	case c.phase == passthroughPhase:
 	case r.ContentLength > 0:
-		c.phase, c.bodyLeft = body, r.ContentLength
+		c.phase, c.bodyLeft = bodyPhase, r.ContentLength
 	case r.ContentLength < 0:
-		c.phase = plain
+		c.phase = passthroughPhase
 	default:
-		c.begin()
+		c.startAllowed()
 	}
-	turn := c.turn
-	c.turn = nil
-	return turn
+	handedRun := c.handedRun
+	c.handedRun = nil
+	return handedRun
 }
 
-// served notes that the request has its answer.
+// served records that the request has been answered.
 func (c *connection) served() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = false
-	if c.phase == answering {
-		c.phase = head
+	if c.phase == answeringPhase {
+		c.phase = headPhase
 	}
 }
 
-// begin starts the requests that were sent ahead, as many as are allowed at once; the caller holds the lock.
-func (c *connection) begin() {
-	for c.serving && !c.closing && c.phase == answering && c.queue.len() < c.options.Most {
-		ahead := c.gathered[c.queue.covered:]
+// startAllowed starts requests that were sent ahead, up to Options.MaxAhead; the caller holds the lock.
+func (c *connection) startAllowed() {
+	for c.serving && !c.closing && c.phase == answeringPhase && c.queue.len() < c.options.MaxAhead {
+		ahead := c.readAhead[c.queue.coveredBytes:]
 		var b boundary
 		n, whole := b.end(ahead)
 		if !whole {
 			return
 		}
-		request, ok := parse(ahead[:n])
-		if !ok || !c.options.Ahead(request) {
+		request, ok := parseHead(ahead[:n])
+		if !ok || !c.options.MayStartAhead(request) {
 			return
 		}
 		c.closing = request.Close
-		c.queue.add(c.start(request, n))
+		c.queue.add(c.startRun(request, n))
 	}
 }
 
-// mayClose tells whether the answer to a request may end the connection. Where requests behind it were begun it may not:
-// they have been passed on, and would go without an answer. Otherwise nothing behind it is begun any more.
-func (c *connection) mayClose(of *run) bool {
+// mayClose returns whether the answer to a request may end the connection. It may not if later requests have been started:
+// they have been forwarded, and would get no answer. If it may, no later request is started any more.
+func (c *connection) mayClose(answered *run) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.queue.behind(of) > 0 {
+	if c.queue.countBehind(answered) > 0 {
 		return false
 	}
 	c.closing = true
--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -1,7 +1,7 @@
 package requester
 
-// The standard client repeats some requests by itself and hides on which connection an answer came. Here each request
-// is sent once, and its caller learns whether it can have run.
+// The standard HTTP client retries some requests on its own and hides the connection that an answer came from. This
+// client sends each request exactly once and reports whether it may have run.
 //
 // Example: response, err := c.Do(ctx, "10.1.0.9:8080", request); defer response.Close()
 
@@ -28,37 +28,37 @@
 
 // New returns a client without connections.
 func New(o Options) *Client {
-	return &Client{options: o, pool: newPool(o.MostIdle)}
+	return &Client{options: o, pool: newPool(o.MaxIdle)}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns how many connections the client has tried to open.
 func (c *Client) Dials() int64 {
 	return c.dials.Load()
 }
 
-// Expire closes connections that have been idle too long.
+// Expire closes the connections whose idle time has passed.
 func (c *Client) Expire() {
 	c.pool.expire(c.options.Now())
 }
 
-// Forget closes the idle connections to an address whose server has gone.
-func (c *Client) Forget(address string) {
-	c.pool.forget(address)
+// CloseIdle closes all idle connections to an address, for instance after its server has failed.
+func (c *Client) CloseIdle(address string) {
+	c.pool.closeIdle(address)
 }
 
-// Response is an answer whose body has yet to be read.
+// Response is an answer whose body has not been read yet.
 type Response struct {
 	*http.Response
-	client *Client
-	conn   *conn
-	stop   func() bool
-	sent   <-chan error
-	whole  bool
-	closed bool
-	framed bool
+	client      *Client
+	conn        *conn
+	stop        func() bool
+	sent        <-chan error
+	bodyAllowed bool
+	closed      bool
+	framed      bool
 }
 
-// Do sends a request and returns the head of its answer. The context bounds everything up to the end of the body.
+// Do sends a request and returns the head of its answer. The context covers the exchange until the body has been read.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	n, err := c.connect(ctx, address)
 	if err != nil {
@@ -107,7 +107,7 @@
 		if err := n.writer.Flush(); err != nil {
 			return nil, err
 		}
-	case r.Hesitant:
+	case r.ExpectContinue:
 		if err := n.writer.Flush(); err != nil {
 			return nil, err
 		}
@@ -124,11 +124,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Mine == nil || r.Mine(head.Header) {
+		if r.Matches == nil || r.Matches(head.Header) {
 			return c.response(n, head, sent, true), nil
 		}
-		// An answer to an earlier request that came too late; the one that belongs here may follow it.
-		if head.ContentLength < 0 || head.ContentLength > longestStray {
+		// A late answer to an earlier request on this connection; the answer to this request may follow it.
+		if head.ContentLength < 0 || head.ContentLength > maxStrayBytes {
 			return nil, errStray
 		}
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
@@ -137,26 +137,26 @@
 	}
 }
 
-// longestStray bounds how much of another request's answer is read to get at the right one.
-const longestStray = 256 << 10
+// maxStrayBytes is the longest answer to another request that is read and dropped to reach the right one.
+const maxStrayBytes = 256 << 10
 
 var errStray = errors.New("answer belongs to another request")
 
-func (c *Client) response(n *conn, head *http.Response, sent <-chan error, whole bool) *Response {
+func (c *Client) response(n *conn, head *http.Response, sent <-chan error, bodyAllowed bool) *Response {
 	if head == nil {
 		return nil
 	}
 	return &Response{
-		Response: head,
-		conn:     n,
-		sent:     sent,
-		whole:    whole,
-		framed:   head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
+		Response:    head,
+		conn:        n,
+		sent:        sent,
+		bodyAllowed: bodyAllowed,
+		framed:      head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 	}
 }
 
 func writeHead(w *bufio.Writer, r *Request) {
-	// Errors stay in the writer and come back from Flush.
+	// The writer keeps its first error and returns it from Flush.
 	_, _ = w.WriteString(r.Method)
 	_ = w.WriteByte(' ')
 	_, _ = w.WriteString(r.URI)
@@ -179,22 +179,23 @@
 		_, _ = w.WriteString(strconv.FormatInt(r.Length, 10))
 		_, _ = w.WriteString("\r\n")
 	}
-	if r.Hesitant && r.Body != nil {
+	if r.ExpectContinue && r.Body != nil {
 		_, _ = w.WriteString("Expect: 100-continue\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
 }
 
-// inlineBody is the largest body that is sent before the answer is looked for: it fits into the socket's buffers, so
-// that sending can't wait for a server that answers without reading.
-const inlineBody = 8 << 10
+// maxInlineBodyBytes is the largest body that is sent before the answer is read. It fits into the socket's buffers, so
+// sending cannot block on a server that answers without reading.
+const maxInlineBodyBytes = 8 << 10
 
-// sendBody sends the body beside the reading of the answer, since a server may answer before it has read all. A body that
-// can't be read to its end ends the connection: the server would wait for the rest until its time is up.
+// sendBody sends a long body concurrently with the reading of the answer, since a server may answer before it has read
+// all of it. If the body can't be read to its end, the connection is reset; otherwise the server would wait for the rest
+// until its timeout.
 func sendBody(n *conn, r *Request) chan error {
 	done := make(chan error, 1)
 	send := func() {
-		body := &notedBody{Reader: r.Body}
+		body := &errorRecordingBody{Reader: r.Body}
 		err := writeBody(n.writer, body, r.Length)
 		if body.err != nil {
 			n.bodyFailed.Store(&BodyError{Cause: body.err})
@@ -202,7 +203,7 @@
 		}
 		done <- err
 	}
-	if r.Length >= 0 && r.Length <= inlineBody {
+	if r.Length >= 0 && r.Length <= maxInlineBodyBytes {
 		send()
 	} else {
 		go send()
@@ -210,14 +211,14 @@
 	return done
 }
 
-// notedBody keeps the error with which the reading of a body ended before its end.
-type notedBody struct {
+// errorRecordingBody records the error that ended the reading of a body early.
+type errorRecordingBody struct {
 	io.Reader
 	err error
 }
 
 // Read reads from the body.
-func (b *notedBody) Read(p []byte) (int, error) {
+func (b *errorRecordingBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err != nil && err != io.EOF {
 		b.err = err
@@ -277,7 +278,7 @@
 	}
 }
 
-// Close ends the answer: the connection is kept if the answer was read to its end and nothing about it is doubtful.
+// Close ends the exchange. The connection returns to the pool only if request and answer are complete and it may be reused.
 func (r *Response) Close(readToEnd bool) {
 	if r.closed {
 		return
@@ -297,14 +298,14 @@
 		_ = r.conn.Close()
 		return
 	}
-	r.conn.until = r.client.options.Now().Add(idle)
+	r.conn.idleUntil = r.client.options.Now().Add(idle)
 	r.client.pool.put(r.conn)
 }
 
-// bodySent tells whether the request's body has been sent whole; a server may still expect the rest of one that was
-// answered early, and would take the next request for it.
+// bodySent returns whether the request's body has been sent completely. A server that answered early may still expect
+// the rest of the body, and would read the next request as part of it.
 func (r *Response) bodySent() bool {
-	if !r.whole {
+	if !r.bodyAllowed {
 		return false
 	}
 	if r.sent == nil {
@@ -318,9 +319,9 @@
 	}
 }
 
-// idleSafety is how much sooner than the other side a connection is closed here: a request sent just as it closes
-// would be lost.
-const idleSafety = 700 * clock.Millisecond
+// idleMargin is how much earlier than the server this client closes an idle connection: a request sent while the server
+// closes the connection would be lost.
+const idleMargin = 700 * clock.Millisecond
 
 func idleTime(header string) (clock.Duration, bool) {
 	for _, parameter := range strings.Split(header, ",") {
@@ -332,7 +333,7 @@
 		if err != nil || seconds < 0 {
 			return 0, false
 		}
-		return clock.Duration(seconds)*clock.Second - idleSafety, true
+		return clock.Duration(seconds)*clock.Second - idleMargin, true
 	}
 	return 0, false
 }
--- a/internal/requester/client_test.go
+++ b/internal/requester/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// server answers each request on a connection with what respond writes; it counts connections.
+// server calls respond for each request on a connection and counts the connections.
 type server struct {
 	net.Listener
 	connections atomic.Int32
@@ -56,14 +56,14 @@
 func client() *Client {
 	c := clock.New()
 	return New(Options{
-		DialTimeout: clock.Second, IdleTime: 5 * clock.Second, MostIdle: 4, Connections: NewConnections(100), Now: c.Now,
+		DialTimeout: clock.Second, IdleTime: 5 * clock.Second, MaxIdle: 4, Connections: NewConnections(100), Now: c.Now,
 	})
 }
 
 func get(id string) *Request {
 	return &Request{
 		Method: "GET", URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -84,7 +84,7 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, err := io.WriteString(n, answerTo(r, r.Header.Get("X-Id")))
 		return err == nil
@@ -98,9 +98,9 @@
 	assert.Equal(t, s.connections.Load(), int32(1))
 }
 
-// A faulty endpoint sends a second answer after a whole one, at once or a moment later. The next caller on that
-// connection would get a stranger's answer.
-func TestSecondAnswerIsNobodys(t *testing.T) {
+// A faulty endpoint sends a second answer after a complete one, at once or while the connection is idle. On reuse of the
+// connection the next caller would get that answer.
+func TestUnrequestedAnswerIsNotDelivered(t *testing.T) {
 	tests := map[string]time.Duration{"at once": 0, "while idle": 30 * time.Millisecond}
 	for name, delay := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -126,9 +126,9 @@
 	}
 }
 
-// An answer to an earlier request arrives where the next one's is expected. It must not be given to the caller, who
-// would take it for its own; the right one follows it.
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
+// A late answer to an earlier request arrives first. It must not be delivered to the caller as its own; the right
+// answer follows it.
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		stray := "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 5\r\n\r\nstray"
 		_, err := io.WriteString(n, stray+answerTo(r, "mine"))
@@ -139,8 +139,8 @@
 	assert.Equal(t, got, "mine")
 }
 
-// An answer is cut short. Passed on as it is, it would look whole to a caller that does not count.
-func TestCutAnswerIsAnError(t *testing.T) {
+// The connection ends within an answer. Without an error, a caller that does not count bytes would accept it as complete.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		whole := answerTo(r, "a longer body")
 		_, _ = io.WriteString(n, whole[:len(whole)-5])
@@ -150,8 +150,8 @@
 	assert.Assert(t, errors.Is(err, io.ErrUnexpectedEOF))
 }
 
-// The server closes a kept connection. A request sent on it may be lost, and one that must not run twice could not be
-// sent again; so the connection is looked at first.
+// The server closes an idle connection. A request sent on it may be lost, and one that must not run twice could not be
+// retried; so the connection is checked before reuse.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "mine"))
@@ -166,9 +166,9 @@
 	assert.Equal(t, s.connections.Load(), int32(3))
 }
 
-// A server answers before it has read a long body and goes on reading. The next request on that connection would be
-// taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// A server answers before it has read a long body and continues to read it. It would read the next request on that
+// connection as the rest of the body.
+func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "early"))
 		time.Sleep(300 * time.Millisecond)
@@ -229,15 +229,15 @@
 	}
 }
 
-// A node turns a long upload away. Had any of the body been read, the upload could not go to another node.
-func TestHesitantBodyStaysUnreadWhenRefused(t *testing.T) {
+// A node refuses a long upload. If any of the body had been read, the upload could not be sent to another node.
+func TestBodyStaysUnreadWhenExpectContinueIsRefused(t *testing.T) {
 	s := serve(t, func(n net.Conn, r *http.Request, _ *bufio.Reader) bool {
 		_, _ = io.WriteString(n, answerTo(r, "no"))
 		return false
 	})
 	r := get("1")
 	body := &counting{Reader: strings.NewReader(strings.Repeat("x", 100000))}
-	r.Method, r.Body, r.Length, r.Hesitant = "POST", body, 100000, true
+	r.Method, r.Body, r.Length, r.ExpectContinue = "POST", body, 100000, true
 	got, err := do(t, client(), s, r)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "no")
@@ -255,7 +255,7 @@
 	return n, err
 }
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsADialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
@@ -265,12 +265,13 @@
 	assert.Assert(t, errors.As(err, &dial))
 }
 
-// The caller leaves while the endpoint works. The connection must end at once, or the endpoint works on for nobody.
-func TestCancelEndsTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+// The caller leaves while the endpoint works. Unless the connection is closed at once, the endpoint continues work that
+// nobody waits for.
+func TestCancelClosesTheConnection(t *testing.T) {
+	closed := make(chan struct{})
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
 		_, _ = reader.ReadByte()
-		close(gone)
+		close(closed)
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -279,7 +280,7 @@
 	var sent SentError
 	assert.Assert(t, errors.As(err, &sent))
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(time.Second):
 		t.Fatal("the server still holds the connection")
 	}
@@ -306,8 +307,8 @@
 	}
 }
 
-// The caller leaves while the request is still held up on the way, by a cut or a crowded link. Closed in order, the
-// connection would deliver it once the link is free, and the endpoint would work for nobody; a reset takes it back.
+// The caller leaves while a partition or a congested link still delays the request. After an orderly close the request
+// would be delivered later, and the endpoint would do work that nobody waits for; a reset discards it.
 func TestCancelResetsTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
