--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -42,8 +42,8 @@
 		handler http.Handler
 		idle    time.Duration
 	}{
-		{s.Outbound.String(), n.callers, relayer.OutboundIdle.Std()},
-		{s.Inbound.String(), http.HandlerFunc(n.relayer.ServeInbound), relayer.InboundIdle.Std()},
+		{s.Outbound.String(), n.callers, relayer.OutboundIdleTimeout.Std()},
+		{s.Inbound.String(), http.HandlerFunc(n.relayer.ServeInbound), relayer.InboundIdleTimeout.Std()},
 		{s.Readiness.String(), http.HandlerFunc(n.serveReadiness), otherIdle},
 		{s.Announcements.String(), n.announcements(), otherIdle},
 		{s.Peer.String(), n.peerRouter(), otherIdle},
@@ -134,7 +134,7 @@
 		case <-ticker.C:
 		}
 		n.noteSuspension(&suspension)
-		n.relayer.Tell(conductor.Ticked{})
+		n.relayer.ApplyEvent(conductor.Ticked{})
 		if count%ticksPerFreshness == 0 {
 			n.configurations.Interrupt(n.readWait())
 			n.retryAtCollector()
@@ -160,7 +160,7 @@
 		return
 	}
 	n.recorder.Event("woken", "suspendedMs", int64(gap))
-	n.relayer.Tell(conductor.VMResumed{After: gap})
+	n.relayer.ApplyEvent(conductor.VMResumed{After: gap})
 	n.exchangeSoon()
 }
 
@@ -198,7 +198,7 @@
 
 func (n *node) stop(context.Context) error {
 	n.recorder.Event("node stopping")
-	n.relayer.Tell(conductor.StopRequested{})
+	n.relayer.ApplyEvent(conductor.StopRequested{})
 	begun := n.clock.Now()
 	n.relayer.Stop()
 	last := begun
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -189,7 +189,7 @@
 	n.callers = pipeliner.New(pipeliner.Options{
 		Handler: http.HandlerFunc(n.relayer.ServeOutbound),
 		Most:    mostAhead,
-		Ahead:   n.relayer.MayRunAhead,
+		Ahead:   n.relayer.MayPipeline,
 	})
 	n.configurations = n.newConfigurationWatcher()
 	return n
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -87,12 +87,12 @@
 	answer, proof, err := n.ask(limited, asking.Member, asking.Question)
 	if err != nil {
 		n.recorder.Dependency("reports", err)
-		n.relayer.Tell(conductor.PeerFailed{Node: node, Sought: asking.Seeks})
+		n.relayer.ApplyEvent(conductor.PeerFailed{Node: node, Sought: asking.Seeks})
 		return !asking.Seeks
 	}
-	n.relayer.Tell(conductor.PeerAnswered{Node: node, Answer: answer})
+	n.relayer.ApplyEvent(conductor.PeerAnswered{Node: node, Answer: answer})
 	if proof != nil {
-		n.relayer.Tell(*proof)
+		n.relayer.ApplyEvent(*proof)
 	}
 	return false
 }
@@ -179,13 +179,13 @@
 func (n *node) announcements() http.Handler {
 	return n.options.Outside.Announcements(
 		func(a registrar.Announcement) {
-			n.relayer.Tell(conductor.EndpointAnnounced{Announcement: a})
+			n.relayer.ApplyEvent(conductor.EndpointAnnounced{Announcement: a})
 			if a.Leaving {
 				n.awaitRecord()
 			}
 		},
 		func(id identifier.Endpoint) {
-			n.relayer.Tell(conductor.EndpointRemoved{Endpoint: id})
+			n.relayer.ApplyEvent(conductor.EndpointRemoved{Endpoint: id})
 			n.awaitRecord()
 		},
 		func(err error) { n.recorder.Event("heartbeat refused", "error", err.Error()) },
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -78,7 +78,7 @@
 		n.takeEvacuations()
 	}
 	if len(taken.records) > 0 {
-		n.relayer.Tell(conductor.OrdersRead{Next: n.orders.next()})
+		n.relayer.ApplyEvent(conductor.OrdersRead{Next: n.orders.next()})
 		// Its collector's proof comes at once, so that the node need not ask the store for its own.
 		n.exchangeSoon()
 	}
@@ -87,7 +87,7 @@
 	}
 	var version identifier.Version
 	n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { version = c.Version() })
-	n.relayer.Tell(conductor.ConfigurationProved{Version: version, AsOf: u.AsOf})
+	n.relayer.ApplyEvent(conductor.ConfigurationProved{Version: version, AsOf: u.AsOf})
 }
 
 // isOrder tells whether a key is one that nodes follow, and whether it asks for an evacuation.
@@ -113,7 +113,7 @@
 		}
 	}
 	n.recorder.Event("evacuations read", "domains", domains, "offset", int64(newest))
-	n.relayer.Tell(conductor.DomainsEvacuated{Domains: domains})
+	n.relayer.ApplyEvent(conductor.DomainsEvacuated{Domains: domains})
 }
 
 func (n *node) readConfiguration(r watcher.Record) {
@@ -134,7 +134,7 @@
 		refuse(err)
 		return
 	}
-	n.relayer.Tell(conductor.ConfigurationRead{Matcher: m, At: clock.Boot{}.Now()})
+	n.relayer.ApplyEvent(conductor.ConfigurationRead{Matcher: m, At: clock.Boot{}.Now()})
 	n.recorder.Event("configuration read", "version", int64(m.Version()), "offset", int64(r.Offset))
 }
 
@@ -165,7 +165,7 @@
 func (n *node) takeMembers(u watcher.Update) {
 	for _, r := range u.Records {
 		if len(r.Value) == 0 {
-			n.relayer.Tell(conductor.MemberLearned{
+			n.relayer.ApplyEvent(conductor.MemberLearned{
 				Member:  exchanger.Member{Node: identifier.Node(r.Key)},
 				Dropped: true,
 			})
@@ -176,7 +176,7 @@
 			n.recorder.Event("member refused", "key", r.Key, "error", err.Error())
 			continue
 		}
-		n.relayer.Tell(conductor.MemberLearned{Member: m})
+		n.relayer.ApplyEvent(conductor.MemberLearned{Member: m})
 	}
 	if len(u.Records) > 0 {
 		n.exchangeSoon()
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -14,34 +14,34 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// smallAnswer is the largest answer that is read whole before any of it is passed on, so that one that breaks off can
+// maxBufferedAnswer is the largest answer that is read whole before any of it is passed on, so that one that breaks off can
 // be asked for again. Ordinary answers have 400 to 6,000 bytes.
-const smallAnswer = 64 << 10
+const maxBufferedAnswer = 64 << 10
 
-func (r *Relayer) readSmall(ctx context.Context, cancel func(), a answer) answer {
+func (r *Relayer) bufferSmallAnswer(ctx context.Context, cancel func(), a answer) answer {
 	if a.outcome != conductor.Answered {
 		cancel()
 		return a
 	}
-	if a.ContentLength > smallAnswer {
-		return cancelledAtEnd(a, cancel)
+	if a.ContentLength > maxBufferedAnswer {
+		return cancelAfterBody(a, cancel)
 	}
 	body, err := readBody(a.Response)
-	if err == nil && len(body) > smallAnswer {
-		a.Body = rest{Reader: io.MultiReader(bytes.NewReader(body), a.Body), Closer: a.Body}
-		return cancelledAtEnd(a, cancel)
+	if err == nil && len(body) > maxBufferedAnswer {
+		a.Body = partlyReadBody{Reader: io.MultiReader(bytes.NewReader(body), a.Body), Closer: a.Body}
+		return cancelAfterBody(a, cancel)
 	}
 	defer cancel()
 	a.finish(err == nil)
 	if err == nil {
-		a.body, a.read = body, true
+		a.body, a.bodyRead = body, true
 		return a
 	}
-	return ended(ctx)
+	return incompleteAttempt(ctx)
 }
 
-// rest is a body of which a part was read already.
-type rest struct {
+// partlyReadBody is a body of which a part was read already.
+type partlyReadBody struct {
 	io.Reader
 	io.Closer
 }
@@ -53,15 +53,15 @@
 		// Room for all of it, and for the read that finds its end.
 		body.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
-	_, err := body.ReadFrom(io.LimitReader(response.Body, smallAnswer+1))
+	_, err := body.ReadFrom(io.LimitReader(response.Body, maxBufferedAnswer+1))
 	if err == nil && response.ContentLength > int64(body.Len()) && response.Request.Method != http.MethodHead {
 		return nil, io.ErrUnexpectedEOF
 	}
 	return body.Bytes(), err
 }
 
-// cancelledAtEnd leaves an answer's context open until its body has been passed on.
-func cancelledAtEnd(a answer, cancel func()) answer {
+// cancelAfterBody leaves an answer's context open until its body has been passed on.
+func cancelAfterBody(a answer, cancel func()) answer {
 	finish := a.finish
 	a.finish = func(whole bool) {
 		finish(whole)
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -28,7 +28,7 @@
 		cancelTime()
 		stop()
 	}
-	out := outgoing(request, endToEnd(request.Header))
+	out := outgoing(request, endToEndFields(request.Header))
 	out.Body, out.Length = body.reader()
 	h := r.options.Headers
 	delete(out.Header, h.Key)
@@ -40,35 +40,35 @@
 	out.Header[h.Origin] = []string{string(r.options.Service)}
 	var a answer
 	if s.Local {
-		a = r.deliver(ctx, parcel{
+		a = r.deliver(ctx, delivery{
 			request:       out,
 			id:            request.Header.Get(h.RequestID),
 			endpoint:      s.Endpoint,
 			rank:          s.Rank,
 			deadline:      s.Deadline,
-			patience:      s.QueueTimeout,
+			queueTimeout:      s.QueueTimeout,
 			due:           s.Due,
 			nested:        s.Nested,
-			again:         s.ArrivalCounted,
+			arrivalCounted:         s.ArrivalCounted,
 			rateUnchecked: rateUnchecked(s),
 		})
-		r.View(func(c *conductor.Conductor, now clock.Time) { a.headroom, a.wait = c.Headroom(now), c.QueueDelay(now) })
+		r.View(func(c *conductor.Conductor, now clock.Time) { a.headroom, a.queueDelay = c.Headroom(now), c.QueueDelay(now) })
 	} else {
-		a = r.ask(ctx, s, out, body)
+		a = r.forward(ctx, s, out, body)
 	}
-	return r.readSmall(ctx, cancel, a)
+	return r.bufferSmallAnswer(ctx, cancel, a)
 }
 
-// ask sends a request to the node beside another endpoint.
-func (r *Relayer) ask(ctx context.Context, s conductor.Send, out *requester.Request, body *replayable) answer {
+// forward sends a request to the node beside another endpoint.
+func (r *Relayer) forward(ctx context.Context, s conductor.Send, out *requester.Request, body *replayable) answer {
 	now := r.options.Clock.Now()
 	out.Header[callField] = []string{handover{
 		left:          s.Deadline.Sub(now),
-		patience:      s.QueueTimeout,
+		queueTimeout:      s.QueueTimeout,
 		due:           s.Due.Sub(now),
 		rank:          s.Rank,
 		nested:        s.Nested,
-		again:         s.ArrivalCounted,
+		arrivalCounted:         s.ArrivalCounted,
 		endpoint:      s.Endpoint,
 		rateUnchecked: rateUnchecked(s),
 	}.String()}
@@ -76,19 +76,19 @@
 	// A team that is over its rate is mostly refused there as well, and a body would cross the domains for nothing.
 	out.Hesitant = body.streamed() || s.RateUnchecked && s.Crossing != router.Inside
 	count := r.countCrossing(s, out)
-	asked := r.options.Boot.Now()
+	requestedAt := r.options.Boot.Now()
 	response, err := r.peers.Do(ctx, s.Address, out)
 	if err != nil {
 		count()
 		return r.peerFailed(ctx, s, err)
 	}
-	told := readCondition(response.Header)
-	r.learnProof(told.proof, asked)
+	state := readPeerState(response.Header)
+	r.applyProof(state.proof, requestedAt)
 	if name := response.Header.Get(outcomeField); name != "" {
-		response.Close(drain(response))
+		response.Close(drainBody(response))
 		count()
-		a := failed(conductor.ParseOutcome(name), "")
-		a.headroom, a.wait, a.member = told.headroom, told.wait, r.readMember(response.Header)
+		a := failedAttempt(conductor.ParseOutcome(name), "")
+		a.headroom, a.queueDelay, a.member = state.headroom, state.queueDelay, r.readMember(response.Header)
 		return a
 	}
 	if id, ok := out.Header[r.options.Headers.RequestID]; ok {
@@ -97,8 +97,8 @@
 	return answer{
 		Response: response,
 		outcome:  conductor.Answered,
-		headroom: told.headroom,
-		wait:     told.wait,
+		headroom: state.headroom,
+		queueDelay:     state.queueDelay,
 		finish: func(whole bool) {
 			response.Close(whole)
 			count()
@@ -117,17 +117,17 @@
 	var dial requester.DialError
 	var body requester.BodyError
 	switch {
-	case lost(ctx) && errors.As(err, &dial):
-		return failed(conductor.Unreached, conductor.EndpointDown)
+	case endedAsUnreachable(ctx) && errors.As(err, &dial):
+		return failedAttempt(conductor.Unreached, conductor.EndpointDown)
 	case ctx.Err() != nil:
-		return ended(ctx)
+		return incompleteAttempt(ctx)
 	case errors.As(err, &body):
-		return unread(err)
+		return bodyReadFailed(err)
 	case errors.As(err, &dial):
 		r.options.Recorder.Dependency("node "+string(s.Node), err)
-		return failed(conductor.Unreached, conductor.EndpointDown)
+		return failedAttempt(conductor.Unreached, conductor.EndpointDown)
 	default:
 		r.peers.Forget(s.Address)
-		return failed(conductor.Broken, conductor.InDoubt)
+		return failedAttempt(conductor.Broken, conductor.InDoubt)
 	}
 }
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -11,7 +11,7 @@
 // BenchmarkPath is one request from a caller by way of two nodes to an endpoint and back, all in one process.
 // With a new buffer for each answer that is passed on it allocated 40.6 kB, with reused ones and bodies read into one 24.7 kB.
 func BenchmarkPath(b *testing.B) {
-	entry, _, _ := pair(b, configurationOf(matcher.Idempotent, 1), ok("hello"))
+	entry, _, _ := pair(b, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -22,20 +22,20 @@
 	held   []byte
 	stream io.Reader
 	length int64
-	// read is set by the goroutine that sends the body, and asked by the one that waits for the answer.
-	read atomic.Bool
+	// bodyRead is set by the goroutine that sends the body, and asked by the one that waits for the answer.
+	readStarted atomic.Bool
 }
 
 const (
-	// heldBody is the largest body that is held in memory to be sent again.
-	heldBody = 16 << 10
+	// maxHeldBody is the largest body that is held in memory to be sent again.
+	maxHeldBody = 16 << 10
 )
 
 func newReplayable(request *http.Request) (*replayable, error) {
 	if request.ContentLength == 0 {
 		return &replayable{}, nil
 	}
-	if request.ContentLength > 0 && request.ContentLength <= heldBody {
+	if request.ContentLength > 0 && request.ContentLength <= maxHeldBody {
 		held := make([]byte, request.ContentLength)
 		_, err := io.ReadFull(request.Body, held)
 		return &replayable{held: held, length: request.ContentLength}, err
@@ -47,8 +47,8 @@
 	return b.stream != nil
 }
 
-func (b *replayable) untouched() bool {
-	return !b.read.Load()
+func (b *replayable) canResend() bool {
+	return !b.readStarted.Load()
 }
 
 // reader returns the body from its start, and its length.
@@ -65,17 +65,17 @@
 
 // Read reads from the caller.
 func (b *replayable) Read(p []byte) (int, error) {
-	b.read.Store(true)
+	b.readStarted.Store(true)
 	return b.stream.Read(p)
 }
 
-func (r *Relayer) refuseLength(w http.ResponseWriter, limit int64) {
+func (r *Relayer) refuseTooLarge(w http.ResponseWriter, limit int64) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, "body is longer than "+strconv.FormatInt(limit, 10)+" bytes", http.StatusRequestEntityTooLarge)
 }
 
-// bodyLimit returns the limit that a request's body went over, 0 where something else is wrong.
-func bodyLimit(err error) int64 {
+// exceededBodyLimit returns the limit that a request's body went over, 0 where something else is wrong.
+func exceededBodyLimit(err error) int64 {
 	var long *http.MaxBytesError
 	var body requester.BodyError
 	if errors.As(err, &body) && errors.As(body.Cause, &long) {
--- a/internal/relayer/check.go
+++ b/internal/relayer/check.go
@@ -21,16 +21,16 @@
 const checkTimeout = 500 * clock.Millisecond
 
 func (r *Relayer) check(e conductor.CheckEndpoint) {
-	checked, err := r.askEndpoint(e.Path)
+	checked, err := r.requestHealth(e.Path)
 	if err != nil {
 		r.options.Recorder.Dependency("endpoint", fmt.Errorf("check: %w", err))
 	}
 	r.options.Recorder.Event("endpoint checked", "endpoint", string(checked.Endpoint), "known", checked.Known,
 		"coldMs", int64(checked.ColdLeft))
-	r.Tell(checked)
+	r.ApplyEvent(checked)
 }
 
-func (r *Relayer) askEndpoint(path string) (conductor.EndpointChecked, error) {
+func (r *Relayer) requestHealth(path string) (conductor.EndpointChecked, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout.Std())
 	defer cancel()
 	request := &requester.Request{
@@ -43,7 +43,7 @@
 	if err != nil {
 		return conductor.EndpointChecked{}, err
 	}
-	response.Close(drain(response))
+	response.Close(drainBody(response))
 	h := r.options.Headers
 	checked := conductor.EndpointChecked{Endpoint: identifier.Endpoint(response.Header.Get(h.Instance))}
 	text := response.Header.Get(h.ColdLeft)
@@ -52,12 +52,12 @@
 		return checked, nil
 	}
 	milliseconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(milliseconds >= 0) || milliseconds > longestCold {
+	if err != nil || !(milliseconds >= 0) || milliseconds > maxColdMs {
 		return checked, fmt.Errorf("%s is %q, want milliseconds", h.ColdLeft, text)
 	}
 	checked.ColdLeft, checked.Known = clock.Duration(milliseconds), true
 	return checked, nil
 }
 
-// longestCold bounds in milliseconds what an endpoint may say of the time for which it is cold.
-const longestCold = 3_600_000
+// maxColdMs bounds in milliseconds what an endpoint may say of the time for which it is cold.
+const maxColdMs = 3_600_000
--- a/internal/relayer/check_test.go
+++ b/internal/relayer/check_test.go
@@ -14,7 +14,7 @@
 )
 
 // What an endpoint says of itself must never make a cold one pass for warm: it would be crashed by what a warm one bears.
-func TestEndpointIsAskedWhetherItIsCold(t *testing.T) {
+func TestHealthAnswerTellsColdEndpointFromWarm(t *testing.T) {
 	tests := map[string]struct {
 		status int
 		cold   string
@@ -48,7 +48,7 @@
 				Clock: clock.New(), Headers: Headers{Instance: "X-Instance", ColdLeft: "X-Cold"},
 				EndpointAddress: strings.TrimPrefix(server.URL, "http://"), Connections: requester.NewConnections(10),
 			})
-			checked, err := r.askEndpoint("/health")
+			checked, err := r.requestHealth("/health")
 			assert.Equal(t, err != nil, test.fails, "%v", err)
 			assert.DeepEqual(t, checked, conductor.EndpointChecked{Endpoint: "i-1", ColdLeft: test.left, Known: test.known})
 		})
--- a/internal/relayer/crossing.go
+++ b/internal/relayer/crossing.go
@@ -20,12 +20,12 @@
 	return r.countBytes(out, crossingCause(s), string(s.Crossing))
 }
 
-// countQuestion is countCrossing for a question for a token.
-func (r *Relayer) countQuestion(d conductor.Draw, question *requester.Request) func() {
+// countTokenRequest is countCrossing for a question for a token.
+func (r *Relayer) countTokenRequest(d conductor.Draw, tokenRequest *requester.Request) func() {
 	if !d.Crosses {
 		return func() {}
 	}
-	return r.countBytes(question, "token", "bucketElsewhere")
+	return r.countBytes(tokenRequest, "token", "bucketElsewhere")
 }
 
 func (r *Relayer) countBytes(out *requester.Request, cause, reason string) func() {
--- a/internal/relayer/handover.go
+++ b/internal/relayer/handover.go
@@ -20,9 +20,9 @@
 
 // handover is what goes with a request to another node.
 type handover struct {
-	left, patience, due clock.Duration
+	left, queueTimeout, due clock.Duration
 	rank                identifier.Rank
-	nested, again       bool
+	nested, arrivalCounted       bool
 	endpoint            identifier.Endpoint
 	// rateUnchecked is the team whose rate has yet to be taken from, empty for none.
 	rateUnchecked identifier.Team
@@ -30,7 +30,7 @@
 
 const (
 	nestedFlag = "n"
-	againFlag  = "a"
+	arrivalCountedFlag  = "a"
 	noFlag     = "-"
 )
 
@@ -39,13 +39,13 @@
 	if o.nested {
 		flags += nestedFlag
 	}
-	if o.again {
-		flags += againFlag
+	if o.arrivalCounted {
+		flags += arrivalCountedFlag
 	}
 	if flags == "" {
 		flags = noFlag
 	}
-	text := fmt.Sprintf("%d %d %d %d %s %s", max(0, o.left), max(0, o.patience), max(0, o.due), o.rank, flags,
+	text := fmt.Sprintf("%d %d %d %d %s %s", max(0, o.left), max(0, o.queueTimeout), max(0, o.due), o.rank, flags,
 		url.QueryEscape(string(o.endpoint)))
 	if o.rateUnchecked != "" {
 		text += " " + url.QueryEscape(string(o.rateUnchecked))
@@ -94,11 +94,11 @@
 	}
 	o := handover{
 		left:     clock.Duration(numbers[0]),
-		patience: clock.Duration(numbers[1]),
+		queueTimeout: clock.Duration(numbers[1]),
 		due:      clock.Duration(numbers[2]),
 		rank:     identifier.Rank(numbers[3]),
 		nested:   strings.Contains(parts[4], nestedFlag),
-		again:    strings.Contains(parts[4], againFlag),
+		arrivalCounted:    strings.Contains(parts[4], arrivalCountedFlag),
 		endpoint: identifier.Endpoint(names[1]),
 	}
 	if len(names) > 2 {
@@ -107,34 +107,34 @@
 	return o, nil
 }
 
-// condition is what comes with an answer: how the endpoint beside the answering node fares, and how fresh that node's
+// peerState is what comes with an answer: how the endpoint beside the answering node fares, and how fresh that node's
 // configuration is.
-type condition struct {
+type peerState struct {
 	headroom uint8
-	wait     clock.Duration
+	queueDelay     clock.Duration
 	// proof is as formatProof writes it, empty for none.
 	proof string
 }
 
-func (s condition) String() string {
-	return strings.TrimSpace(fmt.Sprintf("%d %d %s", s.headroom, s.wait, s.proof))
+func (s peerState) String() string {
+	return strings.TrimSpace(fmt.Sprintf("%d %d %s", s.headroom, s.queueDelay, s.proof))
 }
 
-// readCondition takes what can't be read for an endpoint without room.
-func readCondition(h http.Header) condition {
+// readPeerState takes what can't be read for an endpoint without room.
+func readPeerState(h http.Header) peerState {
 	parts := strings.Fields(h.Get(stateField))
 	if len(parts) < 2 {
-		return condition{}
+		return peerState{}
 	}
 	headroom, err := strconv.ParseUint(parts[0], 10, 8)
 	if err != nil {
-		return condition{}
+		return peerState{}
 	}
-	wait, err := strconv.ParseUint(parts[1], 10, 63)
+	queueDelay, err := strconv.ParseUint(parts[1], 10, 63)
 	if err != nil {
-		return condition{}
+		return peerState{}
 	}
-	s := condition{headroom: uint8(headroom), wait: clock.Duration(wait)}
+	s := peerState{headroom: uint8(headroom), queueDelay: clock.Duration(queueDelay)}
 	if len(parts) > 2 {
 		s.proof = parts[2]
 	}
--- a/internal/relayer/handover_test.go
+++ b/internal/relayer/handover_test.go
@@ -20,16 +20,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-func TestHandoverIsReadAsWritten(t *testing.T) {
+func TestHandoverRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		time := rapid.Int64Range(0, 1<<40)
 		o := handover{
 			left:          clock.Duration(time.Draw(t, "left")),
-			patience:      clock.Duration(time.Draw(t, "patience")),
+			queueTimeout:      clock.Duration(time.Draw(t, "patience")),
 			due:           clock.Duration(time.Draw(t, "due")),
 			rank:          identifier.Rank(rapid.Uint16().Draw(t, "rank")),
 			nested:        rapid.Bool().Draw(t, "nested"),
-			again:         rapid.Bool().Draw(t, "again"),
+			arrivalCounted:         rapid.Bool().Draw(t, "again"),
 			endpoint:      identifier.Endpoint(rapid.StringN(1, 20, 40).Draw(t, "endpoint")),
 			rateUnchecked: identifier.Team(rapid.StringN(0, 20, 40).Draw(t, "rateUnchecked")),
 		}
@@ -41,7 +41,7 @@
 
 // Another writer, or a node of another version, sends something else. It must not be taken for a request with no time
 // left or with the highest rank.
-func TestFaultyHandoverNamesItsPart(t *testing.T) {
+func TestMalformedHandoverNamesPart(t *testing.T) {
 	for text, part := range map[string]string{
 		"":                              "number of parts",
 		"1 2 3 4 -":                     "number of parts",
@@ -62,30 +62,30 @@
 	}
 }
 
-func TestConditionIsReadAsWritten(t *testing.T) {
-	for name, s := range map[string]condition{
-		"with a proof":    {headroom: 245, wait: 12, proof: "7,800"},
-		"without a proof": {headroom: 0, wait: 0},
+func TestPeerStateRoundTrip(t *testing.T) {
+	for name, s := range map[string]peerState{
+		"with a proof":    {headroom: 245, queueDelay: 12, proof: "7,800"},
+		"without a proof": {headroom: 0, queueDelay: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, readCondition(http.Header{stateField: {s.String()}}), s)
+			assert.Equal(t, readPeerState(http.Header{stateField: {s.String()}}), s)
 		})
 	}
 	for _, text := range []string{"", "245", "256 0", "x 0", "1 x"} {
-		assert.Equal(t, readCondition(http.Header{stateField: {text}}), condition{}, text)
+		assert.Equal(t, readPeerState(http.Header{stateField: {text}}), peerState{}, text)
 	}
 }
 
-// elsewhere makes a node's failure domain another one for the entry.
-func elsewhere(entry, n *node) {
+// moveToOtherDomain makes a node's failure domain another one for the entry.
+func moveToOtherDomain(entry, n *node) {
 	m := n.member
 	m.Domain = "east"
 	m.Sequence++
-	meetAs(entry, m)
+	learnMember(entry, m)
 }
 
-// crossed returns the bytes that the entry has counted between failure domains.
-func crossed(t *testing.T, entry *node, direction string) int {
+// crossingBytes returns the bytes that the entry has counted between failure domains.
+func crossingBytes(t *testing.T, entry *node, direction string) int {
 	t.Helper()
 	var metrics bytes.Buffer
 	entry.options.Recorder.WriteMetrics(&metrics)
@@ -102,23 +102,23 @@
 
 // Most of what a small nested call costs between failure domains would be names of fields, and what the other node knows
 // already.
-func TestHeadsBetweenNodesAreShort(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 2), ok("hello"))
-	elsewhere(entry, beside)
-	got := ask(t, entry, func(r *http.Request) { r.Header.Set("User-Agent", "a") })
+func TestHeadersBetweenNodesAreShort(t *testing.T) {
+	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
+	moveToOtherDomain(entry, beside)
+	got := sendRequest(t, entry, func(r *http.Request) { r.Header.Set("User-Agent", "a") })
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Header.Get(names.RequestID) != "")
-	sent, received := crossed(t, entry, "sent"), crossed(t, entry, "received")
+	sent, received := crossingBytes(t, entry, "sent"), crossingBytes(t, entry, "received")
 	assert.Assert(t, sent > 0 && sent < 240 && received > 0 && received < 180, "%d bytes sent, %d received", sent, received)
 }
 
 // A team is over its rate, and its order goes to another failure domain to see whether a node there has a token to spare.
 // It mostly has not; the order's body need not have crossed for that.
-func TestBodyOfAnUnpaidOrderStaysUntilItIsWanted(t *testing.T) {
+func TestBodyIsNotSentWhileTeamIsOverRate(t *testing.T) {
 	c := configurationOf(matcher.NonIdempotent, 2)
 	c.Teams[0].Rate, c.Teams[0].Burst = 0.001, 0.001
-	entry, beside, e := pair(t, c, ok("hello"))
-	elsewhere(entry, beside)
+	entry, beside, e := pair(t, c, respondWith("hello"))
+	moveToOtherDomain(entry, beside)
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "/obs/1", strings.NewReader(strings.Repeat("x", 8000)))
 	assert.NilError(t, err)
 	held, err := newReplayable(request)
@@ -126,7 +126,7 @@
 	order := func() conductor.Outcome {
 		out := &requester.Request{Method: http.MethodPost, URI: "/obs/1", Host: "h.example", Header: http.Header{}}
 		out.Body, out.Length = held.reader()
-		a := entry.ask(context.Background(), conductor.Send{
+		a := entry.forward(context.Background(), conductor.Send{
 			Address: beside.member.DeliveryAddress, Endpoint: "i-beside", Team: "parish", RateUnchecked: true, Crossing: router.NoneNear,
 			Deadline: entry.options.Clock.Now().Add(clock.Second), QueueTimeout: 100,
 		}, out, held)
@@ -135,8 +135,8 @@
 	}
 	// The node elsewhere has one token to begin with.
 	assert.Equal(t, order(), conductor.Answered)
-	before := crossed(t, entry, "sent")
+	before := crossingBytes(t, entry, "sent")
 	assert.Equal(t, order(), conductor.Over)
-	assert.Assert(t, crossed(t, entry, "sent")-before < 1000)
+	assert.Assert(t, crossingBytes(t, entry, "sent")-before < 1000)
 	assert.Equal(t, e.count(), 1)
 }
--- a/internal/relayer/harness_test.go
+++ b/internal/relayer/harness_test.go
@@ -103,11 +103,11 @@
 }
 
 func (n *node) announce(name string, leaving bool) {
-	n.sayAt(name, leaving, time.Now().UnixNano())
+	n.announceWithSequence(name, leaving, time.Now().UnixNano())
 }
 
-func (n *node) sayAt(name string, leaving bool, sequence int64) {
-	n.Tell(conductor.EndpointAnnounced{Announcement: registrar.Announcement{
+func (n *node) announceWithSequence(name string, leaving bool, sequence int64) {
+	n.ApplyEvent(conductor.EndpointAnnounced{Announcement: registrar.Announcement{
 		Endpoint: identifier.Endpoint("i-" + name), Service: n.options.Service, Address: n.options.EndpointAddress,
 		Slots: 4, Started: 1, Sequence: sequence, Leaving: leaving,
 	}})
@@ -117,14 +117,14 @@
 	t.Helper()
 	m, err := matcher.New(c)
 	assert.NilError(t, err)
-	n.Tell(conductor.ConfigurationRead{Matcher: m})
-	n.Tell(conductor.ConfigurationProved{Version: c.Version, AsOf: clock.Boot{}.Now()})
+	n.ApplyEvent(conductor.ConfigurationRead{Matcher: m})
+	n.ApplyEvent(conductor.ConfigurationProved{Version: c.Version, AsOf: clock.Boot{}.Now()})
 }
 
-func meet(nodes ...*node) {
+func exchangeMembers(nodes ...*node) {
 	for _, a := range nodes {
 		for _, b := range nodes {
-			a.Tell(conductor.MemberLearned{Member: b.member})
+			a.ApplyEvent(conductor.MemberLearned{Member: b.member})
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	text string
 }
 
-func ask(t *testing.T, n *node, change func(*http.Request)) reply {
+func sendRequest(t *testing.T, n *node, change func(*http.Request)) reply {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -173,14 +173,14 @@
 	return reply{Response: response, text: string(text)}
 }
 
-func meetAs(n *node, m exchanger.Member) {
-	n.Tell(conductor.MemberLearned{Member: m})
+func learnMember(n *node, m exchanger.Member) {
+	n.ApplyEvent(conductor.MemberLearned{Member: m})
 }
 
-func keepTicking(ctx context.Context, nodes ...*node) {
+func tickUntilDone(ctx context.Context, nodes ...*node) {
 	for clock.Sleep(ctx, 20*time.Millisecond) {
 		for _, n := range nodes {
-			n.Tell(conductor.Ticked{})
+			n.ApplyEvent(conductor.Ticked{})
 		}
 	}
 }
--- a/internal/relayer/inbound.go
+++ b/internal/relayer/inbound.go
@@ -21,31 +21,31 @@
 
 // ServeInbound serves a request that another node sent.
 func (r *Relayer) ServeInbound(w http.ResponseWriter, request *http.Request) {
-	order, err := parseHandover(request.Header.Get(callField))
+	received, err := parseHandover(request.Header.Get(callField))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(request.Context(), order.left.Std())
+	ctx, cancel := context.WithTimeout(request.Context(), received.left.Std())
 	defer cancel()
 	now := r.options.Clock.Now()
-	p := parcel{
+	d := delivery{
 		id:            request.Header.Get(r.options.Headers.RequestID),
-		endpoint:      order.endpoint,
-		rank:          order.rank,
-		deadline:      now.Add(order.left),
-		patience:      order.patience,
-		due:           now.Add(order.due),
-		nested:        order.nested,
-		again:         order.again,
-		rateUnchecked: order.rateUnchecked,
-		request:       outgoing(request, endToEnd(request.Header)),
+		endpoint:      received.endpoint,
+		rank:          received.rank,
+		deadline:      now.Add(received.left),
+		queueTimeout:      received.queueTimeout,
+		due:           now.Add(received.due),
+		nested:        received.nested,
+		arrivalCounted:         received.arrivalCounted,
+		rateUnchecked: received.rateUnchecked,
+		request:       outgoing(request, endToEndFields(request.Header)),
 	}
-	a := r.deliver(ctx, p)
+	a := r.deliver(ctx, d)
 	r.setState(w.Header())
 	// The asking node writes its own.
 	w.Header()["Date"] = nil
-	r.sayClosing(request.Context(), w.Header())
+	r.announceClose(request.Context(), w.Header())
 	if a.outcome != conductor.Answered {
 		w.Header()[outcomeField] = []string{a.outcome.String()}
 		if a.outcome == conductor.Moved {
@@ -54,12 +54,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	r.shorten(a.Header)
-	r.pass(w, a)
+	r.dropRedundantFields(a.Header)
+	r.writeAnswer(w, a)
 }
 
-// shorten drops from an answer what the asking node has or does not need.
-func (r *Relayer) shorten(h http.Header) {
+// dropRedundantFields drops from an answer what the asking node has or does not need.
+func (r *Relayer) dropRedundantFields(h http.Header) {
 	delete(h, "Date")
 	delete(h, r.options.Headers.RequestID)
 	delete(h, r.options.Headers.Load)
@@ -68,7 +68,7 @@
 // setState tells the asking node how the endpoint fares and how fresh the configuration is here.
 func (r *Relayer) setState(h http.Header) {
 	r.View(func(c *conductor.Conductor, now clock.Time) {
-		h[stateField] = []string{condition{headroom: c.Headroom(now), wait: c.QueueDelay(now), proof: r.proof(c)}.String()}
+		h[stateField] = []string{peerState{headroom: c.Headroom(now), queueDelay: c.QueueDelay(now), proof: r.proof(c)}.String()}
 	})
 }
 
@@ -117,10 +117,10 @@
 	return out
 }
 
-// pass writes an endpoint's answer. One that breaks off must not look whole, so the connection breaks off as well.
-func (r *Relayer) pass(w http.ResponseWriter, a answer) {
+// writeAnswer writes an endpoint's answer. One that breaks off must not look whole, so the connection breaks off as well.
+func (r *Relayer) writeAnswer(w http.ResponseWriter, a answer) {
 	header := w.Header()
-	for name, values := range endToEnd(a.Header) {
+	for name, values := range endToEndFields(a.Header) {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
@@ -131,7 +131,7 @@
 		header["Content-Length"] = []string{strconv.FormatInt(a.ContentLength, 10)}
 	}
 	w.WriteHeader(a.StatusCode)
-	if a.read {
+	if a.bodyRead {
 		// A caller that has gone is no error of this node's.
 		_, _ = w.Write(a.body)
 		return
@@ -143,15 +143,15 @@
 	}
 }
 
-const copyBuffer = 16 << 10
+const copyBufferBytes = 16 << 10
 
 // copyBuffers are reused: a new one for each answer would be much of what a request allocates.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 func copyBody(w http.ResponseWriter, a answer) error {
-	flush := a.ContentLength < 0 || a.ContentLength > copyBuffer
+	flush := a.ContentLength < 0 || a.ContentLength > copyBufferBytes
 	controller := http.NewResponseController(w)
-	pooled := copyBuffers.Get().(*[copyBuffer]byte)
+	pooled := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
 	for {
--- a/internal/relayer/outbound.go
+++ b/internal/relayer/outbound.go
@@ -22,7 +22,7 @@
 // ServeOutbound serves a request of a caller or of the local endpoint.
 func (r *Relayer) ServeOutbound(w http.ResponseWriter, request *http.Request) {
 	id := r.newID()
-	if !r.wellFormed(w, request) {
+	if !r.validate(w, request) {
 		return
 	}
 	h := r.options.Headers
@@ -70,8 +70,8 @@
 				Outcome:    last.outcome,
 				Status:     last.status(),
 				Headroom:   last.headroom,
-				Wait:       last.wait,
-				Replayable: body.untouched(),
+				Wait:       last.queueDelay,
+				Replayable: body.canResend(),
 				Member:     last.member,
 			})
 			r.logAttempt(request, e, last, started)
@@ -82,8 +82,8 @@
 			}
 		case conductor.Reply:
 			r.apply(id, conductor.RequestClosed{ID: id})
-			r.sayIdle(request.Context(), w.Header())
-			r.pass(w, last)
+			r.announceIdleTimeout(request.Context(), w.Header())
+			r.writeAnswer(w, last)
 			return
 		default:
 			panic(http.ErrAbortHandler)
@@ -98,9 +98,9 @@
 	return identifier.Request(r.options.Headers.Parent(id))
 }
 
-// MayRunAhead tells whether a caller's request may be begun before those that it sent earlier on its connection are
+// MayPipeline tells whether a caller's request may be begun before those that it sent earlier on its connection are
 // answered: only where running it twice does no harm, and not while the node stops, when answers end their connections.
-func (r *Relayer) MayRunAhead(request *http.Request) bool {
+func (r *Relayer) MayPipeline(request *http.Request) bool {
 	if r.stopping.Load() || r.options.Connections.Crowded() {
 		return false
 	}
@@ -117,10 +117,10 @@
 
 // abandon ends a request whose caller has left, or whose body is longer than its length allowed to foresee.
 func (r *Relayer) abandon(w http.ResponseWriter, a answer) {
-	if a.tooLong == 0 {
+	if a.exceededLimit == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	r.refuseLength(w, a.tooLong)
+	r.refuseTooLarge(w, a.exceededLimit)
 }
 
 func (a answer) status() int {
@@ -130,8 +130,8 @@
 	return a.StatusCode
 }
 
-// wellFormed refuses what must not be passed on.
-func (r *Relayer) wellFormed(w http.ResponseWriter, request *http.Request) bool {
+// validate refuses what must not be passed on.
+func (r *Relayer) validate(w http.ResponseWriter, request *http.Request) bool {
 	limit := int64(0)
 	r.View(func(c *conductor.Conductor, _ clock.Time) {
 		if m := c.Matcher(); m != nil {
@@ -139,7 +139,7 @@
 		}
 	})
 	if limit > 0 && request.ContentLength > limit {
-		r.refuseLength(w, limit)
+		r.refuseTooLarge(w, limit)
 		return false
 	}
 	if limit > 0 && request.ContentLength < 0 {
@@ -167,7 +167,7 @@
 		h.Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
 	}
 	h.Set("Content-Type", "text/plain")
-	r.sayIdle(request.Context(), h)
+	r.announceIdleTimeout(request.Context(), h)
 	w.WriteHeader(e.Status)
 	_, _ = io.WriteString(w, string(e.Reason)+"\n")
 	r.options.Recorder.Refused(recorder.Refusal{
--- a/internal/relayer/probe.go
+++ b/internal/relayer/probe.go
@@ -18,16 +18,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// errLost is why an attempt at a node that can't be reached is ended.
-var errLost = errors.New("node can't be reached")
+// errUnreachable is why an attempt at a node that can't be reached is ended.
+var errUnreachable = errors.New("node can't be reached")
 
-// openings is how many connections a probe opens.
-const openings = 2
+// probeConnections is how many connections a probe opens.
+const probeConnections = 2
 
 // probe tells whether a node can be reached. One that refuses the connection can: only its process is gone.
 func (r *Relayer) probe(p conductor.Probe) {
-	reached := make(chan bool, openings)
-	for range openings {
+	reached := make(chan bool, probeConnections)
+	for range probeConnections {
 		go func() {
 			n, err := requester.Dial(context.Background(), p.Address, detector.ProbeTimeout.Std())
 			if err == nil {
@@ -36,18 +36,18 @@
 			reached <- err == nil || errors.Is(err, syscall.ECONNREFUSED)
 		}()
 	}
-	for range openings {
+	for range probeConnections {
 		if <-reached {
-			r.probed(p.Node, true)
+			r.reportProbe(p.Node, true)
 			return
 		}
 	}
-	r.probed(p.Node, false)
+	r.reportProbe(p.Node, false)
 	r.peers.Forget(p.Address)
 }
 
-// probed tells the conductor, and the log where that changes what is believed of the node.
-func (r *Relayer) probed(node identifier.Node, reached bool) {
+// reportProbe tells the conductor, and the log where that changes what is believed of the node.
+func (r *Relayer) reportProbe(node identifier.Node, reached bool) {
 	lost := false
 	r.View(func(c *conductor.Conductor, _ clock.Time) { lost = c.Lost(node) })
 	switch {
@@ -56,7 +56,7 @@
 	case !reached && !lost:
 		r.options.Recorder.Event("node lost", "other", string(node))
 	}
-	r.Tell(conductor.Probed{Node: node, Reached: reached})
+	r.ApplyEvent(conductor.Probed{Node: node, Reached: reached})
 }
 
 // watchAbort lets the attempt of a request be ended from outside until stop is called.
@@ -73,7 +73,7 @@
 	}
 }
 
-// lost tells whether an attempt was ended since its node can't be reached.
-func lost(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), errLost)
+// endedAsUnreachable tells whether an attempt was ended since its node can't be reached.
+func endedAsUnreachable(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errUnreachable)
 }
--- a/internal/relayer/proof.go
+++ b/internal/relayer/proof.go
@@ -46,13 +46,13 @@
 
 // ReadProof reads what SetProof wrote at another node that was asked at a boot time. Its age is counted from that moment,
 // which was before the other node answered: so the proof is never taken for fresher than it is.
-func ReadProof(h http.Header, asked clock.Time) (Proof, bool) {
-	return proofAt(h.Get(provedField), asked)
+func ReadProof(h http.Header, requestedAt clock.Time) (Proof, bool) {
+	return proofAt(h.Get(provedField), requestedAt)
 }
 
-func proofAt(text string, asked clock.Time) (Proof, bool) {
+func proofAt(text string, requestedAt clock.Time) (Proof, bool) {
 	version, age, next, ok := parseProof(text)
-	return Proof{Version: version, AsOf: asked.Add(-age), Next: next}, ok
+	return Proof{Version: version, AsOf: requestedAt.Add(-age), Next: next}, ok
 }
 
 // formatProof and parseProof carry the version in force at a node, how long ago it was the newest, and up to which offset the
@@ -81,19 +81,19 @@
 	return identifier.Version(numbers[0]), clock.Duration(numbers[1]), identifier.Offset(numbers[2]), true
 }
 
-// learnProof takes over another node's proof.
-func (r *Relayer) learnProof(text string, asked clock.Time) {
-	proof, ok := proofAt(text, asked)
+// applyProof takes over another node's proof.
+func (r *Relayer) applyProof(text string, requestedAt clock.Time) {
+	proof, ok := proofAt(text, requestedAt)
 	if !ok {
 		return
 	}
 	known, at, proved := identifier.Version(0), clock.Time(0), false
 	r.View(func(c *conductor.Conductor, _ clock.Time) { known, at, proved = c.ProvedAt() })
-	if known != proof.Version || proved && proof.AsOf.Sub(at) < worthwhile {
+	if known != proof.Version || proved && proof.AsOf.Sub(at) < minProofGain {
 		return
 	}
-	r.Tell(conductor.ConfigurationProved{Version: proof.Version, AsOf: proof.AsOf})
+	r.ApplyEvent(conductor.ConfigurationProved{Version: proof.Version, AsOf: proof.AsOf})
 }
 
-// worthwhile is by how much a proof must be fresher to be taken over; less would change nothing and cost a lock.
-const worthwhile = 300 * clock.Millisecond
+// minProofGain is by how much a proof must be fresher to be taken over; less would change nothing and cost a lock.
+const minProofGain = 300 * clock.Millisecond
--- a/internal/relayer/proof_test.go
+++ b/internal/relayer/proof_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestProofs(t *testing.T) {
+func TestParseProof(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want Proof
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -55,25 +55,25 @@
 	r.stopping.Store(true)
 }
 
-// sayClosing ends the connection after the answer, if the node is stopping or has too many of them.
-func (r *Relayer) sayClosing(ctx context.Context, h http.Header) {
+// announceClose ends the connection after the answer, if the node is stopping or has too many of them.
+func (r *Relayer) announceClose(ctx context.Context, h http.Header) {
 	if (r.stopping.Load() || r.options.Connections.Crowded()) && pipeliner.MayClose(ctx) {
 		h["Connection"] = []string{"close"}
 	}
 }
 
 const (
-	// peerDial and endpointDial bound the opening of a connection: some round trips between failure domains, and a
+	// peerDialTimeout and endpointDial bound the opening of a connection: some round trips between failure domains, and a
 	// local one with a queue of new connections.
-	peerDial     = 250 * clock.Millisecond
-	endpointDial = 250 * clock.Millisecond
-	// peerIdle is shorter than the receiving side keeps an unused connection (see InboundIdle).
-	peerIdle = 8 * clock.Second
-	// InboundIdle is how long a node keeps an unused connection of another node.
-	InboundIdle = 12 * clock.Second
-	// endpointIdle holds where the endpoint does not say how long it keeps a connection.
-	endpointIdle = 3 * clock.Second
-	mostIdle     = 400
+	peerDialTimeout     = 250 * clock.Millisecond
+	endpointDialTimeout = 250 * clock.Millisecond
+	// peerIdleTimeout is shorter than the receiving side keeps an unused connection (see InboundIdle).
+	peerIdleTimeout = 8 * clock.Second
+	// InboundIdleTimeout is how long a node keeps an unused connection of another node.
+	InboundIdleTimeout = 12 * clock.Second
+	// endpointIdleTimeout holds where the endpoint does not say how long it keeps a connection.
+	endpointIdleTimeout = 3 * clock.Second
+	maxIdlePerAddress     = 400
 )
 
 // New returns a relayer.
@@ -82,7 +82,7 @@
 		return requester.New(requester.Options{
 			DialTimeout: dial,
 			IdleTime:    idle,
-			MostIdle:    mostIdle,
+			MostIdle:    maxIdlePerAddress,
 			Connections: o.Connections,
 			Now:         o.Clock.Now,
 		})
@@ -91,23 +91,23 @@
 		options:   o,
 		waiting:   map[conductor.CallID]chan conductor.Effect{},
 		aborts:    map[conductor.CallID]context.CancelCauseFunc{},
-		peers:     client(peerDial, peerIdle),
-		endpoints: client(endpointDial, endpointIdle),
+		peers:     client(peerDialTimeout, peerIdleTimeout),
+		endpoints: client(endpointDialTimeout, endpointIdleTimeout),
 	}
 }
 
-// OutboundIdle is how long a caller's unused connection is kept. Callers are told a shorter time, in whole seconds: one
+// OutboundIdleTimeout is how long a caller's unused connection is kept. Callers are told a shorter time, in whole seconds: one
 // that sends just as the connection closes would see its request cut.
 const (
-	OutboundIdle = 9 * clock.Second
-	outboundSaid = "timeout=6"
+	OutboundIdleTimeout = 9 * clock.Second
+	keepAliveValue = "timeout=6"
 )
 
-// sayIdle tells a caller for how long its connection may be unused.
-func (r *Relayer) sayIdle(ctx context.Context, h http.Header) {
-	r.sayClosing(ctx, h)
+// announceIdleTimeout tells a caller for how long its connection may be unused.
+func (r *Relayer) announceIdleTimeout(ctx context.Context, h http.Header) {
+	r.announceClose(ctx, h)
 	if _, closing := h["Connection"]; !closing {
-		h["Keep-Alive"] = []string{outboundSaid}
+		h["Keep-Alive"] = []string{keepAliveValue}
 	}
 }
 
@@ -115,8 +115,8 @@
 	return conductor.CallID(r.lastID.Add(1))
 }
 
-// Tell applies an event that is about no request of the teller's own.
-func (r *Relayer) Tell(e conductor.Event) {
+// ApplyEvent applies an event that is about no request of the teller's own.
+func (r *Relayer) ApplyEvent(e conductor.Event) {
 	_ = r.apply(0, e)
 }
 
@@ -134,27 +134,27 @@
 }
 
 // apply tells the conductor of an event and returns the effect on the request that the event is about, if any.
-func (r *Relayer) apply(own conductor.CallID, e conductor.Event) conductor.Effect {
+func (r *Relayer) apply(callID conductor.CallID, e conductor.Event) conductor.Effect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var mine conductor.Effect
+	var result conductor.Effect
 	for _, effect := range r.options.Conductor.Apply(e, r.options.Clock.Now()) {
 		id, isCall := callOf(effect)
 		switch {
 		case !isCall:
 			r.perform(effect)
-		case id == own:
-			mine = effect
+		case id == callID:
+			result = effect
 		default:
-			r.wake(id, effect)
+			r.resume(id, effect)
 		}
 	}
-	if _, isHold := mine.(conductor.Hold); isHold {
-		woken := make(chan conductor.Effect, 1)
-		r.waiting[own] = woken
-		return held{id: own, woken: woken, Effect: mine}
+	if _, isHold := result.(conductor.Hold); isHold {
+		resumed := make(chan conductor.Effect, 1)
+		r.waiting[callID] = resumed
+		return held{id: callID, resumed: resumed, Effect: result}
 	}
-	return mine
+	return result
 }
 
 // perform carries out an effect that no request waits for; it must not block.
@@ -168,7 +168,7 @@
 		go r.check(e)
 	case conductor.Abort:
 		if abort, ok := r.aborts[e.ID]; ok {
-			abort(errLost)
+			abort(errUnreachable)
 		}
 	}
 }
@@ -178,10 +178,10 @@
 type held struct {
 	conductor.Effect
 	id    conductor.CallID
-	woken chan conductor.Effect
+	resumed chan conductor.Effect
 }
 
-func (r *Relayer) wake(id conductor.CallID, effect conductor.Effect) {
+func (r *Relayer) resume(id conductor.CallID, effect conductor.Effect) {
 	c, ok := r.waiting[id]
 	if !ok {
 		return
@@ -190,10 +190,10 @@
 	c <- effect
 }
 
-// wait returns the effect that ends a Hold, or the context's error.
+// queueDelay returns the effect that ends a Hold, or the context's error.
 func (r *Relayer) wait(ctx context.Context, h held) (conductor.Effect, error) {
 	select {
-	case effect := <-h.woken:
+	case effect := <-h.resumed:
 		return effect, nil
 	case <-ctx.Done():
 	}
@@ -201,7 +201,7 @@
 	delete(r.waiting, h.id)
 	r.mu.Unlock()
 	select {
-	case effect := <-h.woken:
+	case effect := <-h.resumed:
 		return effect, nil
 	default:
 		return nil, ctx.Err()
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -23,7 +23,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/pooler"
 )
 
-func ok(text string) func(http.ResponseWriter, *http.Request) {
+func respondWith(text string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
@@ -31,17 +31,17 @@
 func pair(t testing.TB, c matcher.Configuration, respond func(http.ResponseWriter, *http.Request)) (*node, *node, *endpoint) {
 	t.Helper()
 	e := newEndpoint(t, respond)
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	beside := newNode(t, "beside", "portal", e)
 	entry.configure(t, c)
 	beside.configure(t, c)
-	meet(entry, beside)
+	exchangeMembers(entry, beside)
 	return entry, beside, e
 }
 
-func TestRequestTravelsUnchanged(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), ok("hello"))
-	got := ask(t, entry, func(r *http.Request) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
+	got := sendRequest(t, entry, func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
 		r.Header.Set(names.Team, "forged")
 		r.Header.Set(names.Origin, "forged")
@@ -64,12 +64,12 @@
 	assert.Equal(t, seen.Header.Get(names.Key), "")
 	assert.Equal(t, seen.Header.Get("X-Hop"), "")
 	for name := range seen.Header {
-		assert.Assert(t, !strings.HasPrefix(name, ownPrefix), name)
+		assert.Assert(t, !strings.HasPrefix(name, fleetPrefix), name)
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), ok("hello"))
+	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
 	tests := map[string]struct {
 		change func(*http.Request)
 		want   int
@@ -81,21 +81,21 @@
 		"public route": {func(r *http.Request) { r.URL.Path = "/public/1"; r.Header.Del(names.Key) }, 200},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, ask(t, entry, test.change).StatusCode, test.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, sendRequest(t, entry, test.change).StatusCode, test.want) })
 	}
 	assert.Equal(t, e.count(), 1)
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
-	got := ask(t, entry, nil)
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
 }
 
 // Bodies of all lengths, with a length and in chunks, must reach the endpoint as they were sent.
-func TestBodiesTravelWhole(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Upload, 2), ok("taken"))
+func TestBodiesAreForwardedWhole(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.Upload, 2), respondWith("taken"))
 	tests := map[string]struct {
 		size    int
 		chunked bool
@@ -105,7 +105,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			body := bytes.Repeat([]byte("abcdefg"), test.size/7)
-			got := ask(t, entry, func(r *http.Request) {
+			got := sendRequest(t, entry, func(r *http.Request) {
 				r.Method = http.MethodPost
 				r.Body = io.NopCloser(bytes.NewReader(body))
 				r.ContentLength = int64(len(body))
@@ -122,13 +122,13 @@
 
 // The endpoint has announced that it leaves; the node beside it knows, the entry does not yet. The request must not
 // reach the endpoint, and the caller is told truly that it has not run.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
-	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
+	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	beside.announce("beside", true)
 	ticking, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keepTicking(ticking, entry, beside)
-	got := ask(t, entry, nil)
+	go tickUntilDone(ticking, entry, beside)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
 	assert.Equal(t, e.count(), 0)
@@ -137,11 +137,11 @@
 // All VMs have lost power. Their endpoints have started anew under other names, which the nodes beside them know and the entry
 // does not: it goes by the store's records from before. Told only that the endpoint has moved, callers would be refused
 // until the new record has come round, some hundreds of milliseconds.
-func TestRenamedEndpointIsFoundByItsNodesWord(t *testing.T) {
-	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
-	beside.Tell(conductor.EndpointRemoved{Endpoint: "i-beside"})
+func TestRenamedEndpointIsLearnedFromMovedAnswer(t *testing.T) {
+	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
+	beside.ApplyEvent(conductor.EndpointRemoved{Endpoint: "i-beside"})
 	beside.announce("anew", false)
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200, got.text)
 	seen, _ := e.last()
 	assert.Equal(t, seen.Header.Get(names.Target), "i-anew")
@@ -149,20 +149,20 @@
 }
 
 // The endpoint says that it did not run the request: another one may run it, even if it must not run twice.
-func TestDeclinedRequestGoesElsewhere(t *testing.T) {
+func TestDeclinedRequestIsSentToAnotherEndpoint(t *testing.T) {
 	full := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(names.NotRun, "1")
 		w.WriteHeader(503)
 	})
-	free := newEndpoint(t, ok("free"))
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+	free := newEndpoint(t, respondWith("free"))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	a, b := newNode(t, "a", "portal", full), newNode(t, "b", "portal", free)
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.NonIdempotent, 2))
 	}
-	meet(entry, a, b)
+	exchangeMembers(entry, a, b)
 	for range 3 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		if got.StatusCode == 200 {
 			assert.Equal(t, got.text, "free")
 			continue
@@ -173,8 +173,8 @@
 	assert.Assert(t, free.count() >= 1)
 }
 
-// breaksOff takes a request and closes the connection without an answer.
-func breaksOff(w http.ResponseWriter, _ *http.Request) {
+// closeWithoutAnswer takes a request and closes the connection without an answer.
+func closeWithoutAnswer(w http.ResponseWriter, _ *http.Request) {
 	n, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = n.Close()
@@ -183,41 +183,41 @@
 
 // The endpoint ran an order and its answer was lost. Sent again, the order would be placed twice; called "not run",
 // the caller would do it.
-func TestLostAnswerOfAnOrder(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.NonIdempotent, 2), breaksOff)
-	got := ask(t, entry, nil)
+func TestLostAnswerOfNonIdempotentRequest(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.NonIdempotent, 2), closeWithoutAnswer)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 502)
 	assert.Equal(t, e.count(), 1)
 }
 
 // The answer to a lookup is lost at one endpoint; another one can give it.
-func TestLostAnswerOfALookupIsAskedForAgain(t *testing.T) {
-	lossy := newEndpoint(t, breaksOff)
-	sound := newEndpoint(t, ok("sound"))
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+func TestLostAnswerOfIdempotentRequestIsRetried(t *testing.T) {
+	lossy := newEndpoint(t, closeWithoutAnswer)
+	sound := newEndpoint(t, respondWith("sound"))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", sound)
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.Idempotent, 2))
 	}
-	meet(entry, a, b)
-	got := ask(t, entry, nil)
+	exchangeMembers(entry, a, b)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.text, "sound")
 }
 
 // The endpoint breaks off within its answer. The caller must not take the part for the whole.
-func TestCutAnswerIsNotPassedOn(t *testing.T) {
+func TestTruncatedAnswerIsNotForwarded(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		panic(http.ErrAbortHandler)
 	})
-	assert.Equal(t, ask(t, entry, nil).StatusCode, 502)
+	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, 502)
 }
 
 // The endpoint sends an answer without a length and is reset within it. A lookup can be asked for again as long as none of
 // the answer was passed on; its caller would else see a connection that ends, and with it lose what it sent behind.
-func TestUnframedAnswerThatBreaksOffIsAskedForAgain(t *testing.T) {
+func TestTruncatedAnswerWithoutLengthIsRetried(t *testing.T) {
 	lossy := newEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -228,13 +228,13 @@
 		_ = n.(*net.TCPConn).SetLinger(0)
 		_ = n.Close()
 	})
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
-	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", newEndpoint(t, ok("whole")))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
+	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", newEndpoint(t, respondWith("whole")))
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.Idempotent, 2))
 	}
-	meet(entry, a, b)
-	got := ask(t, entry, nil)
+	exchangeMembers(entry, a, b)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.text, "whole")
 	assert.Equal(t, lossy.count(), 1)
@@ -242,11 +242,11 @@
 
 // A caller asks for an answer's head only. The head says how long the body would be, and no body comes; taken for an answer
 // that broke off, each such request would fail.
-func TestHeadIsAnswered(t *testing.T) {
+func TestHeadRequest(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 	})
-	got := ask(t, entry, func(r *http.Request) { r.Method = http.MethodHead })
+	got := sendRequest(t, entry, func(r *http.Request) { r.Method = http.MethodHead })
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.Header.Get("Content-Length"), "100")
 }
@@ -268,7 +268,7 @@
 	for name, respond := range tests {
 		t.Run(name, func(t *testing.T) {
 			entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 2), respond)
-			got := ask(t, entry, nil)
+			got := sendRequest(t, entry, nil)
 			assert.Equal(t, got.StatusCode, 200)
 			assert.Assert(t, got.text == long)
 		})
@@ -277,7 +277,7 @@
 
 // The route's timeout is shorter than the caller's patience, and the endpoint is slower than both: the caller gets a
 // final answer when the time is up.
-func TestTimeoutOfTheRoute(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 2)
 	c.Routes[0].Timeout = 200
 	entry, _, e := pair(t, c, func(_ http.ResponseWriter, r *http.Request) {
@@ -287,7 +287,7 @@
 		}
 	})
 	started := time.Now()
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	took := time.Since(started)
 	assert.Equal(t, got.StatusCode, 504)
 	assert.Assert(t, took > 150*time.Millisecond && took < 600*time.Millisecond, "took %v", took)
@@ -298,7 +298,7 @@
 }
 
 // The caller leaves. Two nodes further the endpoint must learn of it soon, or it works for nobody.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	started := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), func(_ http.ResponseWriter, r *http.Request) {
@@ -337,10 +337,10 @@
 	t.Cleanup(open)
 	ticking, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keepTicking(ticking, entry, beside)
+	go tickUntilDone(ticking, entry, beside)
 	answers := make(chan int, 5)
 	for range 4 {
-		go func() { answers <- ask(t, entry, nil).StatusCode }()
+		go func() { answers <- sendRequest(t, entry, nil).StatusCode }()
 	}
 	for i := 0; i < 200 && e.count() < 3; i++ {
 		time.Sleep(5 * time.Millisecond)
@@ -356,29 +356,29 @@
 
 // A node of the called service is cut off without a word: connections to it hang or are refused. The request goes to
 // the other one.
-func TestUnreachableNodeIsPassedOver(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
+func TestUnreachableNodeIsSkipped(t *testing.T) {
+	entry, beside, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	dead := beside.member
 	dead.Node, dead.Endpoint, dead.DeliveryAddress = "dead", "i-dead", l.Addr().String()
 	assert.NilError(t, l.Close())
-	meetAs(entry, dead)
+	learnMember(entry, dead)
 	for range 10 {
-		assert.Equal(t, ask(t, entry, nil).StatusCode, 200)
+		assert.Equal(t, sendRequest(t, entry, nil).StatusCode, 200)
 	}
 }
 
 // A node is stopping while callers go on using their connections. Each must get its answer, and learn from it that
 // the connection ends; a connection closed from this side could cut a request that is just being read.
-func TestStoppingNodeAnswersAndSaysSo(t *testing.T) {
-	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	assert.Assert(t, !ask(t, entry, nil).Close)
+func TestStoppingNodeClosesConnectionsAfterAnswers(t *testing.T) {
+	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	assert.Assert(t, !sendRequest(t, entry, nil).Close)
 	entry.Stop()
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Close)
-	got = ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
+	got = sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
 	assert.Equal(t, got.StatusCode, 404)
 	assert.Assert(t, got.Close)
 }
@@ -386,17 +386,17 @@
 // More connections are open than a node should keep, as when refused callers come back on new ones again and again. Each
 // answer ends its connection then; before, they were all kept until no new one could be accepted, and callers waited
 // for seconds on connections that nobody read.
-func TestCrowdedNodeEndsConnections(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	got := ask(t, entry, nil)
+func TestNodeOverConnectionLimitClosesConnections(t *testing.T) {
+	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	got := sendRequest(t, entry, nil)
 	assert.Assert(t, !got.Close)
-	assert.Equal(t, got.Header.Get("Keep-Alive"), outboundSaid)
+	assert.Equal(t, got.Header.Get("Keep-Alive"), keepAliveValue)
 	entry.options.Connections.Add(1000)
 	beside.options.Connections.Add(1000)
-	got = ask(t, entry, nil)
+	got = sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Close)
-	got = ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
+	got = sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
 	assert.Equal(t, got.StatusCode, 404)
 	assert.Assert(t, got.Close)
 	assert.Equal(t, entry.options.Connections.Open(), int64(1000))
@@ -411,7 +411,7 @@
 	for i := 0; pooler.Weight(team.Name, "beside") < pooler.Weight(team.Name, "entry"); i++ {
 		team.Name = identifier.Team(fmt.Sprint("parish-", i))
 	}
-	entry, beside, _ := pair(t, c, ok("hello"))
+	entry, beside, _ := pair(t, c, respondWith("hello"))
 	var questions atomic.Int32
 	peers := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		questions.Add(1)
@@ -419,11 +419,11 @@
 	}))
 	beside.member.PeerAddress = strings.TrimPrefix(peers.URL, "http://")
 	beside.member.Sequence++
-	meetAs(entry, beside.member)
-	meetAs(beside, entry.member)
+	learnMember(entry, beside.member)
+	learnMember(beside, entry.member)
 	granted := 0
 	for range 20 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		if got.StatusCode == http.StatusOK {
 			granted++
 			continue
@@ -435,39 +435,39 @@
 	assert.Assert(t, questions.Load() > 0)
 	peers.Close()
 	time.Sleep(400 * time.Millisecond)
-	assert.Equal(t, ask(t, entry, nil).StatusCode, http.StatusTooManyRequests)
+	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, http.StatusTooManyRequests)
 }
 
 // A caller that is refused for now comes back on a new connection. One that is told that there is nothing for it goes on
 // using the one that it has.
-func TestRefusalForNowEndsTheConnection(t *testing.T) {
+func TestRetryableRefusalClosesConnection(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 1)
 	c.Teams[0].Rate, c.Teams[0].Burst = 0.1, 0.1
-	entry, _, _ := pair(t, c, ok("hello"))
+	entry, _, _ := pair(t, c, respondWith("hello"))
 	statuses := map[int]bool{}
 	for range 4 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		statuses[got.StatusCode] = true
 		assert.Equal(t, got.Close, got.StatusCode == http.StatusTooManyRequests)
 	}
 	assert.Assert(t, statuses[http.StatusTooManyRequests])
-	assert.Assert(t, !ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" }).Close)
+	assert.Assert(t, !sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" }).Close)
 }
 
-// endless gives bytes without end, as a body in chunks whose length nobody has said.
-type endless struct{}
+// endlessBody gives bytes without end, as a body in chunks whose length nobody has said.
+type endlessBody struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessBody) Read(p []byte) (int, error) { return len(p), nil }
 
 // A body comes in chunks and goes over the limit, so that it is noticed only on the way. The caller must be told so at once:
 // before, the endpoint waited for the rest until the time was up, and the caller was told that the time was up.
 func TestChunkedBodyOverTheLimitIsRefusedAtOnce(t *testing.T) {
 	c := configurationOf(matcher.Upload, 1)
 	c.Limits.BodyBytes = 100_000
-	entry, _, _ := pair(t, c, ok("hello"))
+	entry, _, _ := pair(t, c, respondWith("hello"))
 	begun := time.Now()
-	got := ask(t, entry, func(r *http.Request) {
-		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(io.LimitReader(endless{}, 300_000)), -1
+	got := sendRequest(t, entry, func(r *http.Request) {
+		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(io.LimitReader(endlessBody{}, 300_000)), -1
 	})
 	assert.Equal(t, got.StatusCode, http.StatusRequestEntityTooLarge)
 	assert.Assert(t, got.Close)
@@ -476,7 +476,7 @@
 
 // The node that a lookup waits for can't be reached any more. Its caller is told at once instead of when the time is up,
 // and can ask again; an order goes on waiting, since it may be running.
-func TestAttemptAtALostNodeEnds(t *testing.T) {
+func TestAttemptAtUnreachableNodeIsAborted(t *testing.T) {
 	for name, test := range map[string]struct {
 		kind matcher.Kind
 		ends bool
@@ -493,10 +493,10 @@
 				for e.count() == 0 {
 					time.Sleep(5 * time.Millisecond)
 				}
-				entry.Tell(conductor.Probed{Node: "beside"})
+				entry.ApplyEvent(conductor.Probed{Node: "beside"})
 			}()
 			begun := time.Now()
-			got := ask(t, entry, nil)
+			got := sendRequest(t, entry, nil)
 			if test.ends {
 				assert.Equal(t, got.StatusCode, http.StatusBadGateway)
 				assert.Assert(t, time.Since(begun) < 400*time.Millisecond)
@@ -508,8 +508,8 @@
 }
 
 func TestProbe(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	entry.Tell(conductor.Probed{Node: "beside"})
+	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	entry.ApplyEvent(conductor.Probed{Node: "beside"})
 	entry.probe(conductor.Probe{Node: "beside", Address: beside.member.DeliveryAddress})
 	entry.View(func(c *conductor.Conductor, _ clock.Time) { assert.Assert(t, !c.Lost("beside")) })
 }
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -19,15 +19,15 @@
 // TokensPath is where a node answers questions for tokens.
 const TokensPath = "/tokens"
 
-// tokenPatience is how long a node waits for a token: thirty round trips between failure domains, or a tenth of a second in
+// tokenTimeout is how long a node waits for a token: thirty round trips between failure domains, or a tenth of a second in
 // which a VM's share of its processor is used up. It is as much as the shortest objectives leave.
-const tokenPatience = 100 * clock.Millisecond
+const tokenTimeout = 100 * clock.Millisecond
 
 // draw asks another node for a token, and returns what is to be done then.
 func (r *Relayer) draw(ctx context.Context, d conductor.Draw) conductor.Effect {
-	asked := r.options.Clock.Now()
-	grant, err := r.askToken(ctx, d)
-	r.options.Recorder.Drawn(drawOutcome(grant, err), r.options.Clock.Now().Sub(asked))
+	started := r.options.Clock.Now()
+	grant, err := r.requestToken(ctx, d)
+	r.options.Recorder.Drawn(drawOutcome(grant, err), r.options.Clock.Now().Sub(started))
 	if err != nil && ctx.Err() == nil {
 		r.options.Recorder.Dependency("tokens of node "+string(d.Node), err)
 	}
@@ -49,26 +49,26 @@
 	}
 }
 
-func (r *Relayer) askToken(ctx context.Context, d conductor.Draw) (pooler.Grant, error) {
-	limited, cancel := context.WithTimeout(ctx, tokenPatience.Std())
+func (r *Relayer) requestToken(ctx context.Context, d conductor.Draw) (pooler.Grant, error) {
+	limited, cancel := context.WithTimeout(ctx, tokenTimeout.Std())
 	defer cancel()
-	question := &requester.Request{
+	tokenRequest := &requester.Request{
 		Method: http.MethodPost,
 		URI:    TokensPath,
 		Host:   d.Address,
 		Header: http.Header{teamField: {string(d.Team)}},
 	}
-	defer r.countQuestion(d, question)()
+	defer r.countTokenRequest(d, tokenRequest)()
 	if d.Back > 0 {
-		question.Header[backField] = []string{strconv.Itoa(d.Back)}
+		tokenRequest.Header[returnedTokensField] = []string{strconv.Itoa(d.Back)}
 	}
-	response, err := r.peers.Do(limited, d.Address, question)
+	response, err := r.peers.Do(limited, d.Address, tokenRequest)
 	if err != nil {
 		// Other connections to a node that failed one may be as dead.
 		r.peers.Forget(d.Address)
 		return pooler.Grant{}, err
 	}
-	response.Close(drain(response))
+	response.Close(drainBody(response))
 	if response.StatusCode != http.StatusOK {
 		return pooler.Grant{}, requester.StatusError{Address: d.Address, Status: response.StatusCode}
 	}
@@ -80,7 +80,7 @@
 func (r *Relayer) ServeTokens(w http.ResponseWriter, request *http.Request) {
 	id := r.newID()
 	// A question without the field gives nothing back.
-	back, _ := strconv.Atoi(request.Header.Get(backField))
+	back, _ := strconv.Atoi(request.Header.Get(returnedTokensField))
 	effect := r.apply(id, conductor.TokenRequested{
 		ID:   id,
 		Team: identifier.Team(request.Header.Get(teamField)),
--- a/internal/relayer/types.go
+++ b/internal/relayer/types.go
@@ -39,20 +39,20 @@
 
 // The fields between nodes.
 const (
-	ownPrefix    = "Jackdaw-"
-	callField    = ownPrefix + "Call"
-	stateField   = ownPrefix + "State"
-	outcomeField = ownPrefix + "Outcome"
-	memberField  = ownPrefix + "Member"
-	waitField    = ownPrefix + "Wait"
-	provedField  = ownPrefix + "Proved"
-	teamField    = ownPrefix + "Team"
-	backField    = ownPrefix + "Back"
-	tokenField   = ownPrefix + "Token"
+	fleetPrefix    = "Jackdaw-"
+	callField    = fleetPrefix + "Call"
+	stateField   = fleetPrefix + "State"
+	outcomeField = fleetPrefix + "Outcome"
+	memberField  = fleetPrefix + "Member"
+	waitField    = fleetPrefix + "Wait"
+	provedField  = fleetPrefix + "Proved"
+	teamField    = fleetPrefix + "Team"
+	returnedTokensField    = fleetPrefix + "Back"
+	tokenField   = fleetPrefix + "Token"
 )
 
-// hopFields concern one connection only.
-var hopFields = map[string]bool{
+// hopByHopFields concern one connection only.
+var hopByHopFields = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -66,17 +66,17 @@
 	"Expect":              true,
 }
 
-// endToEnd copies the fields that are not of one connection, and none of the fleet's own.
-func endToEnd(from http.Header) http.Header {
-	named := map[string]bool{}
+// endToEndFields copies the fields that are not of one connection, and none of the fleet's own.
+func endToEndFields(from http.Header) http.Header {
+	connectionFields := map[string]bool{}
 	for _, list := range from["Connection"] {
 		for _, name := range strings.Split(list, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			connectionFields[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	to := make(http.Header, len(from)+4)
 	for name, values := range from {
-		if hopFields[name] || named[name] || strings.HasPrefix(name, ownPrefix) {
+		if hopByHopFields[name] || connectionFields[name] || strings.HasPrefix(name, fleetPrefix) {
 			continue
 		}
 		to[name] = values
