--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -1,8 +1,8 @@
 package relayer
 
-// A small answer is read whole before any of it is passed on, so that one that breaks off can be asked for again.
+// A small answer is buffered completely before it is forwarded, so that a request whose answer is truncated can be retried.
 //
-// Example: 600 of 900 bytes come and the connection is reset: Broken, and a lookup is tried elsewhere.
+// Example: 600 of 900 bytes arrive and the connection is reset: the outcome is Broken, and an idempotent request is retried.
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// maxBufferedAnswer is the largest answer that is read whole before any of it is passed on, so that one that breaks off can
-// be asked for again. Ordinary answers have 400 to 6,000 bytes.
+// maxBufferedAnswer is the size in bytes of the largest answer that is buffered completely before it is forwarded. Ordinary
+// answers have 400 to 6,000 bytes.
 const maxBufferedAnswer = 64 << 10
 
 func (r *Relayer) bufferSmallAnswer(ctx context.Context, cancel func(), a answer) answer {
@@ -40,17 +40,17 @@
 	return incompleteAttempt(ctx)
 }
 
-// partlyReadBody is a body of which a part was read already.
+// partlyReadBody is a body whose beginning has already been read into a buffer.
 type partlyReadBody struct {
 	io.Reader
 	io.Closer
 }
 
-// readBody reads a body to its end, or a little more than what counts as small of one whose length is not known.
+// readBody reads a body to its end, or up to one byte beyond maxBufferedAnswer if its length is unknown.
 func readBody(response *requester.Response) ([]byte, error) {
 	var body bytes.Buffer
 	if response.ContentLength > 0 {
-		// Room for all of it, and for the read that finds its end.
+		// The buffer has room for the whole body and for the read that finds its end.
 		body.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
 	_, err := body.ReadFrom(io.LimitReader(response.Body, maxBufferedAnswer+1))
@@ -60,7 +60,7 @@
 	return body.Bytes(), err
 }
 
-// cancelAfterBody leaves an answer's context open until its body has been passed on.
+// cancelAfterBody keeps an answer's context open until its body has been forwarded.
 func cancelAfterBody(a answer, cancel func()) answer {
 	finish := a.finish
 	a.finish = func(whole bool) {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -1,8 +1,8 @@
 package relayer
 
-// One attempt goes to the local endpoint, or to the node beside another one.
+// An attempt goes to the local endpoint, or to the node beside another endpoint.
 //
-// Example: the other node has no room: failed(Full), and the conductor says where to try next.
+// Example: the other node has no room: failedAttempt(Full), and the conductor decides where the next attempt goes.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// attempt makes one attempt, at the local endpoint or by way of another node.
+// attempt makes one attempt, at the local endpoint or through another node.
 func (r *Relayer) attempt(request *http.Request, s conductor.Send, body *replayable) answer {
 	left := s.Deadline.Sub(r.options.Clock.Now())
 	parent, stop := request.Context(), func() {}
@@ -41,39 +41,42 @@
 	var a answer
 	if s.Local {
 		a = r.deliver(ctx, delivery{
-			request:       out,
-			id:            request.Header.Get(h.RequestID),
-			endpoint:      s.Endpoint,
-			rank:          s.Rank,
-			deadline:      s.Deadline,
-			queueTimeout:      s.QueueTimeout,
-			due:           s.Due,
-			nested:        s.Nested,
-			arrivalCounted:         s.ArrivalCounted,
-			rateUnchecked: rateUnchecked(s),
+			request:        out,
+			id:             request.Header.Get(h.RequestID),
+			endpoint:       s.Endpoint,
+			rank:           s.Rank,
+			deadline:       s.Deadline,
+			queueTimeout:   s.QueueTimeout,
+			due:            s.Due,
+			nested:         s.Nested,
+			arrivalCounted: s.ArrivalCounted,
+			rateUnchecked:  rateUnchecked(s),
+		})
+		r.View(func(c *conductor.Conductor, now clock.Time) {
+			a.headroom, a.queueDelay = c.Headroom(now), c.QueueDelay(now)
 		})
-		r.View(func(c *conductor.Conductor, now clock.Time) { a.headroom, a.queueDelay = c.Headroom(now), c.QueueDelay(now) })
 	} else {
 		a = r.forward(ctx, s, out, body)
 	}
 	return r.bufferSmallAnswer(ctx, cancel, a)
 }
 
-// forward sends a request to the node beside another endpoint.
+// forward sends a request to the node beside another endpoint and reads the outcome from its answer.
 func (r *Relayer) forward(ctx context.Context, s conductor.Send, out *requester.Request, body *replayable) answer {
 	now := r.options.Clock.Now()
 	out.Header[callField] = []string{handover{
-		left:          s.Deadline.Sub(now),
-		queueTimeout:      s.QueueTimeout,
-		due:           s.Due.Sub(now),
-		rank:          s.Rank,
-		nested:        s.Nested,
-		arrivalCounted:         s.ArrivalCounted,
-		endpoint:      s.Endpoint,
-		rateUnchecked: rateUnchecked(s),
+		left:           s.Deadline.Sub(now),
+		queueTimeout:   s.QueueTimeout,
+		due:            s.Due.Sub(now),
+		rank:           s.Rank,
+		nested:         s.Nested,
+		arrivalCounted: s.ArrivalCounted,
+		endpoint:       s.Endpoint,
+		rateUnchecked:  rateUnchecked(s),
 	}.String()}
 	delete(out.Header, r.options.Headers.TimeLeft)
-	// A team that is over its rate is mostly refused there as well, and a body would cross the domains for nothing.
+	// A request of a team that is over its rate is usually refused there as well; its body must not cross failure domains
+	// before it is admitted.
 	out.Hesitant = body.streamed() || s.RateUnchecked && s.Crossing != router.Inside
 	count := r.countCrossing(s, out)
 	requestedAt := r.options.Boot.Now()
@@ -95,10 +98,10 @@
 		response.Header[r.options.Headers.RequestID] = id
 	}
 	return answer{
-		Response: response,
-		outcome:  conductor.Answered,
-		headroom: state.headroom,
-		queueDelay:     state.queueDelay,
+		Response:   response,
+		outcome:    conductor.Answered,
+		headroom:   state.headroom,
+		queueDelay: state.queueDelay,
 		finish: func(whole bool) {
 			response.Close(whole)
 			count()
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// BenchmarkPath is one request from a caller by way of two nodes to an endpoint and back, all in one process.
-// With a new buffer for each answer that is passed on it allocated 40.6 kB, with reused ones and bodies read into one 24.7 kB.
+// BenchmarkPath sends a request from a caller through two nodes to an endpoint and back, all in one process. It shows the
+// allocations that reused copy buffers save: 24.7 kB a request instead of 40.6 kB with a new buffer for each answer.
 func BenchmarkPath(b *testing.B) {
 	entry, _, _ := pair(b, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -1,9 +1,9 @@
 package relayer
 
-// A request's body is read from its caller once. A small one is held, so that the request can be sent to another node; a
-// large one is passed on as it comes, and what goes wrong with it on the way is the caller's to know.
+// A request's body can be read from its caller only once. A small body is held in memory, so that the request can be sent
+// again to another node; a large one is streamed, and a failure on the way is reported to the caller.
 //
-// Example: 300 bytes are held and sent to two nodes in turn; 60 kB can be sent again only if none of them was read.
+// Example: 300 bytes are held and sent to two nodes in turn; 60 kB can be sent again only if none of it has been read.
 
 import (
 	"bytes"
@@ -16,18 +16,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// replayable is a request's body, which can be sent again as long as none of it was read from the caller, or all of
-// it is held.
+// replayable is a request's body that can be sent again if it is held in memory, or as long as none of it has been read
+// from the caller.
 type replayable struct {
 	held   []byte
 	stream io.Reader
 	length int64
-	// bodyRead is set by the goroutine that sends the body, and asked by the one that waits for the answer.
+	// bodyRead is set by the goroutine that sends the body, and read by the one that waits for the answer.
 	readStarted atomic.Bool
 }
 
 const (
-	// maxHeldBody is the largest body that is held in memory to be sent again.
+	// maxHeldBody is the size in bytes of the largest body that is held in memory to be sent again.
 	maxHeldBody = 16 << 10
 )
 
@@ -51,7 +51,7 @@
 	return !b.readStarted.Load()
 }
 
-// reader returns the body from its start, and its length.
+// reader returns a reader at the body's start, and the body's length.
 func (b *replayable) reader() (io.Reader, int64) {
 	switch {
 	case b.stream != nil:
@@ -63,7 +63,7 @@
 	}
 }
 
-// Read reads from the caller.
+// Read reads from the caller and marks the body as no longer replayable.
 func (b *replayable) Read(p []byte) (int, error) {
 	b.readStarted.Store(true)
 	return b.stream.Read(p)
@@ -74,7 +74,7 @@
 	http.Error(w, "body is longer than "+strconv.FormatInt(limit, 10)+" bytes", http.StatusRequestEntityTooLarge)
 }
 
-// exceededBodyLimit returns the limit that a request's body went over, 0 where something else is wrong.
+// exceededBodyLimit returns the limit that a request's body exceeded, 0 if the error has another cause.
 func exceededBodyLimit(err error) int64 {
 	var long *http.MaxBytesError
 	var body requester.BodyError
--- a/internal/relayer/check.go
+++ b/internal/relayer/check.go
@@ -1,7 +1,7 @@
 package relayer
 
-// The endpoint beside this node is asked which one it is and for how much longer it is cold, where that is not known from its
-// heartbeats yet. A healthy one that says nothing of it is warm; one that gives another answer may be either.
+// Until its first heartbeat, the local endpoint's id and the remaining time for which it is cold are read from its health
+// path. A healthy endpoint that reports no such time is warm; after any other answer it is unknown whether it is cold.
 //
 // Example: 200 with the endpoint's id and 1200 ms left: EndpointChecked{Endpoint: "i-7", ColdLeft: 1200, Known: true}.
 
@@ -17,13 +17,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// checkTimeout bounds a check; until it ends, the endpoint counts as cold.
+// checkTimeout bounds a health check; until the check ends, the endpoint counts as cold.
 const checkTimeout = 500 * clock.Millisecond
 
 func (r *Relayer) check(e conductor.CheckEndpoint) {
 	checked, err := r.requestHealth(e.Path)
 	if err != nil {
-		r.options.Recorder.Dependency("endpoint", fmt.Errorf("check: %w", err))
+		r.options.Recorder.Dependency("endpoint", fmt.Errorf("health check: %w", err))
 	}
 	r.options.Recorder.Event("endpoint checked", "endpoint", string(checked.Endpoint), "known", checked.Known,
 		"coldMs", int64(checked.ColdLeft))
@@ -53,11 +53,11 @@
 	}
 	milliseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(milliseconds >= 0) || milliseconds > maxColdMs {
-		return checked, fmt.Errorf("%s is %q, want milliseconds", h.ColdLeft, text)
+		return checked, fmt.Errorf("header field %s is %q, expected milliseconds from 0 to 3,600,000", h.ColdLeft, text)
 	}
 	checked.ColdLeft, checked.Known = clock.Duration(milliseconds), true
 	return checked, nil
 }
 
-// maxColdMs bounds in milliseconds what an endpoint may say of the time for which it is cold.
+// maxColdMs is the upper bound of the milliseconds for which an endpoint may report that it is cold.
 const maxColdMs = 3_600_000
--- a/internal/relayer/check_test.go
+++ b/internal/relayer/check_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// What an endpoint says of itself must never make a cold one pass for warm: it would be crashed by what a warm one bears.
+// No health answer may make a cold endpoint count as warm: the load that a warm endpoint bears would crash it.
 func TestHealthAnswerTellsColdEndpointFromWarm(t *testing.T) {
 	tests := map[string]struct {
 		status int
@@ -22,16 +22,16 @@
 		left   clock.Duration
 		fails  bool
 	}{
-		"cold":           {200, "1200", true, 1200, false},
-		"with a part":    {200, "1200.7", true, 1200, false},
-		"warm":           {200, "0", true, 0, false},
-		"says nothing":   {200, "", true, 0, false},
-		"ill":            {503, "", false, 0, false},
-		"ill and cold":   {503, "900", true, 900, false},
-		"negative":       {200, "-5", false, 0, true},
-		"with a unit":    {200, "1.2s", false, 0, true},
-		"not a number":   {200, "NaN", false, 0, true},
-		"beyond all use": {200, "1e300", false, 0, true},
+		"cold":               {200, "1200", true, 1200, false},
+		"with a fraction":    {200, "1200.7", true, 1200, false},
+		"warm":               {200, "0", true, 0, false},
+		"not reported":       {200, "", true, 0, false},
+		"unhealthy":          {503, "", false, 0, false},
+		"unhealthy and cold": {503, "900", true, 900, false},
+		"negative":           {200, "-5", false, 0, true},
+		"with a unit":        {200, "1.2s", false, 0, true},
+		"not a number":       {200, "NaN", false, 0, true},
+		"too large":          {200, "1e300", false, 0, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relayer/crossing.go
+++ b/internal/relayer/crossing.go
@@ -1,9 +1,9 @@
 package relayer
 
-// Bytes between failure domains cost their operators more than those within one, and they delay calls. Each byte that
-// leaves the domain for a request is counted by what it is for and why it was sent elsewhere.
+// Traffic between failure domains costs operators more than traffic within one, and it delays calls. The bytes that a
+// request sends to and receives from another domain are counted by cause and by the reason for leaving the domain.
 //
-// Example: a nested call goes elsewhere since the endpoint here is full: 410 bytes sent, 690 received.
+// Example: a nested call goes to another domain because the endpoint here is full: 410 bytes sent, 690 received.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/conductor"
@@ -12,7 +12,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// countCrossing has the bytes of an attempt counted if it leaves the failure domain; the result is called at its end.
+// countCrossing counts the bytes of an attempt that leaves the failure domain; the caller must call the returned function
+// at the end of the attempt.
 func (r *Relayer) countCrossing(s conductor.Send, out *requester.Request) func() {
 	if s.Crossing == router.Inside {
 		return func() {}
@@ -20,7 +21,7 @@
 	return r.countBytes(out, crossingCause(s), string(s.Crossing))
 }
 
-// countTokenRequest is countCrossing for a question for a token.
+// countTokenRequest is countCrossing for a request for a token.
 func (r *Relayer) countTokenRequest(d conductor.Draw, tokenRequest *requester.Request) func() {
 	if !d.Crosses {
 		return func() {}
--- a/internal/relayer/delivery.go
+++ b/internal/relayer/delivery.go
@@ -1,8 +1,8 @@
 package relayer
 
-// The last hop: from this node to the endpoint beside it, for requests of this node and of others.
+// The last hop leads from this node to the local endpoint, for requests that arrived here or at other nodes.
 //
-// Example: the endpoint answers 503 with its word that the request has not run: the outcome is Declined.
+// Example: the endpoint answers 503 with the field that says that the request has not run: the outcome is Declined.
 
 import (
 	"context"
@@ -21,34 +21,34 @@
 
 // delivery is a request on its way to the local endpoint.
 type delivery struct {
-	request       *requester.Request
-	id            string
-	endpoint      identifier.Endpoint
-	rank          identifier.Rank
-	deadline      clock.Time
-	queueTimeout      clock.Duration
-	due           clock.Time
-	nested        bool
-	arrivalCounted         bool
-	rateUnchecked identifier.Team
+	request        *requester.Request
+	id             string
+	endpoint       identifier.Endpoint
+	rank           identifier.Rank
+	deadline       clock.Time
+	queueTimeout   clock.Duration
+	due            clock.Time
+	nested         bool
+	arrivalCounted bool
+	rateUnchecked  identifier.Team
 }
 
-// answer is what came of an attempt; Response is set where the outcome is Answered.
+// answer is the result of an attempt; Response is set if the outcome is Answered.
 type answer struct {
 	*requester.Response
 	outcome conductor.Outcome
 	reason  conductor.Reason
-	// headroom and wait are how the endpoint fared when it answered.
-	headroom uint8
-	queueDelay     clock.Duration
-	// member is the other node's record where the endpoint is no longer there.
+	// headroom and queueDelay are those of the endpoint when it answered.
+	headroom   uint8
+	queueDelay clock.Duration
+	// member is the other node's present record if the requested endpoint is no longer beside it.
 	member *exchanger.Member
-	// finish must be called once, with whether the body was read to its end.
+	// finish must be called exactly once; whole reports whether the body was read to its end.
 	finish func(whole bool)
-	// exceededLimit is the limit that the request's body went over, 0 for none.
+	// exceededLimit is the limit in bytes that the request's body exceeded, 0 for none.
 	exceededLimit int64
-	// body holds the whole body where it was read already.
-	body []byte
+	// body holds the whole body if bodyRead is set.
+	body     []byte
 	bodyRead bool
 }
 
@@ -56,15 +56,15 @@
 	return answer{outcome: o, reason: reason, finish: func(bool) {}}
 }
 
-// bodyReadFailed is the outcome where the caller's body could not be read to its end.
+// bodyReadFailed returns the outcome of an attempt during which the caller's body could not be read to its end.
 func bodyReadFailed(err error) answer {
 	a := failedAttempt(conductor.Abandoned, conductor.InDoubt)
 	a.exceededLimit = exceededBodyLimit(err)
 	return a
 }
 
-// incompleteAttempt is the outcome of an attempt that was sent and has no whole answer, by what has ended it: its node can't be reached, the
-// time was up, the caller has left, or else the connection broke.
+// incompleteAttempt returns the outcome of an attempt that was sent and got no complete answer, by cause: its node is
+// unreachable, the deadline has passed, the caller has disconnected, or the connection broke.
 func incompleteAttempt(ctx context.Context) answer {
 	switch {
 	case endedAsUnreachable(ctx):
@@ -147,7 +147,7 @@
 	return answer{Response: response, outcome: conductor.Answered}
 }
 
-// maxDrainBytes bounds what is read of a body that nobody wants, to keep its connection.
+// maxDrainBytes bounds the bytes of an unused body that are read so that its connection can be reused.
 const maxDrainBytes = 16 << 10
 
 func drainBody(response *requester.Response) bool {
--- a/internal/relayer/doc.go
+++ b/internal/relayer/doc.go
@@ -1,2 +1,2 @@
-// Package relayer moves requests between callers, nodes and the local endpoint, as the conductor decides.
+// Package relayer forwards requests between callers, nodes and the local endpoint, as the conductor decides.
 package relayer
--- a/internal/relayer/handover.go
+++ b/internal/relayer/handover.go
@@ -1,11 +1,11 @@
 package relayer
 
-// What a node tells another with a request, and what it is told with the answer, stands in one field each: most bytes of
-// a small nested call between failure domains would else be names of fields.
+// The data that a node sends to another with a request, and gets back with the answer, is packed into one header field
+// each: otherwise most bytes of a small nested call between failure domains would be field names.
 //
-// Example: Jackdaw-Call: 695 231 300 39 n i-676cc4d8c6 is a nested call of rank 39 for endpoint i-676cc4d8c6 with 695 ms left,
-// which may be queued for 231 ms and is due in 300; Jackdaw-State: 245 12 7,800 is an endpoint with 245 of 255 parts free
-// and a queue of 12 ms, at a node where version 7 was the newest 800 ms ago.
+// Example: Jackdaw-Call: 695 231 300 39 n i-676cc4d8c6 is a nested call of rank 39 for endpoint i-676cc4d8c6 with 695 ms
+// left, which may be queued for 231 ms and is due in 300; Jackdaw-State: 245 12 7,800 is an endpoint with a headroom of
+// 245 of 255 and a queue delay of 12 ms, at a node where version 7 was the newest 800 ms ago.
 
 import (
 	"fmt"
@@ -18,20 +18,20 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// handover is what goes with a request to another node.
+// handover is the data that accompanies a request to another node.
 type handover struct {
 	left, queueTimeout, due clock.Duration
-	rank                identifier.Rank
-	nested, arrivalCounted       bool
-	endpoint            identifier.Endpoint
-	// rateUnchecked is the team whose rate has yet to be taken from, empty for none.
+	rank                    identifier.Rank
+	nested, arrivalCounted  bool
+	endpoint                identifier.Endpoint
+	// rateUnchecked is the team whose rate limit has not been checked for this request yet, empty for none.
 	rateUnchecked identifier.Team
 }
 
 const (
-	nestedFlag = "n"
-	arrivalCountedFlag  = "a"
-	noFlag     = "-"
+	nestedFlag         = "n"
+	arrivalCountedFlag = "a"
+	noFlag             = "-"
 )
 
 func (o handover) String() string {
@@ -53,18 +53,18 @@
 	return text
 }
 
-// HandoverError tells which part of a handover can't be read.
+// HandoverError reports the part of a handover that can't be parsed.
 type HandoverError struct {
 	Text string
 	Part string
 }
 
-// Error names the part.
+// Error returns the text of the handover and the faulty part.
 func (e HandoverError) Error() string {
 	return fmt.Sprintf("handover %q: %s can't be read", e.Text, e.Part)
 }
 
-// The parts of a handover, in their order; the team may be missing.
+// handoverParts are the names of the parts of a handover in their order; the team may be missing.
 var handoverParts = []string{"time left", "patience", "due", "rank", "flags", "endpoint", "team"}
 
 func parseHandover(text string) (handover, error) {
@@ -93,13 +93,13 @@
 		names = append(names, name)
 	}
 	o := handover{
-		left:     clock.Duration(numbers[0]),
-		queueTimeout: clock.Duration(numbers[1]),
-		due:      clock.Duration(numbers[2]),
-		rank:     identifier.Rank(numbers[3]),
-		nested:   strings.Contains(parts[4], nestedFlag),
-		arrivalCounted:    strings.Contains(parts[4], arrivalCountedFlag),
-		endpoint: identifier.Endpoint(names[1]),
+		left:           clock.Duration(numbers[0]),
+		queueTimeout:   clock.Duration(numbers[1]),
+		due:            clock.Duration(numbers[2]),
+		rank:           identifier.Rank(numbers[3]),
+		nested:         strings.Contains(parts[4], nestedFlag),
+		arrivalCounted: strings.Contains(parts[4], arrivalCountedFlag),
+		endpoint:       identifier.Endpoint(names[1]),
 	}
 	if len(names) > 2 {
 		o.rateUnchecked = identifier.Team(names[2])
@@ -107,12 +107,12 @@
 	return o, nil
 }
 
-// peerState is what comes with an answer: how the endpoint beside the answering node fares, and how fresh that node's
-// configuration is.
+// peerState is the data that accompanies an answer: the headroom and queue delay of the endpoint beside the answering
+// node, and the freshness of that node's configuration.
 type peerState struct {
-	headroom uint8
-	queueDelay     clock.Duration
-	// proof is as formatProof writes it, empty for none.
+	headroom   uint8
+	queueDelay clock.Duration
+	// proof is in the format of formatProof, empty for none.
 	proof string
 }
 
@@ -120,7 +120,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%d %d %s", s.headroom, s.queueDelay, s.proof))
 }
 
-// readPeerState takes what can't be read for an endpoint without room.
+// readPeerState returns the state of an endpoint without headroom if the field can't be parsed.
 func readPeerState(h http.Header) peerState {
 	parts := strings.Fields(h.Get(stateField))
 	if len(parts) < 2 {
--- a/internal/relayer/handover_test.go
+++ b/internal/relayer/handover_test.go
@@ -24,14 +24,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		time := rapid.Int64Range(0, 1<<40)
 		o := handover{
-			left:          clock.Duration(time.Draw(t, "left")),
-			queueTimeout:      clock.Duration(time.Draw(t, "patience")),
-			due:           clock.Duration(time.Draw(t, "due")),
-			rank:          identifier.Rank(rapid.Uint16().Draw(t, "rank")),
-			nested:        rapid.Bool().Draw(t, "nested"),
-			arrivalCounted:         rapid.Bool().Draw(t, "again"),
-			endpoint:      identifier.Endpoint(rapid.StringN(1, 20, 40).Draw(t, "endpoint")),
-			rateUnchecked: identifier.Team(rapid.StringN(0, 20, 40).Draw(t, "rateUnchecked")),
+			left:           clock.Duration(time.Draw(t, "left")),
+			queueTimeout:   clock.Duration(time.Draw(t, "patience")),
+			due:            clock.Duration(time.Draw(t, "due")),
+			rank:           identifier.Rank(rapid.Uint16().Draw(t, "rank")),
+			nested:         rapid.Bool().Draw(t, "nested"),
+			arrivalCounted: rapid.Bool().Draw(t, "again"),
+			endpoint:       identifier.Endpoint(rapid.StringN(1, 20, 40).Draw(t, "endpoint")),
+			rateUnchecked:  identifier.Team(rapid.StringN(0, 20, 40).Draw(t, "rateUnchecked")),
 		}
 		read, err := parseHandover(o.String())
 		assert.NilError(t, err)
@@ -39,8 +39,8 @@
 	})
 }
 
-// Another writer, or a node of another version, sends something else. It must not be taken for a request with no time
-// left or with the highest rank.
+// A handover written by something else, or by a node of another version, must be refused: read as zeros, it would be a
+// request with no time left or with the highest rank.
 func TestMalformedHandoverNamesPart(t *testing.T) {
 	for text, part := range map[string]string{
 		"":                              "number of parts",
@@ -76,7 +76,7 @@
 	}
 }
 
-// moveToOtherDomain makes a node's failure domain another one for the entry.
+// moveToOtherDomain changes a node's failure domain in the entry's member table.
 func moveToOtherDomain(entry, n *node) {
 	m := n.member
 	m.Domain = "east"
@@ -84,7 +84,7 @@
 	learnMember(entry, m)
 }
 
-// crossingBytes returns the bytes that the entry has counted between failure domains.
+// crossingBytes returns the bytes between failure domains that the entry has counted in a direction.
 func crossingBytes(t *testing.T, entry *node, direction string) int {
 	t.Helper()
 	var metrics bytes.Buffer
@@ -100,8 +100,8 @@
 	return total
 }
 
-// Most of what a small nested call costs between failure domains would be names of fields, and what the other node knows
-// already.
+// Header fields that the other node already knows, and long field names, would be most of the bytes of a small nested call
+// between failure domains.
 func TestHeadersBetweenNodesAreShort(t *testing.T) {
 	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
 	moveToOtherDomain(entry, beside)
@@ -112,8 +112,8 @@
 	assert.Assert(t, sent > 0 && sent < 240 && received > 0 && received < 180, "%d bytes sent, %d received", sent, received)
 }
 
-// A team is over its rate, and its order goes to another failure domain to see whether a node there has a token to spare.
-// It mostly has not; the order's body need not have crossed for that.
+// A request of a team that is over its rate goes to another failure domain, in case a node there has a token left. Usually
+// it has none, so the request's body must not be sent before the node there asks for it.
 func TestBodyIsNotSentWhileTeamIsOverRate(t *testing.T) {
 	c := configurationOf(matcher.NonIdempotent, 2)
 	c.Teams[0].Rate, c.Teams[0].Burst = 0.001, 0.001
@@ -133,7 +133,7 @@
 		a.finish(true)
 		return a.outcome
 	}
-	// The node elsewhere has one token to begin with.
+	// The node in the other domain has one token at first.
 	assert.Equal(t, order(), conductor.Answered)
 	before := crossingBytes(t, entry, "sent")
 	assert.Equal(t, order(), conductor.Over)
--- a/internal/relayer/harness_test.go
+++ b/internal/relayer/harness_test.go
@@ -29,7 +29,7 @@
 	Target: "X-Target", NotRun: "X-Not-Run", Signature: "X-Signature",
 }
 
-// endpoint is a stand-in of a backend server; it keeps what reached it.
+// endpoint is a fake backend server that records the requests it receives.
 type endpoint struct {
 	*httptest.Server
 	mu   sync.Mutex
--- a/internal/relayer/inbound.go
+++ b/internal/relayer/inbound.go
@@ -1,9 +1,9 @@
 package relayer
 
-// Other nodes send requests for the local endpoint here. An answer of this node's own carries its outcome in a field,
-// which only nodes see; everything else is the endpoint's answer as it came.
+// Other nodes send requests for the local endpoint here. If the endpoint gave no answer, this node answers with the
+// outcome in a header field between nodes; otherwise the endpoint's answer is forwarded unchanged.
 //
-// Example: the endpoint left a moment ago: 503 with Jackdaw-Outcome: moved, and the other node picks another one.
+// Example: the endpoint has just left: 503 with Jackdaw-Outcome: moved, and the sending node picks another endpoint.
 
 import (
 	"context"
@@ -30,20 +30,20 @@
 	defer cancel()
 	now := r.options.Clock.Now()
 	d := delivery{
-		id:            request.Header.Get(r.options.Headers.RequestID),
-		endpoint:      received.endpoint,
-		rank:          received.rank,
-		deadline:      now.Add(received.left),
-		queueTimeout:      received.queueTimeout,
-		due:           now.Add(received.due),
-		nested:        received.nested,
-		arrivalCounted:         received.arrivalCounted,
-		rateUnchecked: received.rateUnchecked,
-		request:       outgoing(request, endToEndFields(request.Header)),
+		id:             request.Header.Get(r.options.Headers.RequestID),
+		endpoint:       received.endpoint,
+		rank:           received.rank,
+		deadline:       now.Add(received.left),
+		queueTimeout:   received.queueTimeout,
+		due:            now.Add(received.due),
+		nested:         received.nested,
+		arrivalCounted: received.arrivalCounted,
+		rateUnchecked:  received.rateUnchecked,
+		request:        outgoing(request, endToEndFields(request.Header)),
 	}
 	a := r.deliver(ctx, d)
 	r.setState(w.Header())
-	// The asking node writes its own.
+	// The sending node writes its own Date.
 	w.Header()["Date"] = nil
 	r.announceClose(request.Context(), w.Header())
 	if a.outcome != conductor.Answered {
@@ -58,33 +58,33 @@
 	r.writeAnswer(w, a)
 }
 
-// dropRedundantFields drops from an answer what the asking node has or does not need.
+// dropRedundantFields removes the fields of an answer that the sending node already has or does not need.
 func (r *Relayer) dropRedundantFields(h http.Header) {
 	delete(h, "Date")
 	delete(h, r.options.Headers.RequestID)
 	delete(h, r.options.Headers.Load)
 }
 
-// setState tells the asking node how the endpoint fares and how fresh the configuration is here.
+// setState reports the endpoint's headroom and queue delay and the freshness of this node's configuration.
 func (r *Relayer) setState(h http.Header) {
 	r.View(func(c *conductor.Conductor, now clock.Time) {
 		h[stateField] = []string{peerState{headroom: c.Headroom(now), queueDelay: c.QueueDelay(now), proof: r.proof(c)}.String()}
 	})
 }
 
-// setMember tells the asking node which endpoint is here now, since it goes by an older record.
+// setMember adds this node's member record with its present endpoint, since the sending node has an outdated one.
 func (r *Relayer) setMember(h http.Header) {
 	r.View(func(c *conductor.Conductor, _ clock.Time) {
 		record, err := exchanger.EncodeMember(c.Self())
 		if err != nil {
-			r.options.Recorder.Event("record not encoded", "error", err.Error())
+			r.options.Recorder.Event("member record not encoded; answer sent without it", "error", err.Error())
 			return
 		}
 		h[memberField] = []string{base64.StdEncoding.EncodeToString(record)}
 	})
 }
 
-// readMember returns the record that came with an answer, nil for none.
+// readMember returns the member record in an answer, nil if there is none.
 func (r *Relayer) readMember(h http.Header) *exchanger.Member {
 	value := h.Get(memberField)
 	if value == "" {
@@ -92,12 +92,12 @@
 	}
 	record, err := base64.StdEncoding.DecodeString(value)
 	if err != nil {
-		r.options.Recorder.Event("record not read", "error", err.Error())
+		r.options.Recorder.Event("member record in answer not decoded; ignored", "error", err.Error())
 		return nil
 	}
 	m, err := exchanger.DecodeMember(record)
 	if err != nil {
-		r.options.Recorder.Event("record not read", "error", err.Error())
+		r.options.Recorder.Event("member record in answer not decoded; ignored", "error", err.Error())
 		return nil
 	}
 	return &m
@@ -117,14 +117,14 @@
 	return out
 }
 
-// writeAnswer writes an endpoint's answer. One that breaks off must not look whole, so the connection breaks off as well.
+// writeAnswer forwards an endpoint's answer. A truncated answer must not look complete, so its connection is aborted.
 func (r *Relayer) writeAnswer(w http.ResponseWriter, a answer) {
 	header := w.Header()
 	for name, values := range endToEndFields(a.Header) {
 		header[name] = values
 	}
 	if _, ok := header["Content-Type"]; !ok {
-		// Without this the server would guess one from the body.
+		// Without this entry the HTTP server would detect a type from the body.
 		header["Content-Type"] = nil
 	}
 	if a.ContentLength >= 0 {
@@ -132,7 +132,7 @@
 	}
 	w.WriteHeader(a.StatusCode)
 	if a.bodyRead {
-		// A caller that has gone is no error of this node's.
+		// A failed write means that the caller has disconnected, which is no failure of this node.
 		_, _ = w.Write(a.body)
 		return
 	}
@@ -145,7 +145,7 @@
 
 const copyBufferBytes = 16 << 10
 
-// copyBuffers are reused: a new one for each answer would be much of what a request allocates.
+// copyBuffers are reused: a new buffer for each answer would be a large part of what a request allocates.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 func copyBody(w http.ResponseWriter, a answer) error {
--- a/internal/relayer/outbound.go
+++ b/internal/relayer/outbound.go
@@ -1,9 +1,9 @@
 package relayer
 
-// Callers and the local endpoint send their requests here. One request makes at most a few attempts, and its caller
-// gets exactly one answer: the endpoint's, or one of this node's own that says whether it can have run.
+// Callers and the local endpoint send their requests here. A request is attempted at most a few times, and its caller
+// gets exactly one answer: the endpoint's, or this node's refusal, which states whether the request may have run.
 //
-// Example: node b turns the request away as full, node c's endpoint answers: the caller sees only that answer.
+// Example: node b turns the request away as full, and the endpoint of node c answers: the caller gets only that answer.
 
 import (
 	"io"
@@ -19,7 +19,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/recorder"
 )
 
-// ServeOutbound serves a request of a caller or of the local endpoint.
+// ServeOutbound serves a request from a caller or from the local endpoint.
 func (r *Relayer) ServeOutbound(w http.ResponseWriter, request *http.Request) {
 	id := r.newID()
 	if !r.validate(w, request) {
@@ -98,8 +98,8 @@
 	return identifier.Request(r.options.Headers.Parent(id))
 }
 
-// MayPipeline tells whether a caller's request may be begun before those that it sent earlier on its connection are
-// answered: only where running it twice does no harm, and not while the node stops, when answers end their connections.
+// MayPipeline reports whether a pipelined request may start before earlier requests on its connection are answered: only if
+// its route is idempotent, and not while answers close their connections because the node stops or has too many of them.
 func (r *Relayer) MayPipeline(request *http.Request) bool {
 	if r.stopping.Load() || r.options.Connections.Crowded() {
 		return false
@@ -115,7 +115,7 @@
 	return idempotent
 }
 
-// abandon ends a request whose caller has left, or whose body is longer than its length allowed to foresee.
+// abandon ends a request whose caller has disconnected, or refuses one whose chunked body turned out to exceed the limit.
 func (r *Relayer) abandon(w http.ResponseWriter, a answer) {
 	if a.exceededLimit == 0 {
 		panic(http.ErrAbortHandler)
@@ -130,7 +130,7 @@
 	return a.StatusCode
 }
 
-// validate refuses what must not be passed on.
+// validate answers a request that must not be forwarded with an error, and reports whether the request is valid.
 func (r *Relayer) validate(w http.ResponseWriter, request *http.Request) bool {
 	limit := int64(0)
 	r.View(func(c *conductor.Conductor, _ clock.Time) {
@@ -158,8 +158,8 @@
 		h[r.options.Headers.RequestID] = []string{id}
 	}
 	if e.RetryAfter > 0 && request.Header.Get(r.options.Headers.Key) != "" && pipeliner.MayClose(request.Context()) {
-		// The caller comes back on a new connection and would keep this one unused beside it, until a surge has used up the
-		// node's descriptors. Endpoints, whose nested calls have no key, do not come back.
+		// Callers retry on a new connection and would keep this one idle beside it, so a surge would use up the node's file
+		// descriptors. Endpoints, whose nested calls have no key, do not retry this way.
 		h["Connection"] = []string{"close"}
 	}
 	if e.RetryAfter > 0 {
--- a/internal/relayer/probe.go
+++ b/internal/relayer/probe.go
@@ -1,10 +1,10 @@
 package relayer
 
-// A node is probed by opening a connection to it, which the other system answers even where its process is busy. One packet
-// in thirty is lost on a bad link, and its system sends it again only after a second; so a second connection is opened
-// beside the first.
+// A node is probed by opening a connection to it, which its operating system accepts even while its process is busy. On a
+// bad link one packet in thirty is lost, and the first packet of a connection is sent again only after a second; so two
+// connections are opened at once.
 //
-// Example: no connection within 250 ms: the node counts as lost, and attempts under way there are ended.
+// Example: no connection within 250 ms: the node counts as lost, and attempts in flight there are aborted.
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// errUnreachable is why an attempt at a node that can't be reached is ended.
+// errUnreachable is the cause with which attempts at an unreachable node are aborted.
 var errUnreachable = errors.New("node can't be reached")
 
 // probeConnections is how many connections a probe opens.
 const probeConnections = 2
 
-// probe tells whether a node can be reached. One that refuses the connection can: only its process is gone.
+// probe finds out whether a node can be reached. A node that refuses the connection can: only its process has ended.
 func (r *Relayer) probe(p conductor.Probe) {
 	reached := make(chan bool, probeConnections)
 	for range probeConnections {
@@ -46,7 +46,7 @@
 	r.peers.Forget(p.Address)
 }
 
-// reportProbe tells the conductor, and the log where that changes what is believed of the node.
+// reportProbe passes the result to the conductor, and logs it if it changes whether the node counts as lost.
 func (r *Relayer) reportProbe(node identifier.Node, reached bool) {
 	lost := false
 	r.View(func(c *conductor.Conductor, _ clock.Time) { lost = c.Lost(node) })
@@ -59,7 +59,7 @@
 	r.ApplyEvent(conductor.Probed{Node: node, Reached: reached})
 }
 
-// watchAbort lets the attempt of a request be ended from outside until stop is called.
+// watchAbort returns a context that an Abort effect for the request cancels, until stop is called.
 func (r *Relayer) watchAbort(parent context.Context, id conductor.CallID) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	r.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// endedAsUnreachable tells whether an attempt was ended since its node can't be reached.
+// endedAsUnreachable reports whether an attempt was aborted because its node is unreachable.
 func endedAsUnreachable(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errUnreachable)
 }
--- a/internal/relayer/proof.go
+++ b/internal/relayer/proof.go
@@ -1,10 +1,10 @@
 package relayer
 
-// Answers between nodes carry the version in force at the answering node, and how long ago it was the newest, so that a node
-// that the store turns away can go on serving keyed requests.
+// Answers between nodes carry the version in force at the answering node, and how long ago it was known to be the newest, so
+// that a node without access to the store can continue to serve keyed requests.
 //
-// Example: Jackdaw-Proved: 12,800,57 is version 12, which was the newest 800 ms before the answer, by a node that knows the
-// orders before offset 57.
+// Example: Jackdaw-Proved: 12,800,57 is version 12, which was the newest 800 ms before the answer, from a node that knows the
+// operators' orders before offset 57.
 
 import (
 	"net/http"
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// SetProof writes how fresh the configuration is here.
+// SetProof writes the proof of this node's configuration into a header.
 func (r *Relayer) SetProof(h http.Header) {
 	r.View(func(c *conductor.Conductor, _ clock.Time) { r.setProof(h, c) })
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// proof returns how fresh the configuration is here, empty if that is not known.
+// proof returns the formatted proof of this node's configuration, empty if there is none.
 func (r *Relayer) proof(c *conductor.Conductor) string {
 	version, at, ok := c.ProvedAt()
 	if !ok {
@@ -36,16 +36,16 @@
 	return formatProof(version, r.options.Boot.Now().Sub(at), c.OrdersNext())
 }
 
-// Proof is another node's word that a version was the newest at a moment of this node's boot clock.
+// Proof states that a version of the configuration was the newest at a given time of this node's boot clock.
 type Proof struct {
 	Version identifier.Version
 	AsOf    clock.Time
-	// Next is up to which offset of the operators' orders the node knows them, 0 if it does not say.
+	// Next is the offset after the last of the operators' orders that the other node knows, 0 if it did not report one.
 	Next identifier.Offset
 }
 
-// ReadProof reads what SetProof wrote at another node that was asked at a boot time. Its age is counted from that moment,
-// which was before the other node answered: so the proof is never taken for fresher than it is.
+// ReadProof reads the proof that another node wrote with SetProof. Its age is counted from the boot time of the request,
+// which is earlier than the answer, so the proof never seems fresher than it is.
 func ReadProof(h http.Header, requestedAt clock.Time) (Proof, bool) {
 	return proofAt(h.Get(provedField), requestedAt)
 }
@@ -55,8 +55,8 @@
 	return Proof{Version: version, AsOf: requestedAt.Add(-age), Next: next}, ok
 }
 
-// formatProof and parseProof carry the version in force at a node, how long ago it was the newest, and up to which offset the
-// node knows the operators' orders.
+// formatProof encodes the version in force at a node, how long ago it was the newest, and the offset after the last of the
+// operators' orders that the node knows; parseProof decodes them.
 func formatProof(version identifier.Version, age clock.Duration, next identifier.Offset) string {
 	text := strconv.FormatInt(int64(version), 10) + "," + strconv.FormatInt(int64(age), 10)
 	if next > 0 {
@@ -81,7 +81,7 @@
 	return identifier.Version(numbers[0]), clock.Duration(numbers[1]), identifier.Offset(numbers[2]), true
 }
 
-// applyProof takes over another node's proof.
+// applyProof applies another node's proof if it is for the version in force here and fresher by at least minProofGain.
 func (r *Relayer) applyProof(text string, requestedAt clock.Time) {
 	proof, ok := proofAt(text, requestedAt)
 	if !ok {
@@ -95,5 +95,6 @@
 	r.ApplyEvent(conductor.ConfigurationProved{Version: proof.Version, AsOf: proof.AsOf})
 }
 
-// minProofGain is by how much a proof must be fresher to be taken over; less would change nothing and cost a lock.
+// minProofGain is how much fresher a proof must be to be applied; a smaller gain would have no effect but still take the
+// lock.
 const minProofGain = 300 * clock.Millisecond
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -1,7 +1,7 @@
 package relayer
 
-// Requests run in goroutines of their own and meet in the conductor, one at a time. A request that the conductor
-// holds back waits on a channel, and whichever request's event frees a slot wakes it.
+// Each request runs in its own goroutine; the conductor processes their events one at a time. A request that the
+// conductor queues waits on a channel, and the goroutine whose event frees a slot resumes it.
 //
 // Example: goroutine 1 waits after Hold; goroutine 2 reports DeliveryEnded, which gives Run{ID: 1}.
 
@@ -20,28 +20,28 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// Options set a relayer up.
+// Options configure a relayer.
 type Options struct {
 	Conductor *conductor.Conductor
 	Clock     *clock.Clock
 	Boot      clock.Boot
 	Headers   Headers
-	// Service is the service beside this node, EndpointAddress where its endpoint listens.
+	// Service is the service of the local endpoint, EndpointAddress the address at which that endpoint listens.
 	Service         identifier.Service
 	EndpointAddress string
 	// Connections counts all of the node's connections.
 	Connections *requester.Connections
-	// Publish is called with this node's record when it has changed; it must not block.
+	// Publish is called with this node's member record after each change; it must not block.
 	Publish  func(exchanger.Member)
 	Recorder *recorder.Recorder
 }
 
-// Relayer performs the conductor's effects; it is safe for concurrent use.
+// Relayer carries out the effects that the conductor returns; it is safe for concurrent use.
 type Relayer struct {
 	options Options
 	mu      sync.Mutex
 	waiting map[conductor.CallID]chan conductor.Effect
-	// aborts end the attempts under way.
+	// aborts cancel the attempts in flight.
 	aborts    map[conductor.CallID]context.CancelCauseFunc
 	lastID    atomic.Uint64
 	peers     *requester.Client
@@ -49,13 +49,13 @@
 	stopping  atomic.Bool
 }
 
-// Stop has each further answer say that its connection ends. Closing unused connections from this side instead would
-// cut the request that is just being read from one: a caller sees a request that was taken and never answered.
+// Stop makes every further answer close its connection. Closing idle connections from this side instead could cut off a
+// request that is just arriving on one: its caller would see a request that was accepted and never answered.
 func (r *Relayer) Stop() {
 	r.stopping.Store(true)
 }
 
-// announceClose ends the connection after the answer, if the node is stopping or has too many of them.
+// announceClose makes the answer close its connection if the node is stopping or has too many connections.
 func (r *Relayer) announceClose(ctx context.Context, h http.Header) {
 	if (r.stopping.Load() || r.options.Connections.Crowded()) && pipeliner.MayClose(ctx) {
 		h["Connection"] = []string{"close"}
@@ -63,17 +63,17 @@
 }
 
 const (
-	// peerDialTimeout and endpointDial bound the opening of a connection: some round trips between failure domains, and a
-	// local one with a queue of new connections.
+	// peerDialTimeout and endpointDialTimeout bound the opening of a connection: the first allows some round trips between
+	// failure domains, the second a local endpoint with a backlog of new connections.
 	peerDialTimeout     = 250 * clock.Millisecond
 	endpointDialTimeout = 250 * clock.Millisecond
-	// peerIdleTimeout is shorter than the receiving side keeps an unused connection (see InboundIdle).
+	// peerIdleTimeout is shorter than the time for which the receiving side keeps an idle connection (InboundIdleTimeout).
 	peerIdleTimeout = 8 * clock.Second
-	// InboundIdleTimeout is how long a node keeps an unused connection of another node.
+	// InboundIdleTimeout is how long a node keeps an idle connection from another node.
 	InboundIdleTimeout = 12 * clock.Second
-	// endpointIdleTimeout holds where the endpoint does not say how long it keeps a connection.
+	// endpointIdleTimeout applies if the endpoint does not announce how long it keeps an idle connection.
 	endpointIdleTimeout = 3 * clock.Second
-	maxIdlePerAddress     = 400
+	maxIdlePerAddress   = 400
 )
 
 // New returns a relayer.
@@ -96,14 +96,14 @@
 	}
 }
 
-// OutboundIdleTimeout is how long a caller's unused connection is kept. Callers are told a shorter time, in whole seconds: one
-// that sends just as the connection closes would see its request cut.
+// OutboundIdleTimeout is how long an idle connection from a caller is kept. The time announced to callers is shorter, in
+// whole seconds: a request that is sent just as the connection closes would be cut off.
 const (
 	OutboundIdleTimeout = 9 * clock.Second
-	keepAliveValue = "timeout=6"
+	keepAliveValue      = "timeout=6"
 )
 
-// announceIdleTimeout tells a caller for how long its connection may be unused.
+// announceIdleTimeout announces to a caller for how long its connection may stay idle.
 func (r *Relayer) announceIdleTimeout(ctx context.Context, h http.Header) {
 	r.announceClose(ctx, h)
 	if _, closing := h["Connection"]; !closing {
@@ -115,12 +115,12 @@
 	return conductor.CallID(r.lastID.Add(1))
 }
 
-// ApplyEvent applies an event that is about no request of the teller's own.
+// ApplyEvent applies an event that does not concern a request of the calling goroutine.
 func (r *Relayer) ApplyEvent(e conductor.Event) {
 	_ = r.apply(0, e)
 }
 
-// View lets f look at the conductor while nothing happens to it.
+// View calls f with the conductor while no event is applied to it; f must not change it.
 func (r *Relayer) View(f func(c *conductor.Conductor, now clock.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +133,7 @@
 	r.endpoints.Expire()
 }
 
-// apply tells the conductor of an event and returns the effect on the request that the event is about, if any.
+// apply passes an event to the conductor and returns the effect on the call with the given id, if any.
 func (r *Relayer) apply(callID conductor.CallID, e conductor.Event) conductor.Effect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +157,7 @@
 	return result
 }
 
-// perform carries out an effect that no request waits for; it must not block.
+// perform carries out an effect that does not concern a call; it must not block.
 func (r *Relayer) perform(effect conductor.Effect) {
 	switch e := effect.(type) {
 	case conductor.Publish:
@@ -173,11 +173,11 @@
 	}
 }
 
-// held is a Hold together with the channel on which its end comes. The channel is made under the lock, since the
+// held is a Hold with the channel on which the effect that ends it arrives. The channel is made under the lock, since the
 // request may be let through before its goroutine begins to wait.
 type held struct {
 	conductor.Effect
-	id    conductor.CallID
+	id      conductor.CallID
 	resumed chan conductor.Effect
 }
 
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -27,7 +27,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// pair is an entry node whose own endpoint serves another service, and a node beside an endpoint of the called one.
+// pair returns an entry node whose local endpoint serves another service, a node beside an endpoint of the called service,
+// and that endpoint.
 func pair(t testing.TB, c matcher.Configuration, respond func(http.ResponseWriter, *http.Request)) (*node, *node, *endpoint) {
 	t.Helper()
 	e := newEndpoint(t, respond)
@@ -93,7 +94,7 @@
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
 }
 
-// Bodies of all lengths, with a length and in chunks, must reach the endpoint as they were sent.
+// Bodies of all sizes, with a content length or chunked, must reach the endpoint as they were sent.
 func TestBodiesAreForwardedWhole(t *testing.T) {
 	entry, _, e := pair(t, configurationOf(matcher.Upload, 2), respondWith("taken"))
 	tests := map[string]struct {
@@ -120,8 +121,8 @@
 	}
 }
 
-// The endpoint has announced that it leaves; the node beside it knows, the entry does not yet. The request must not
-// reach the endpoint, and the caller is told truly that it has not run.
+// The endpoint has announced that it is leaving; the node beside it knows this, the entry does not yet. The request must not
+// reach the endpoint, and the caller must be told that it has not run.
 func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	beside.announce("beside", true)
@@ -134,9 +135,9 @@
 	assert.Equal(t, e.count(), 0)
 }
 
-// All VMs have lost power. Their endpoints have started anew under other names, which the nodes beside them know and the entry
-// does not: it goes by the store's records from before. Told only that the endpoint has moved, callers would be refused
-// until the new record has come round, some hundreds of milliseconds.
+// After a power loss of all VMs the endpoints have restarted under other ids. The nodes beside them know the new ids, but the
+// entry still has the old records from the store. If a Moved answer did not carry the new record, callers would be refused
+// until that record is distributed, which takes some hundreds of milliseconds.
 func TestRenamedEndpointIsLearnedFromMovedAnswer(t *testing.T) {
 	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	beside.ApplyEvent(conductor.EndpointRemoved{Endpoint: "i-beside"})
@@ -148,7 +149,7 @@
 	assert.Equal(t, e.count(), 1)
 }
 
-// The endpoint says that it did not run the request: another one may run it, even if it must not run twice.
+// An endpoint declines a request without running it: even a non-idempotent request may then run at another endpoint.
 func TestDeclinedRequestIsSentToAnotherEndpoint(t *testing.T) {
 	full := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(names.NotRun, "1")
@@ -167,13 +168,13 @@
 			assert.Equal(t, got.text, "free")
 			continue
 		}
-		// Out of repeats; the refusal is still true.
+		// The retry budget is used up; the refusal still states correctly that the request has not run.
 		assert.Equal(t, got.StatusCode, 503)
 	}
 	assert.Assert(t, free.count() >= 1)
 }
 
-// closeWithoutAnswer takes a request and closes the connection without an answer.
+// closeWithoutAnswer reads a request and closes its connection without an answer.
 func closeWithoutAnswer(w http.ResponseWriter, _ *http.Request) {
 	n, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
@@ -181,8 +182,8 @@
 	}
 }
 
-// The endpoint ran an order and its answer was lost. Sent again, the order would be placed twice; called "not run",
-// the caller would do it.
+// The endpoint ran a non-idempotent request and its answer was lost. A retry would run it twice, and so would the caller if
+// it were told that the request has not run.
 func TestLostAnswerOfNonIdempotentRequest(t *testing.T) {
 	entry, _, e := pair(t, configurationOf(matcher.NonIdempotent, 2), closeWithoutAnswer)
 	got := sendRequest(t, entry, nil)
@@ -190,7 +191,7 @@
 	assert.Equal(t, e.count(), 1)
 }
 
-// The answer to a lookup is lost at one endpoint; another one can give it.
+// The answer to an idempotent request is lost at one endpoint; another endpoint can still answer it.
 func TestLostAnswerOfIdempotentRequestIsRetried(t *testing.T) {
 	lossy := newEndpoint(t, closeWithoutAnswer)
 	sound := newEndpoint(t, respondWith("sound"))
@@ -205,7 +206,7 @@
 	assert.Equal(t, got.text, "sound")
 }
 
-// The endpoint breaks off within its answer. The caller must not take the part for the whole.
+// The endpoint closes the connection within its answer. The truncated answer must not look complete to the caller.
 func TestTruncatedAnswerIsNotForwarded(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -215,8 +216,9 @@
 	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, 502)
 }
 
-// The endpoint sends an answer without a length and is reset within it. A lookup can be asked for again as long as none of
-// the answer was passed on; its caller would else see a connection that ends, and with it lose what it sent behind.
+// The endpoint sends an answer without a length, and the connection is reset within it. An idempotent request can be retried
+// as long as nothing of the answer was forwarded; otherwise the caller's connection would close, and the requests that it
+// had pipelined behind this one would be lost.
 func TestTruncatedAnswerWithoutLengthIsRetried(t *testing.T) {
 	lossy := newEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _, err := http.NewResponseController(w).Hijack()
@@ -240,8 +242,8 @@
 	assert.Equal(t, lossy.count(), 1)
 }
 
-// A caller asks for an answer's head only. The head says how long the body would be, and no body comes; taken for an answer
-// that broke off, each such request would fail.
+// The answer to a HEAD request states the length of a body that does not follow. If it counted as truncated, every HEAD
+// request would fail.
 func TestHeadRequest(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -251,7 +253,7 @@
 	assert.Equal(t, got.Header.Get("Content-Length"), "100")
 }
 
-// An answer may have no length and end with its connection, and one may be much longer than what is held at once.
+// An answer may have no length and end with its connection, or be much larger than the buffer.
 func TestStreamedAnswers(t *testing.T) {
 	long := strings.Repeat("0123456789", 50000)
 	tests := map[string]func(http.ResponseWriter, *http.Request){
@@ -275,8 +277,8 @@
 	}
 }
 
-// The route's timeout is shorter than the caller's patience, and the endpoint is slower than both: the caller gets a
-// final answer when the time is up.
+// The route's timeout is shorter than the caller's timeout, and the endpoint is slower than both: the caller must get an
+// answer when the route's timeout has passed.
 func TestRouteTimeout(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 2)
 	c.Routes[0].Timeout = 200
@@ -297,7 +299,7 @@
 	assert.Assert(t, left <= 200*time.Millisecond && left > 100*time.Millisecond, "left %v", left)
 }
 
-// The caller leaves. Two nodes further the endpoint must learn of it soon, or it works for nobody.
+// The caller disconnects. The endpoint, two nodes away, must be cancelled soon, or it goes on with work of no use.
 func TestCallerDisconnects(t *testing.T) {
 	started := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
@@ -321,12 +323,12 @@
 	select {
 	case <-gone:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the endpoint still works")
+		t.Fatal("endpoint still runs the request 500 ms after its caller disconnected")
 	}
 }
 
-// All slots are taken. What waits gets the next slot; what can't wait that long is turned away before it reaches the
-// endpoint.
+// All slots are in use. A queued request gets the next free slot; a request whose queue timeout passes first is turned away
+// before it reaches the endpoint.
 func TestFullEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
@@ -345,7 +347,7 @@
 	for i := 0; i < 200 && e.count() < 3; i++ {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Slots 4 with a part kept free are 3: the fourth waits for a quarter of its objective, and no longer.
+	// Of 4 slots one is kept free, so 3 requests run; the fourth is queued for at most a quarter of its objective.
 	assert.Equal(t, <-answers, 503)
 	assert.Equal(t, e.count(), 3)
 	open()
@@ -354,8 +356,8 @@
 	}
 }
 
-// A node of the called service is cut off without a word: connections to it hang or are refused. The request goes to
-// the other one.
+// A node of the called service has become unreachable without leaving: connections to it hang or are refused. Requests must
+// go to the other node.
 func TestUnreachableNodeIsSkipped(t *testing.T) {
 	entry, beside, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -369,8 +371,8 @@
 	}
 }
 
-// A node is stopping while callers go on using their connections. Each must get its answer, and learn from it that
-// the connection ends; a connection closed from this side could cut a request that is just being read.
+// A node stops while callers still use their connections. Each request must be answered, and the answer must announce that
+// the connection closes: closing the connection directly could cut off a request that is just arriving.
 func TestStoppingNodeClosesConnectionsAfterAnswers(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
 	assert.Assert(t, !sendRequest(t, entry, nil).Close)
@@ -383,9 +385,9 @@
 	assert.Assert(t, got.Close)
 }
 
-// More connections are open than a node should keep, as when refused callers come back on new ones again and again. Each
-// answer ends its connection then; before, they were all kept until no new one could be accepted, and callers waited
-// for seconds on connections that nobody read.
+// More connections are open than a node should keep, as when refused callers retry on ever new ones. Each answer must then
+// close its connection. If all were kept, no new one could be accepted in the end, and callers would wait for seconds on
+// connections that are not read.
 func TestNodeOverConnectionLimitClosesConnections(t *testing.T) {
 	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
 	got := sendRequest(t, entry, nil)
@@ -402,8 +404,8 @@
 	assert.Equal(t, entry.options.Connections.Open(), int64(1000))
 }
 
-// A token is asked for at the node with a team's bucket, and the request goes on when it is there; where that node is
-// gone, this node's own part lets the first request through.
+// A token is requested from the node that holds the team's bucket, and the request is forwarded once it is granted. If
+// that node is unreachable, this node admits by its own share of the rate.
 func TestTokenIsDrawnFromAnotherNode(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 1)
 	team := &c.Teams[0]
@@ -438,8 +440,8 @@
 	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, http.StatusTooManyRequests)
 }
 
-// A caller that is refused for now comes back on a new connection. One that is told that there is nothing for it goes on
-// using the one that it has.
+// A caller that gets a retryable refusal retries on a new connection, so the old one is closed. A caller that gets a final
+// refusal goes on using its connection.
 func TestRetryableRefusalClosesConnection(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 1)
 	c.Teams[0].Rate, c.Teams[0].Burst = 0.1, 0.1
@@ -454,13 +456,13 @@
 	assert.Assert(t, !sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" }).Close)
 }
 
-// endlessBody gives bytes without end, as a body in chunks whose length nobody has said.
+// endlessBody is a reader without end, for a chunked body of unknown length.
 type endlessBody struct{}
 
 func (endlessBody) Read(p []byte) (int, error) { return len(p), nil }
 
-// A body comes in chunks and goes over the limit, so that it is noticed only on the way. The caller must be told so at once:
-// before, the endpoint waited for the rest until the time was up, and the caller was told that the time was up.
+// A chunked body exceeds the limit, which shows only while it is forwarded. The caller must be refused at once: otherwise the
+// endpoint would wait for the rest until the deadline, and the caller would get a timeout instead of the cause.
 func TestChunkedBodyOverTheLimitIsRefusedAtOnce(t *testing.T) {
 	c := configurationOf(matcher.Upload, 1)
 	c.Limits.BodyBytes = 100_000
@@ -474,8 +476,8 @@
 	assert.Assert(t, time.Since(begun) < 500*time.Millisecond)
 }
 
-// The node that a lookup waits for can't be reached any more. Its caller is told at once instead of when the time is up,
-// and can ask again; an order goes on waiting, since it may be running.
+// The node to which a request was sent becomes unreachable. An idempotent request is answered at once instead of at its
+// deadline, so that its caller can retry; a non-idempotent one goes on waiting, since it may be running.
 func TestAttemptAtUnreachableNodeIsAborted(t *testing.T) {
 	for name, test := range map[string]struct {
 		kind matcher.Kind
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -1,6 +1,6 @@
 package relayer
 
-// A token of a pooled team is one small question to the node with the team's bucket.
+// A token of a pooled team is requested from the node that holds the team's bucket, in one small request.
 //
 // Example: POST /tokens with Jackdaw-Team: parish is answered with 200 and Jackdaw-Token: 1, or 0 and Jackdaw-Wait: 80.
 
@@ -16,14 +16,14 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// TokensPath is where a node answers questions for tokens.
+// TokensPath is the path at which a node answers requests for tokens.
 const TokensPath = "/tokens"
 
-// tokenTimeout is how long a node waits for a token: thirty round trips between failure domains, or a tenth of a second in
-// which a VM's share of its processor is used up. It is as much as the shortest objectives leave.
+// tokenTimeout is how long a node waits for a token: thirty round trips between failure domains, or the tenth of a second for
+// which a VM that has used up its processor share is paused. The shortest latency objectives allow no more.
 const tokenTimeout = 100 * clock.Millisecond
 
-// draw asks another node for a token, and returns what is to be done then.
+// draw requests a token from another node, and returns the conductor's next effect on the request.
 func (r *Relayer) draw(ctx context.Context, d conductor.Draw) conductor.Effect {
 	started := r.options.Clock.Now()
 	grant, err := r.requestToken(ctx, d)
@@ -64,7 +64,7 @@
 	}
 	response, err := r.peers.Do(limited, d.Address, tokenRequest)
 	if err != nil {
-		// Other connections to a node that failed one may be as dead.
+		// Other connections to a node at which one has failed may be dead as well.
 		r.peers.Forget(d.Address)
 		return pooler.Grant{}, err
 	}
@@ -76,10 +76,10 @@
 	return pooler.Grant{Allowed: response.Header.Get(tokenField) == "1", Wait: wait}, nil
 }
 
-// ServeTokens answers another node's question for a token.
+// ServeTokens answers another node's request for a token.
 func (r *Relayer) ServeTokens(w http.ResponseWriter, request *http.Request) {
 	id := r.newID()
-	// A question without the field gives nothing back.
+	// A request without the field returns no tokens.
 	back, _ := strconv.Atoi(request.Header.Get(returnedTokensField))
 	effect := r.apply(id, conductor.TokenRequested{
 		ID:   id,
--- a/internal/relayer/types.go
+++ b/internal/relayer/types.go
@@ -1,9 +1,9 @@
 package relayer
 
-// The names of header fields belong to whoever the node speaks with, and are passed in. The fields between nodes are
-// the product's own; none of them passes in or out of the fleet.
+// The names of the header fields that callers and endpoints use are defined by the platform and are passed in. The
+// fields between nodes are defined here; they are removed from every request and answer that enters or leaves the fleet.
 //
-// Example: an inbound request with Jackdaw-Left: 800 has 800 ms left when it is sent.
+// Example: setMilliseconds(h, "Jackdaw-Wait", 80) writes Jackdaw-Wait: 80, which milliseconds reads as 80 ms.
 
 import (
 	"net/http"
@@ -17,41 +17,41 @@
 type Headers struct {
 	RequestID string
 	TimeLeft  string
-	// Key is the field with the caller's key, which KeyScheme precedes.
+	// Key is the field with the caller's key, which follows the prefix KeyScheme.
 	Key       string
 	KeyScheme string
 	Team      string
-	// Origin is the field with the service beside the node that took the request in.
+	// Origin is the field with the service of the node that received the request from its caller.
 	Origin string
-	// Target is the field with the id of the endpoint that is to run the request.
+	// Target is the field with the id of the only endpoint that may run the request.
 	Target    string
 	NotRun    string
 	Signature string
-	// Parent returns the id of the request whose run makes the one with an id, empty where it does not tell.
+	// Parent returns the id of the request that made the nested request with the given id, empty if the id does not show it.
 	Parent func(id string) string
-	// Instance and ColdLeft are the fields of a health answer with the endpoint's id and the milliseconds for which it is
-	// still cold.
+	// Instance and ColdLeft are the fields of a health answer with the endpoint's id and the remaining milliseconds for
+	// which it is cold.
 	Instance string
 	ColdLeft string
-	// Load is the field with an endpoint's own word of its load, which only the node beside it could use.
+	// Load is the field with the load that an endpoint reports; it is of use only to the node beside it.
 	Load string
 }
 
-// The fields between nodes.
+// Header fields between nodes.
 const (
-	fleetPrefix    = "Jackdaw-"
-	callField    = fleetPrefix + "Call"
-	stateField   = fleetPrefix + "State"
-	outcomeField = fleetPrefix + "Outcome"
-	memberField  = fleetPrefix + "Member"
-	waitField    = fleetPrefix + "Wait"
-	provedField  = fleetPrefix + "Proved"
-	teamField    = fleetPrefix + "Team"
-	returnedTokensField    = fleetPrefix + "Back"
-	tokenField   = fleetPrefix + "Token"
+	fleetPrefix         = "Jackdaw-"
+	callField           = fleetPrefix + "Call"
+	stateField          = fleetPrefix + "State"
+	outcomeField        = fleetPrefix + "Outcome"
+	memberField         = fleetPrefix + "Member"
+	waitField           = fleetPrefix + "Wait"
+	provedField         = fleetPrefix + "Proved"
+	teamField           = fleetPrefix + "Team"
+	returnedTokensField = fleetPrefix + "Back"
+	tokenField          = fleetPrefix + "Token"
 )
 
-// hopByHopFields concern one connection only.
+// hopByHopFields apply to a single connection and are not forwarded.
 var hopByHopFields = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -66,7 +66,7 @@
 	"Expect":              true,
 }
 
-// endToEndFields copies the fields that are not of one connection, and none of the fleet's own.
+// endToEndFields copies all fields but those of a single connection and those between nodes.
 func endToEndFields(from http.Header) http.Header {
 	connectionFields := map[string]bool{}
 	for _, list := range from["Connection"] {
@@ -84,7 +84,7 @@
 	return to
 }
 
-// pathOf returns a request target without its query, as routes are matched by it.
+// pathOf returns a request target without its query; routes are matched against the path only.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
