--- a/cmd/jackdawtide/sidecar.go
+++ b/cmd/jackdawtide/sidecar.go
@@ -23,10 +23,10 @@
 	return mesher.Run(ctx, mesher.Options{
 		Settings: o.Settings,
 		Out:      p.Out,
-		Follow: func(ctx context.Context, took func(loader.Sidecar), failed func(error)) {
+		WatchSettings: func(ctx context.Context, took func(loader.Sidecar), failed func(error)) {
 			loader.Follow(ctx, o.File, reload, took, failed)
 		},
-		Outside: mesher.Outside{
+		Platform: mesher.Platform{
 			Headers:          platform.Headers(),
 			Operators:        store.Topic(platform.OperatorsTopic),
 			Members:          store.Topic(platform.MembersTopic),
--- a/internal/mesher/counted.go
+++ b/internal/mesher/counted.go
@@ -13,21 +13,21 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// countedTopic counts the calls of a topic.
-type countedTopic struct {
+// countingTopic counts the calls of a topic.
+type countingTopic struct {
 	watcher.Topic
 	name     string
 	recorder *recorder.Recorder
 }
 
 // Newest counts as "newest".
-func (t countedTopic) Newest(ctx context.Context) (watcher.Batch, error) {
+func (t countingTopic) Newest(ctx context.Context) (watcher.Batch, error) {
 	t.recorder.StoreCalled(t.name, "newest")
 	return t.Topic.Newest(ctx)
 }
 
 // Read counts as "wait", and as "read" if it does not wait.
-func (t countedTopic) Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
+func (t countingTopic) Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
 	call := "wait"
 	if wait == 0 {
 		call = "read"
@@ -37,7 +37,7 @@
 }
 
 // Write counts as "write".
-func (t countedTopic) Write(ctx context.Context, key string, value []byte) error {
+func (t countingTopic) Write(ctx context.Context, key string, value []byte) error {
 	t.recorder.StoreCalled(t.name, "write")
 	return t.Topic.Write(ctx, key, value)
 }
--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -26,11 +26,11 @@
 const (
 	// headerTimeout bounds the reading of a request's head; callers of any bound seen send theirs within 3 s.
 	headerTimeout = 10 * time.Second
-	// otherIdle is how long an unused connection of the platform, the endpoint's heartbeats or a peer is kept: longer than
+	// otherIdleTimeout is how long an unused connection of the platform, the endpoint's heartbeats or a peer is kept: longer than
 	// their calls are apart.
-	otherIdle = 30 * time.Second
-	// largestHeader bounds a request's head, over the 16 KiB that callers may send.
-	largestHeader = 64 << 10
+	otherIdleTimeout = 30 * time.Second
+	// maxHeaderBytes bounds a request's head, over the 16 KiB that callers may send.
+	maxHeaderBytes = 64 << 10
 )
 
 func (n *node) start(context.Context) error {
@@ -42,12 +42,12 @@
 		handler http.Handler
 		idle    time.Duration
 	}{
-		{s.Outbound.String(), n.callers, relayer.OutboundIdleTimeout.Std()},
+		{s.Outbound.String(), n.outbound, relayer.OutboundIdleTimeout.Std()},
 		{s.Inbound.String(), http.HandlerFunc(n.relayer.ServeInbound), relayer.InboundIdleTimeout.Std()},
-		{s.Readiness.String(), http.HandlerFunc(n.serveReadiness), otherIdle},
-		{s.Announcements.String(), n.announcements(), otherIdle},
-		{s.Peer.String(), n.peerRouter(), otherIdle},
-		{s.Metrics.String(), n.metricsRouter(), otherIdle},
+		{s.Readiness.String(), http.HandlerFunc(n.serveReadiness), otherIdleTimeout},
+		{s.Announcements.String(), n.announcements(), otherIdleTimeout},
+		{s.Peer.String(), n.peerRouter(), otherIdleTimeout},
+		{s.Metrics.String(), n.metricsRouter(), otherIdleTimeout},
 	}
 	for _, l := range listeners {
 		if err := n.listen(ctx, l.address, l.handler, l.idle); err != nil {
@@ -77,7 +77,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idle,
-		MaxHeaderBytes:    largestHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(listenerLog{address: address, recorder: n.recorder}, "", 0),
 		ConnState:         n.countConnection,
 	}
@@ -133,9 +133,9 @@
 			return
 		case <-ticker.C:
 		}
-		n.noteSuspension(&suspension)
+		n.reportSuspension(&suspension)
 		n.relayer.ApplyEvent(conductor.Ticked{})
-		if count%ticksPerFreshness == 0 {
+		if count%ticksPerReadCheck == 0 {
 			n.configurations.Interrupt(n.readWait())
 			n.retryAtCollector()
 		}
@@ -143,16 +143,16 @@
 			n.relayer.Expire()
 			n.logLoad()
 		}
-		if count%ticksPerTotals == 0 {
+		if count%ticksPerTotalsLog == 0 {
 			n.recorder.Crossings()
 			n.recorder.StoreCalls()
 		}
 	}
 }
 
-// noteSuspension tells that the VM was suspended. A woken node would take the reports that it holds for new: it would ask
+// reportSuspension tells that the VM was suspended. A woken node would take the reports that it holds for new: it would ask
 // for more at a node that stood still as well, and hear nothing of the rest of the fleet.
-func (n *node) noteSuspension(s *clock.Suspension) {
+func (n *node) reportSuspension(s *clock.Suspension) {
 	var now clock.Time
 	n.relayer.View(func(_ *conductor.Conductor, at clock.Time) { now = at })
 	gap := s.Since(now, clock.Boot{}.Now())
@@ -164,16 +164,16 @@
 	n.exchangeSoon()
 }
 
-// ticksPerFreshness is how many ticks pass between two looks whether the open read of the configuration has become too
+// ticksPerReadCheck is how many ticks pass between two looks whether the open read of the configuration has become too
 // long for what is known by now.
-const ticksPerFreshness = 4
+const ticksPerReadCheck = 4
 
 // ticksPerSecond is how many ticks pass between two looks for connections that have been idle too long, and between
 // two lines of the local endpoint's load.
 const ticksPerSecond = int(clock.Second / conductor.TickPeriod)
 
-// ticksPerTotals is how many ticks pass between two lines of what has crossed failure domains, and of the store's calls.
-const ticksPerTotals = 4 * ticksPerSecond
+// ticksPerTotalsLog is how many ticks pass between two lines of what has crossed failure domains, and of the store's calls.
+const ticksPerTotalsLog = 4 * ticksPerSecond
 
 // logLoad writes how the local endpoint fares, so that a refusal can be understood from the second in which it fell.
 func (n *node) logLoad() {
@@ -185,15 +185,15 @@
 }
 
 const (
-	// leastStop is how long a stopping node serves at least: the platform asks for its readiness once a second and
+	// minStopTime is how long a stopping node serves at least: the platform asks for its readiness once a second and
 	// takes it out after two misses, and callers' last requests come a moment later.
-	leastStop = 3 * clock.Second
-	// quietStop is how long no request may have been under way for the node to end.
-	quietStop = 300 * clock.Millisecond
+	minStopTime = 3 * clock.Second
+	// idleBeforeStop is how long no request may have been under way for the node to end.
+	idleBeforeStop = 300 * clock.Millisecond
 	// stopReserve is kept back from the grace time for closing: with a part of a core, the last steps of a stop
 	// and a pause of the processor's share of a tenth of a second have to fit.
 	stopReserve = 1200 * clock.Millisecond
-	stopPoll    = 50 * clock.Millisecond
+	stopPollPeriod    = 50 * clock.Millisecond
 )
 
 func (n *node) stop(context.Context) error {
@@ -201,18 +201,18 @@
 	n.relayer.ApplyEvent(conductor.StopRequested{})
 	begun := n.clock.Now()
 	n.relayer.Stop()
-	last := begun
+	lastBusy := begun
 	end := begun.Add(n.options.Settings.Bounds.Grace - stopReserve)
 	for now := begun; now < end; now = n.clock.Now() {
 		idle := false
 		n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { idle = c.Idle() })
 		if !idle {
-			last = now
+			lastBusy = now
 		}
-		if now.Sub(begun) >= leastStop && now.Sub(last) >= quietStop {
+		if now.Sub(begun) >= minStopTime && now.Sub(lastBusy) >= idleBeforeStop {
 			break
 		}
-		time.Sleep(stopPoll.Std())
+		time.Sleep(stopPollPeriod.Std())
 	}
 	n.recorder.Event("node stopped", "afterMs", int64(n.clock.Now().Sub(begun)))
 	n.cancel()
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -32,8 +32,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// Outside is what the node needs of the platform that it runs on.
-type Outside struct {
+// Platform is what the node needs of the platform that it runs on.
+type Platform struct {
 	Headers relayer.Headers
 	// Operators is the topic with the configuration under ConfigurationKey, Members the one of the nodes' records.
 	Operators        watcher.Topic
@@ -53,12 +53,12 @@
 // Options set a node up.
 type Options struct {
 	Settings loader.Sidecar
-	Outside  Outside
+	Platform  Platform
 	// Out takes the log.
 	Out io.Writer
-	// Follow calls took with settings that have changed while the node runs, and failed with faulty ones, until the
+	// WatchSettings calls took with settings that have changed while the node runs, and failed with faulty ones, until the
 	// context ends; nil follows nothing.
-	Follow func(ctx context.Context, took func(loader.Sidecar), failed func(error))
+	WatchSettings func(ctx context.Context, apply func(loader.Sidecar), reject func(error))
 }
 
 // node is a running node.
@@ -67,33 +67,33 @@
 	clock    *clock.Clock
 	recorder *recorder.Recorder
 	relayer  *relayer.Relayer
-	// callers serves those who send requests, some of them ahead of the answers.
-	callers *pipeliner.Pipeliner
+	// outbound serves those who send requests, some of them ahead of the answers.
+	outbound *pipeliner.Pipeliner
 	records chan exchanger.Member
-	// written is the sequence of the record that was written last.
-	written atomic.Int64
-	client  *http.Client
-	// waiting is the client for reads that stay open at another node, orders what others wait for here.
-	waiting *http.Client
+	// writtenSequence is the sequence of the record that was written last.
+	writtenSequence atomic.Int64
+	exchangeClient  *http.Client
+	// longPollClient is the client for reads that stay open at another node, orders what others wait for here.
+	longPollClient *http.Client
 	orders  orders
 	servers []*http.Server
 	cancel  context.CancelFunc
-	asked   chan struct{}
+	exchangeRequested   chan struct{}
 	// connections counts all that the node has open.
 	connections *requester.Connections
 	// configurations follows the operators' topic.
 	configurations *watcher.Watcher
 }
 
-// memoryPart of the VM's limit is what the runtime aims at; the rest is for sockets' buffers and its own needs.
-const memoryPart = 0.5
+// memoryLimitRatio of the VM's limit is what the runtime aims at; the rest is for sockets' buffers and its own needs.
+const memoryLimitRatio = 0.5
 
 // startTimeout bounds the start, which only opens listeners.
 const startTimeout = 10 * time.Second
 
 // Run runs a node until the context ends, and then stops it as planned.
 func Run(ctx context.Context, o Options) error {
-	debug.SetMemoryLimit(int64(memoryPart * float64(o.Settings.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(o.Settings.MemoryMB<<20)))
 	var n *node
 	app := fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -156,39 +156,39 @@
 	}
 }
 
-// waitingRecords is how many changes of this node's record may wait to be written; only the newest counts.
-const waitingRecords = 16
+// maxQueuedRecords is how many changes of this node's record may wait to be written; only the newest counts.
+const maxQueuedRecords = 16
 
-// mostAhead is how many requests of one caller are begun before those ahead of them are answered.
-const mostAhead = 4
+// maxPipelined is how many requests of one caller are begun before those ahead of them are answered.
+const maxPipelined = 4
 
 func newNode(o Options, c *clock.Clock, k *conductor.Conductor, log *recorder.Recorder) *node {
-	o.Outside.Operators = countedTopic{Topic: o.Outside.Operators, name: "operators", recorder: log}
-	o.Outside.Members = countedTopic{Topic: o.Outside.Members, name: "members", recorder: log}
+	o.Platform.Operators = countingTopic{Topic: o.Platform.Operators, name: "operators", recorder: log}
+	o.Platform.Members = countingTopic{Topic: o.Platform.Members, name: "members", recorder: log}
 	n := &node{
 		options:  o,
 		clock:    c,
 		recorder: log,
-		records:  make(chan exchanger.Member, waitingRecords),
-		client:   newPeerClient(),
-		waiting:  newPeerClient(),
-		asked:    make(chan struct{}, 1),
+		records:  make(chan exchanger.Member, maxQueuedRecords),
+		exchangeClient:   newPeerClient(),
+		longPollClient:  newPeerClient(),
+		exchangeRequested:    make(chan struct{}, 1),
 
 		connections: requester.NewConnections(o.Settings.Descriptors),
 	}
 	n.relayer = relayer.New(relayer.Options{
 		Conductor:       k,
 		Clock:           c,
-		Headers:         o.Outside.Headers,
+		Headers:         o.Platform.Headers,
 		Service:         o.Settings.Service,
 		EndpointAddress: o.Settings.Endpoint.String(),
 		Connections:     n.connections,
 		Publish:         n.publish,
 		Recorder:        log,
 	})
-	n.callers = pipeliner.New(pipeliner.Options{
+	n.outbound = pipeliner.New(pipeliner.Options{
 		Handler: http.HandlerFunc(n.relayer.ServeOutbound),
-		Most:    mostAhead,
+		Most:    maxPipelined,
 		Ahead:   n.relayer.MayPipeline,
 	})
 	n.configurations = n.newConfigurationWatcher()
--- a/internal/mesher/mesher_test.go
+++ b/internal/mesher/mesher_test.go
@@ -31,19 +31,19 @@
 type memoryTopic struct {
 	mu      sync.Mutex
 	records []watcher.Record
-	away    bool
+	unavailable    bool
 }
 
-func (m *memoryTopic) set(away bool) {
+func (m *memoryTopic) setUnavailable(unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unavailable = unavailable
 }
 
 func (m *memoryTopic) Newest(context.Context) (watcher.Batch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return watcher.Batch{}, watcher.RefusedError{Status: 503}
 	}
 	return watcher.Batch{Records: append([]watcher.Record(nil), m.records...), End: identifier.Offset(len(m.records))}, nil
@@ -52,13 +52,13 @@
 func (m *memoryTopic) Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
 	for end := time.Now().Add(wait.Std()); ; time.Sleep(2 * time.Millisecond) {
 		m.mu.Lock()
-		away, length := m.away, identifier.Offset(len(m.records))
+		unavailable, length := m.unavailable, identifier.Offset(len(m.records))
 		var got []watcher.Record
 		if from < length {
 			got = append(got, m.records[from:]...)
 		}
 		m.mu.Unlock()
-		if away {
+		if unavailable {
 			return watcher.Batch{}, watcher.RefusedError{Status: 503}
 		}
 		if len(got) > 0 || time.Now().After(end) || ctx.Err() != nil {
@@ -70,7 +70,7 @@
 func (m *memoryTopic) Write(_ context.Context, key string, value []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return watcher.RefusedError{Status: 503}
 	}
 	m.records = append(m.records, watcher.Record{Key: key, Value: value, Offset: identifier.Offset(len(m.records))})
@@ -85,8 +85,8 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// world is a store and some nodes with their endpoints.
-type world struct {
+// fleet is a store and some nodes with their endpoints.
+type fleet struct {
 	operators, members memoryTopic
 	// work is called for each request that reaches an endpoint, if it is set.
 	work func(r *http.Request)
@@ -100,12 +100,12 @@
 	sequence int64
 }
 
-func (w *world) start(t *testing.T, name string, service identifier.Service) *runningNode {
+func (f *fleet) start(t *testing.T, name string, service identifier.Service) *runningNode {
 	t.Helper()
-	return w.startIn(t, name, service, "west")
+	return f.startIn(t, name, service, "west")
 }
 
-func (w *world) startIn(
+func (f *fleet) startIn(
 	t *testing.T,
 	name string,
 	service identifier.Service,
@@ -113,8 +113,8 @@
 ) *runningNode {
 	t.Helper()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		if w.work != nil {
-			w.work(r)
+		if f.work != nil {
+			f.work(r)
 		}
 		rw.Header().Set("X-Id", r.Header.Get("X-Id"))
 		_, _ = io.WriteString(rw, name)
@@ -134,12 +134,12 @@
 		},
 	}}
 	accepted := make(chan func(registrar.Announcement), 1)
-	outside := Outside{
+	outside := Platform{
 		Headers: relayer.Headers{
 			RequestID: "X-Id", TimeLeft: "X-Left", Key: "X-Key", Team: "X-Team", Origin: "X-Origin",
 			Target: "X-Target", NotRun: "X-Not-Run", Signature: "X-Signature",
 		},
-		Operators: &w.operators, Members: &w.members, ConfigurationKey: "rules",
+		Operators: &f.operators, Members: &f.members, ConfigurationKey: "rules",
 		Decode: func(data []byte) (matcher.Configuration, error) {
 			var version identifier.Version
 			if _, err := fmt.Sscanf(string(data), "version %d", &version); err != nil {
@@ -166,9 +166,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
-	go func() { n.done <- Run(ctx, Options{Settings: n.settings, Outside: outside, Out: io.Discard}) }()
+	go func() { n.done <- Run(ctx, Options{Settings: n.settings, Platform: outside, Out: io.Discard}) }()
 	n.accept = <-accepted
-	n.beat(false)
+	n.announce(false)
 	t.Cleanup(func() {
 		cancel()
 		<-n.done
@@ -176,7 +176,7 @@
 	return n
 }
 
-func (n *runningNode) beat(leaving bool) {
+func (n *runningNode) announce(leaving bool) {
 	n.sequence++
 	n.accept(registrar.Announcement{
 		Endpoint: identifier.Endpoint("i-" + n.settings.Name), Service: n.settings.Service,
@@ -226,12 +226,12 @@
 }
 
 func TestNodesFindEachOther(t *testing.T) {
-	w := &world{}
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+	f := &fleet{}
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	status, text := firstAnswer(t, func() (int, string) { return entry.get(entry.settings.Listen.Readiness, "/ready") })
 	assert.Equal(t, status, 503, text)
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
 	eventually(t, "ready", func() bool {
 		status, _ := entry.get(entry.settings.Listen.Readiness, "/ready")
 		return status == 200
@@ -247,31 +247,31 @@
 
 // The store goes away and comes back. Without it no node can know whether a key was withdrawn, so keyed requests are
 // refused when the last proof has run out, and served again as soon as there is a new one.
-func TestStoreGoesAwayAndComesBack(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+func TestStoreOutage(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	served := func() bool { status, _ := entry.request(); return status == 200 }
 	eventually(t, "served", served)
-	w.operators.set(true)
+	f.operators.setUnavailable(true)
 	eventually(t, "refused", func() bool {
 		status, text := entry.request()
 		return status == 503 && strings.HasPrefix(text, "staleKeys")
 	})
-	w.operators.set(false)
+	f.operators.setUnavailable(false)
 	eventually(t, "served again", served)
 }
 
 // A faulty configuration is published. The one in force stays, and the next good one is taken.
-func TestFaultyConfigurationIsPassedOver(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("nonsense")))
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 2")))
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("nonsense")))
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 2")))
 	eventually(t, "version 2", func() bool {
 		_, text := entry.get(entry.settings.Listen.Peer, "/state")
 		return strings.Contains(text, `"version":2`)
@@ -279,12 +279,12 @@
 }
 
 // A node stops as planned while requests keep coming to the other one: none of them is lost.
-func TestPlannedStopLosesNothing(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	entry := w.start(t, "entry", "desk")
-	leaver := w.start(t, "leaver", "portal")
-	w.start(t, "stayer", "portal")
+func TestPlannedStopLosesNoRequests(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	entry := f.start(t, "entry", "desk")
+	leaver := f.start(t, "leaver", "portal")
+	f.start(t, "stayer", "portal")
 	eventually(t, "both are used", func() bool { _, text := entry.request(); return text == "leaver" })
 	eventually(t, "both are used", func() bool { _, text := entry.request(); return text == "stayer" })
 	leaver.stop()
@@ -300,26 +300,26 @@
 // Everything is killed at once while the store is away, and the store comes back later. The nodes must then serve
 // without anybody's help.
 func TestStartWithoutTheStore(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	w.operators.set(true)
-	w.members.set(true)
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	f.operators.setUnavailable(true)
+	f.members.setUnavailable(true)
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	status, text := firstAnswer(t, entry.request)
 	assert.Equal(t, status, 503, text)
-	w.operators.set(false)
-	w.members.set(false)
+	f.operators.setUnavailable(false)
+	f.members.setUnavailable(false)
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 }
 
 // Callers that are refused come back on new connections and keep the old ones open. A node that kept them all would
 // run out of descriptors: it could accept nothing more, and requests would lie unread for seconds.
-func TestManyCallersDoNotUseUpTheDescriptors(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+func TestManyCallersDoNotExhaustDescriptors(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 	kept := 0
 	for range 200 {
@@ -341,9 +341,9 @@
 
 // A caller sends three lookups at once on one connection and leaves while they are under way, two nodes from the endpoint. The
 // endpoint must not work on for nobody.
-func TestCallerThatSentAheadLeaves(t *testing.T) {
+func TestPipeliningCallerDisconnects(t *testing.T) {
 	var running, begun atomic.Int64
-	w := &world{work: func(r *http.Request) {
+	f := &fleet{work: func(r *http.Request) {
 		if r.URL.Path != "/slow" {
 			return
 		}
@@ -355,9 +355,9 @@
 		case <-time.After(900 * time.Millisecond):
 		}
 	}}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	entry := w.start(t, "entry", "desk")
-	w.start(t, "beside", "portal")
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	entry := f.start(t, "entry", "desk")
+	f.start(t, "beside", "portal")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 	n, err := net.Dial("tcp", entry.settings.Listen.Outbound.String())
 	assert.NilError(t, err)
@@ -378,10 +378,10 @@
 // An endpoint says that it leaves. By the time that this is acknowledged it must stand in the store: the node may be killed in
 // the next moment, and starts again by what stands there.
 func TestLeavingIsRecordedBeforeItIsAcknowledged(t *testing.T) {
-	w := &world{}
-	n := w.start(t, "beside", "portal")
+	f := &fleet{}
+	n := f.start(t, "beside", "portal")
 	record := func() exchanger.Member {
-		b, err := w.members.Newest(context.Background())
+		b, err := f.members.Newest(context.Background())
 		assert.NilError(t, err)
 		if len(b.Records) == 0 {
 			return exchanger.Member{}
@@ -391,6 +391,6 @@
 		return m
 	}
 	eventually(t, "recorded", func() bool { return record().State == exchanger.Ready })
-	n.beat(true)
+	n.announce(true)
 	assert.Equal(t, record().State, exchanger.Leaving)
 }
--- a/internal/mesher/orders.go
+++ b/internal/mesher/orders.go
@@ -22,29 +22,29 @@
 	changed chan struct{}
 }
 
-// taken is what was new in an update.
-type taken struct {
+// mergedOrders is what was new in an update.
+type mergedOrders struct {
 	records []watcher.Record
 	// evacuations tells that some of it asks for an evacuation or ends one.
 	evacuations bool
 }
 
 // configurations returns the records of a key that hold something.
-func (t taken) configurations(key string) []watcher.Record {
+func (t mergedOrders) configurations(key string) []watcher.Record {
 	return slices.DeleteFunc(slices.Clone(t.records), func(r watcher.Record) bool {
 		return r.Key != key || len(r.Value) == 0
 	})
 }
 
-// take takes an update over; isOrder tells which keys are followed, and which of them ask for an evacuation.
-func (o *orders) take(u watcher.Update, isOrder func(key string) (followed, evacuation bool)) taken {
+// merge takes an update over; isOrder tells which keys are followed, and which of them ask for an evacuation.
+func (o *orders) merge(u watcher.Update, isOrder func(key string) (followed, evacuation bool)) mergedOrders {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.records == nil {
 		o.records = map[string]watcher.Record{}
 	}
-	var t taken
-	for _, r := range append(u.Records, o.dropped(u)...) {
+	var t mergedOrders
+	for _, r := range append(u.Records, o.tombstones(u)...) {
 		followed, evacuation := isOrder(r.Key)
 		known, ok := o.records[r.Key]
 		if !followed || ok && r.Offset <= known.Offset {
@@ -61,22 +61,22 @@
 	return t
 }
 
-// dropped returns empty records for the keys that a snapshot no longer has.
-func (o *orders) dropped(u watcher.Update) []watcher.Record {
+// tombstones returns empty records for the keys that a snapshot no longer has.
+func (o *orders) tombstones(u watcher.Update) []watcher.Record {
 	if !u.Snapshot {
 		return nil
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range u.Records {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
-	var dropped []watcher.Record
+	var tombstones []watcher.Record
 	for key, r := range o.records {
-		if !there[key] && len(r.Value) > 0 {
-			dropped = append(dropped, watcher.Record{Key: key, Offset: max(r.Offset+1, u.Next-1)})
+		if !present[key] && len(r.Value) > 0 {
+			tombstones = append(tombstones, watcher.Record{Key: key, Offset: max(r.Offset+1, u.Next-1)})
 		}
 	}
-	return dropped
+	return tombstones
 }
 
 // all returns the newest record of each key, in the order of their offsets.
--- a/internal/mesher/orders_test.go
+++ b/internal/mesher/orders_test.go
@@ -18,12 +18,12 @@
 }
 
 // The end of an evacuation whose record the store no longer keeps must not be missed: its endpoints would stay unused for good.
-func TestSnapshotEndsWhatItLacks(t *testing.T) {
+func TestKeyMissingFromSnapshotIsDropped(t *testing.T) {
 	var o orders
-	first := o.take(watcher.Update{Records: []watcher.Record{record("rules", "1", 3), record("east", "{}", 4)}, Next: 5}, isTestOrder)
+	first := o.merge(watcher.Update{Records: []watcher.Record{record("rules", "1", 3), record("east", "{}", 4)}, Next: 5}, isTestOrder)
 	assert.Assert(t, first.evacuations)
 	assert.Equal(t, len(first.configurations("rules")), 1)
-	again := o.take(watcher.Update{Records: []watcher.Record{record("rules", "1", 3)}, Next: 9, Snapshot: true}, isTestOrder)
+	again := o.merge(watcher.Update{Records: []watcher.Record{record("rules", "1", 3)}, Next: 9, Snapshot: true}, isTestOrder)
 	assert.Assert(t, again.evacuations)
 	assert.Equal(t, len(again.configurations("rules")), 0)
 	passed, changed := o.from(5)
@@ -35,10 +35,10 @@
 }
 
 // An order that comes late must not undo a later one.
-func TestOlderOrderIsPassedOver(t *testing.T) {
+func TestOlderOrderIsIgnored(t *testing.T) {
 	var o orders
-	o.take(watcher.Update{Records: []watcher.Record{record("east", "", 7), record("other", "x", 8)}, Next: 9}, isTestOrder)
-	late := o.take(watcher.Update{Records: []watcher.Record{record("east", "{}", 5)}, Next: 6}, isTestOrder)
+	o.merge(watcher.Update{Records: []watcher.Record{record("east", "", 7), record("other", "x", 8)}, Next: 9}, isTestOrder)
+	late := o.merge(watcher.Update{Records: []watcher.Record{record("east", "{}", 5)}, Next: 6}, isTestOrder)
 	assert.Equal(t, len(late.records), 0)
 	assert.Equal(t, len(o.all()), 1)
 	assert.Equal(t, o.next(), identifier.Offset(8))
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -31,8 +31,8 @@
 const (
 	// exchangeTimeout is a few round trips between failure domains, and less than a period.
 	exchangeTimeout = 400 * clock.Millisecond
-	// largestReports bounds a bundle: 10,000 nodes at some 200 bytes.
-	largestReports = 4 << 20
+	// maxReportsBytes bounds a bundle: 10,000 nodes at some 200 bytes.
+	maxReportsBytes = 4 << 20
 )
 
 func newPeerClient() *http.Client {
@@ -59,7 +59,7 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-n.asked:
+		case <-n.exchangeRequested:
 		}
 		timer.Stop()
 	}
@@ -68,27 +68,27 @@
 // exchangeSoon asks for an exchange without waiting for the period's end.
 func (n *node) exchangeSoon() {
 	select {
-	case n.asked <- struct{}{}:
+	case n.exchangeRequested <- struct{}{}:
 	default:
 	}
 }
 
 // exchangeOnce asks one node, and tells whether another one should be asked instead.
 func (n *node) exchangeOnce(ctx context.Context) bool {
-	var asking conductor.ReportExchange
+	var exchange conductor.ReportExchange
 	var ok bool
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { asking, ok = c.Ask(now) })
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { exchange, ok = c.Ask(now) })
 	if !ok {
 		return false
 	}
 	limited, cancel := context.WithTimeout(ctx, exchangeTimeout.Std())
 	defer cancel()
-	node := asking.Member.Node
-	answer, proof, err := n.ask(limited, asking.Member, asking.Question)
+	node := exchange.Member.Node
+	answer, proof, err := n.exchangeReports(limited, exchange.Member, exchange.Question)
 	if err != nil {
 		n.recorder.Dependency("reports", err)
-		n.relayer.ApplyEvent(conductor.PeerFailed{Node: node, Sought: asking.Seeks})
-		return !asking.Seeks
+		n.relayer.ApplyEvent(conductor.PeerFailed{Node: node, Sought: exchange.Seeks})
+		return !exchange.Seeks
 	}
 	n.relayer.ApplyEvent(conductor.PeerAnswered{Node: node, Answer: answer})
 	if proof != nil {
@@ -97,8 +97,8 @@
 	return false
 }
 
-// ask exchanges reports, and returns the other node's proof of its configuration if it has one.
-func (n *node) ask(
+// exchangeReports exchanges reports, and returns the other node's proof of its configuration if it has one.
+func (n *node) exchangeReports(
 	ctx context.Context,
 	member exchanger.Member,
 	question exchanger.Question,
@@ -107,17 +107,17 @@
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	asked := clock.Boot{}.Now()
+	requestedAt := clock.Boot{}.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member.PeerAddress+"/reports", bytes.NewReader(body))
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	response, err := n.client.Do(request)
+	response, err := n.exchangeClient.Do(request)
 	if err != nil {
 		return exchanger.Answer{}, nil, fmt.Errorf("exchange reports: %w", err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, largestReports))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReportsBytes))
 	if err != nil {
 		return exchanger.Answer{}, nil, fmt.Errorf("read reports: %w", err)
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	proof, ok := relayer.ReadProof(response.Header, asked)
+	proof, ok := relayer.ReadProof(response.Header, requestedAt)
 	if !ok {
 		return answer, nil, nil
 	}
@@ -145,7 +145,7 @@
 }
 
 func (n *node) serveReports(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, largestReports))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxReportsBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -155,9 +155,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var told exchanger.Answer
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { told = c.Answer(question, now) })
-	answer, err := exchanger.EncodeAnswer(told)
+	var reply exchanger.Answer
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { reply = c.Answer(question, now) })
+	answer, err := exchanger.EncodeAnswer(reply)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -177,7 +177,7 @@
 }
 
 func (n *node) announcements() http.Handler {
-	return n.options.Outside.Announcements(
+	return n.options.Platform.Announcements(
 		func(a registrar.Announcement) {
 			n.relayer.ApplyEvent(conductor.EndpointAnnounced{Announcement: a})
 			if a.Leaving {
--- a/internal/mesher/record_test.go
+++ b/internal/mesher/record_test.go
@@ -17,12 +17,12 @@
 // refusingTopic refuses writes until a moment, and counts them.
 type refusingTopic struct {
 	memoryTopic
-	tries chan string
+	attempts chan string
 	until time.Time
 }
 
 func (r *refusingTopic) Write(ctx context.Context, key string, value []byte) error {
-	r.tries <- key
+	r.attempts <- key
 	if time.Now().Before(r.until) {
 		return watcher.RefusedError{Status: 503}
 	}
@@ -31,26 +31,26 @@
 
 // While the store is away, tries to write a record must grow rare, or a large fleet presses a store that is coming back; a
 // record that has changed is tried at once.
-func TestRecordIsTriedLessAndLessOften(t *testing.T) {
-	topic := &refusingTopic{tries: make(chan string, 100), until: time.Now().Add(3 * time.Second)}
+func TestRecordWritesBackOff(t *testing.T) {
+	topic := &refusingTopic{attempts: make(chan string, 100), until: time.Now().Add(3 * time.Second)}
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	n := &node{
-		records:  make(chan exchanger.Member, waitingRecords),
+		records:  make(chan exchanger.Member, maxQueuedRecords),
 		recorder: recorder.New(io.Discard, "n", clock.New().Now),
-		options:  Options{Outside: Outside{Members: topic}},
+		options:  Options{Platform: Platform{Members: topic}},
 	}
 	n.records <- exchanger.Member{Node: "n", Sequence: 1}
 	go n.writeRecords(ctx)
 	time.Sleep(2800 * time.Millisecond)
-	assert.Assert(t, len(topic.tries) >= 3 && len(topic.tries) <= 5, "%d tries", len(topic.tries))
-	before := len(topic.tries)
+	assert.Assert(t, len(topic.attempts) >= 3 && len(topic.attempts) <= 5, "%d tries", len(topic.attempts))
+	before := len(topic.attempts)
 	n.records <- exchanger.Member{Node: "n", Sequence: 2}
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, len(topic.tries), before+1)
-	for ctx.Err() == nil && n.written.Load() != 2 {
+	assert.Equal(t, len(topic.attempts), before+1)
+	for ctx.Err() == nil && n.writtenSequence.Load() != 2 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, n.written.Load(), int64(2))
+	assert.Equal(t, n.writtenSequence.Load(), int64(2))
 	assert.Equal(t, len(topic.records), 1)
 }
--- a/internal/mesher/relay.go
+++ b/internal/mesher/relay.go
@@ -29,12 +29,12 @@
 const (
 	ordersPath    = "/orders"
 	waitParameter = "waitMilliseconds"
-	// relayPause is the wait after a collector gave no answer: half a period of the exchanges, by which another one is found.
-	relayPause = 250 * clock.Millisecond
-	// longestRelay bounds how long a node may wait for orders here.
-	longestRelay = 30 * clock.Second
-	// largestOrders bounds what is passed on at once.
-	largestOrders = 8 << 20
+	// collectorRetryPause is the wait after a collector gave no answer: half a period of the exchanges, by which another one is found.
+	collectorRetryPause = 250 * clock.Millisecond
+	// maxOrdersWait bounds how long a node may wait for orders here.
+	maxOrdersWait = 30 * clock.Second
+	// maxOrdersBytes bounds what is passed on at once.
+	maxOrdersBytes = 8 << 20
 )
 
 type wireRecord struct {
@@ -54,7 +54,7 @@
 		http.Error(w, fmt.Sprintf("%s: %q is not a time", waitParameter, r.FormValue(waitParameter)), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(clock.Duration(wait), longestRelay).Std())
+	ctx, cancel := context.WithTimeout(r.Context(), min(clock.Duration(wait), maxOrdersWait).Std())
 	defer cancel()
 	records := n.orders.wait(ctx, identifier.Offset(from))
 	if len(records) == 0 {
@@ -89,31 +89,31 @@
 	batch, err := t.node.readRelayed(ctx, source, from, wait)
 	if err != nil && ctx.Err() == nil {
 		t.node.recorder.Dependency("orders at node "+string(source.Node), err)
-		clock.Sleep(ctx, relayPause.Std())
+		clock.Sleep(ctx, collectorRetryPause.Std())
 	}
 	return batch, nil
 }
 
 // readStore reads from the store, and if that fails takes what a collector that still answers has.
 func (t relayedTopic) readStore(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
-	batch, failed := t.Topic.Read(ctx, from, wait)
+	batch, storeErr := t.Topic.Read(ctx, from, wait)
 	var dropped watcher.DroppedError
-	if failed == nil || errors.As(failed, &dropped) {
-		return batch, failed
+	if storeErr == nil || errors.As(storeErr, &dropped) {
+		return batch, storeErr
 	}
 	var source exchanger.Member
 	known := false
 	boot := clock.Boot{}.Now()
 	t.node.relayer.View(func(c *conductor.Conductor, now clock.Time) { source, known = c.ProvingNode(now, boot) })
 	if !known {
-		return batch, failed
+		return batch, storeErr
 	}
 	relayed, err := t.node.readRelayed(ctx, source, from, 0)
 	if err != nil {
 		t.node.recorder.Dependency("orders at node "+string(source.Node), err)
 	}
 	if len(relayed.Records) == 0 {
-		return batch, failed
+		return batch, storeErr
 	}
 	return relayed, nil
 }
@@ -145,12 +145,12 @@
 	if err != nil {
 		return batch, err
 	}
-	response, err := n.waiting.Do(request)
+	response, err := n.longPollClient.Do(request)
 	if err != nil {
 		return batch, fmt.Errorf("wait for orders: %w", err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, largestOrders))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxOrdersBytes))
 	if err != nil {
 		return batch, fmt.Errorf("read orders: %w", err)
 	}
--- a/internal/mesher/relay_test.go
+++ b/internal/mesher/relay_test.go
@@ -34,18 +34,18 @@
 
 // Each change of the configuration must reach a node by its collector, not by a call of its own to the store: with hundreds of
 // nodes those calls are the largest price of a day.
-func TestConfigurationComesByTheCollector(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	beside := w.start(t, "beside", "portal")
-	entry := w.start(t, "entry", "desk")
+func TestConfigurationIsRelayedByCollector(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	beside := f.start(t, "beside", "portal")
+	entry := f.start(t, "entry", "desk")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 	// The node waits at its collector once it has heard a proof there, and a first read of its own has ended.
 	time.Sleep(time.Second)
 	before := storeReads(entry)
 	assert.Assert(t, before > 0)
 	for version := 2; version < 6; version++ {
-		assert.NilError(t, w.operators.Write(context.Background(), "rules", fmt.Appendf(nil, "version %d", version)))
+		assert.NilError(t, f.operators.Write(context.Background(), "rules", fmt.Appendf(nil, "version %d", version)))
 		want := fmt.Sprint(version)
 		eventually(t, "version "+want, func() bool { return versionOf(beside) == want && versionOf(entry) == want })
 	}
@@ -53,23 +53,23 @@
 }
 
 // The collector is gone without a word: a change must still reach the others in time, by the store.
-func TestConfigurationComesWithoutTheCollector(t *testing.T) {
-	w := &world{}
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 1")))
-	beside := w.start(t, "beside", "portal")
-	entry := w.start(t, "entry", "desk")
+func TestConfigurationIsReadFromStoreWithoutCollector(t *testing.T) {
+	f := &fleet{}
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
+	beside := f.start(t, "beside", "portal")
+	entry := f.start(t, "entry", "desk")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 	beside.stop()
 	<-beside.done
 	beside.done <- nil
-	assert.NilError(t, w.operators.Write(context.Background(), "rules", []byte("version 2")))
+	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 2")))
 	eventually(t, "version 2", func() bool { return versionOf(entry) == "2" })
 }
 
 // A question that can't be read must be refused by field and value.
-func TestFaultyQuestionForAConfiguration(t *testing.T) {
-	w := &world{}
-	n := w.start(t, "beside", "portal")
+func TestMalformedOrdersRequest(t *testing.T) {
+	f := &fleet{}
+	n := f.start(t, "beside", "portal")
 	for name, c := range map[string]struct{ query, want string }{
 		"no offset":     {query: "?waitMilliseconds=5", want: "from"},
 		"negative wait": {query: "?from=1&waitMilliseconds=-5", want: `waitMilliseconds: "-5"`},
@@ -85,36 +85,36 @@
 }
 
 // An evacuation, and its end, must reach every node by its collector, and its endpoints get nothing in between.
-func TestEvacuationComesByTheCollector(t *testing.T) {
-	w := &world{}
+func TestEvacuationIsRelayedByCollector(t *testing.T) {
+	f := &fleet{}
 	ctx := context.Background()
-	assert.NilError(t, w.operators.Write(ctx, "rules", []byte("version 1")))
-	w.startIn(t, "beside", "portal", "east")
-	entry := w.start(t, "entry", "desk")
+	assert.NilError(t, f.operators.Write(ctx, "rules", []byte("version 1")))
+	f.startIn(t, "beside", "portal", "east")
+	entry := f.start(t, "entry", "desk")
 	served := func() bool { status, _ := entry.request(); return status == 200 }
 	eventually(t, "served", served)
 	time.Sleep(time.Second)
 	before := storeReads(entry)
-	assert.NilError(t, w.operators.Write(ctx, "evacuate east", []byte("{}")))
+	assert.NilError(t, f.operators.Write(ctx, "evacuate east", []byte("{}")))
 	eventually(t, "refused", func() bool {
 		status, text := entry.request()
 		return status == 503 && strings.HasPrefix(text, "evacuated")
 	})
-	assert.NilError(t, w.operators.Write(ctx, "evacuate east", nil))
+	assert.NilError(t, f.operators.Write(ctx, "evacuate east", nil))
 	eventually(t, "served again", served)
 	assert.Assert(t, storeReads(entry) <= before+1, "%d calls before, %d after", before, storeReads(entry))
 }
 
 // A node that starts during an evacuation must know of it before it sends anything.
 func TestEvacuationIsKnownAtTheStart(t *testing.T) {
-	w := &world{}
+	f := &fleet{}
 	ctx := context.Background()
-	assert.NilError(t, w.operators.Write(ctx, "rules", []byte("version 1")))
-	assert.NilError(t, w.operators.Write(ctx, "evacuate east", []byte("{}")))
+	assert.NilError(t, f.operators.Write(ctx, "rules", []byte("version 1")))
+	assert.NilError(t, f.operators.Write(ctx, "evacuate east", []byte("{}")))
 	reached := make(chan struct{}, 100)
-	w.work = func(*http.Request) { reached <- struct{}{} }
-	w.startIn(t, "beside", "portal", "east")
-	entry := w.start(t, "entry", "desk")
+	f.work = func(*http.Request) { reached <- struct{}{} }
+	f.startIn(t, "beside", "portal", "east")
+	entry := f.start(t, "entry", "desk")
 	eventually(t, "refused", func() bool {
 		status, text := entry.request()
 		return status == 503 && strings.HasPrefix(text, "evacuated")
--- a/internal/mesher/reload.go
+++ b/internal/mesher/reload.go
@@ -1,7 +1,7 @@
 package mesher
 
 // Bounds can change under a running node; who the node is and where it listens can't, and a change of that is told to be
-// waiting for a restart.
+// longPollClient for a restart.
 //
 // Example: revoke goes from 5s to 3s: from then on keys are served on proofs that are at most 3 s old.
 
@@ -13,15 +13,15 @@
 )
 
 func (n *node) reload(ctx context.Context) {
-	if n.options.Follow == nil {
+	if n.options.WatchSettings == nil {
 		return
 	}
-	n.options.Follow(ctx, n.takeSettings, func(err error) {
+	n.options.WatchSettings(ctx, n.applySettings, func(err error) {
 		n.recorder.Event("settings refused", "error", err.Error())
 	})
 }
 
-func (n *node) takeSettings(s loader.Sidecar) {
+func (n *node) applySettings(s loader.Sidecar) {
 	old := n.options.Settings
 	restart := s.Listen != old.Listen || s.Endpoint != old.Endpoint || s.Store != old.Store ||
 		s.Name != old.Name || s.Service != old.Service || s.Domain != old.Domain
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// storeSlack is how much later than asked an answer may come: the store's round trip of some 10 ms, sixty times
+	// maxStoreLateness is how much later than asked an answer may come: the store's round trip of some 10 ms, sixty times
 	// as much on its slow days.
-	storeSlack = 700 * clock.Millisecond
-	// membersWait is how long a read of the members waits; nothing is proved by it, so only its price counts, and it is
+	maxStoreLateness = 700 * clock.Millisecond
+	// membersReadWait is how long a read of the members waits; nothing is proved by it, so only its price counts, and it is
 	// the longest that stores of this kind allow.
-	membersWait = 30 * clock.Second
-	// membersRest gathers the records of nodes that start together: 14 nodes that read each by itself made 266 calls in
+	membersReadWait = 30 * clock.Second
+	// membersReadPause gathers the records of nodes that start together: 14 nodes that read each by itself made 266 calls in
 	// their first 15 s. Changes while they run come with the reports.
-	membersRest = clock.Second
-	// configurationRest gathers configurations that come in quick succession. A fifth of the time in which a change must be in
+	membersReadPause = clock.Second
+	// configurationReadPause gathers configurations that come in quick succession. A fifth of the time in which a change must be in
 	// force.
-	configurationRest = 400 * clock.Millisecond
+	configurationReadPause = 400 * clock.Millisecond
 )
 
 func (n *node) newConfigurationWatcher() *watcher.Watcher {
 	return watcher.New(watcher.Options{
-		Topic: relayedTopic{Topic: n.options.Outside.Operators, node: n},
+		Topic: relayedTopic{Topic: n.options.Platform.Operators, node: n},
 		Wait:  n.readWait,
-		Rest:  configurationRest,
-		Slack: storeSlack,
+		Rest:  configurationReadPause,
+		Slack: maxStoreLateness,
 
 		Backoff: n.storeBackoff,
 		Now:     clock.Boot{}.Now,
-		Took:    n.takeOrders,
+		Took:    n.applyOrders,
 		Lost: func(err error) {
 			n.recorder.Event("store lost", "topic", "operators", "error", err.Error())
 		},
@@ -49,18 +49,18 @@
 	})
 }
 
-// coveredBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
+// relayedBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
 // come with the reports, soon after the collector has them. Trying like a collector, 195 nodes would make a thousand calls
 // in an outage of some seconds.
-var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Most: 4 * clock.Second, Factor: 20}
+var relayedBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Most: 4 * clock.Second, Factor: 20}
 
 func (n *node) storeBackoff() watcher.Backoff {
-	relied := false
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { relied = c.FollowsStore(now) || c.CollectsForDomain(now) })
-	if relied {
+	reliedOn := false
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { reliedOn = c.FollowsStore(now) || c.CollectsForDomain(now) })
+	if reliedOn {
 		return watcher.DefaultBackoff
 	}
-	return coveredBackoff
+	return relayedBackoff
 }
 
 func (n *node) readWait() (wait clock.Duration) {
@@ -69,15 +69,15 @@
 	return wait
 }
 
-func (n *node) takeOrders(u watcher.Update) {
-	taken := n.orders.take(u, n.isOrder)
-	for _, r := range taken.configurations(n.options.Outside.ConfigurationKey) {
-		n.readConfiguration(r)
+func (n *node) applyOrders(u watcher.Update) {
+	merged := n.orders.merge(u, n.isOrder)
+	for _, r := range merged.configurations(n.options.Platform.ConfigurationKey) {
+		n.applyConfiguration(r)
 	}
-	if taken.evacuations {
-		n.takeEvacuations()
+	if merged.evacuations {
+		n.applyEvacuations()
 	}
-	if len(taken.records) > 0 {
+	if len(merged.records) > 0 {
 		n.relayer.ApplyEvent(conductor.OrdersRead{Next: n.orders.next()})
 		// Its collector's proof comes at once, so that the node need not ask the store for its own.
 		n.exchangeSoon()
@@ -92,18 +92,18 @@
 
 // isOrder tells whether a key is one that nodes follow, and whether it asks for an evacuation.
 func (n *node) isOrder(key string) (followed, evacuation bool) {
-	if n.options.Outside.EvacuatedDomain != nil {
-		_, evacuation = n.options.Outside.EvacuatedDomain(key)
+	if n.options.Platform.EvacuatedDomain != nil {
+		_, evacuation = n.options.Platform.EvacuatedDomain(key)
 	}
-	return evacuation || key == n.options.Outside.ConfigurationKey, evacuation
+	return evacuation || key == n.options.Platform.ConfigurationKey, evacuation
 }
 
-// takeEvacuations puts in force which failure domains are evacuated.
-func (n *node) takeEvacuations() {
+// applyEvacuations puts in force which failure domains are evacuated.
+func (n *node) applyEvacuations() {
 	domains := []identifier.FailureDomain{}
 	newest := identifier.Offset(-1)
 	for _, r := range n.orders.all() {
-		domain, ok := n.options.Outside.EvacuatedDomain(r.Key)
+		domain, ok := n.options.Platform.EvacuatedDomain(r.Key)
 		if !ok {
 			continue
 		}
@@ -116,11 +116,11 @@
 	n.relayer.ApplyEvent(conductor.DomainsEvacuated{Domains: domains})
 }
 
-func (n *node) readConfiguration(r watcher.Record) {
+func (n *node) applyConfiguration(r watcher.Record) {
 	refuse := func(err error) {
 		n.recorder.Event("configuration refused", "offset", int64(r.Offset), "error", err.Error())
 	}
-	configuration, err := n.options.Outside.Decode(r.Value)
+	configuration, err := n.options.Platform.Decode(r.Value)
 	if err != nil {
 		refuse(err)
 		return
@@ -140,15 +140,15 @@
 
 func (n *node) watchMembers(ctx context.Context) {
 	w := watcher.New(watcher.Options{
-		Topic: n.options.Outside.Members,
-		Wait:  func() clock.Duration { return membersWait },
+		Topic: n.options.Platform.Members,
+		Wait:  func() clock.Duration { return membersReadWait },
 		Need:  n.followsStore,
-		Rest:  membersRest,
-		Slack: storeSlack,
+		Rest:  membersReadPause,
+		Slack: maxStoreLateness,
 
 		Backoff: n.storeBackoff,
 		Now:     clock.Boot{}.Now,
-		Took:    n.takeMembers,
+		Took:    n.applyMembers,
 		Lost: func(err error) {
 			n.recorder.Event("store lost", "topic", "members", "error", err.Error())
 		},
@@ -162,7 +162,7 @@
 	return follows
 }
 
-func (n *node) takeMembers(u watcher.Update) {
+func (n *node) applyMembers(u watcher.Update) {
 	for _, r := range u.Records {
 		if len(r.Value) == 0 {
 			n.relayer.ApplyEvent(conductor.MemberLearned{
@@ -205,7 +205,7 @@
 	writeTimeout = clock.Second
 	// firstWritePause and longestWritePause bound the wait before the next try: a record is back soon after the store is.
 	firstWritePause   = 300 * clock.Millisecond
-	longestWritePause = 1500 * clock.Millisecond
+	maxWritePause = 1500 * clock.Millisecond
 )
 
 // writeRecords writes the newest of this node's records, and tries again until it is written or a newer one comes.
@@ -215,19 +215,19 @@
 		case <-ctx.Done():
 			return
 		case m := <-n.records:
-			for again := true; again; {
-				m, again = n.writeRecord(ctx, m)
+			for pending := true; pending; {
+				m, pending = n.writeRecord(ctx, m)
 			}
 		}
 	}
 }
 
 const (
-	// recordPatience is how long the acknowledgement of an endpoint's leaving waits for the record: less than half of the second
+	// recordTimeout is how long the acknowledgement of an endpoint's leaving waits for the record: less than half of the second
 	// in which it must come. While the store is away the leaving is acknowledged without.
-	recordPatience = 400 * clock.Millisecond
-	// recordPoll is the time between two looks; a write takes 4 ms on a calm day.
-	recordPoll = 3 * clock.Millisecond
+	recordTimeout = 400 * clock.Millisecond
+	// recordPollPeriod is the time between two looks; a write takes 4 ms on a calm day.
+	recordPollPeriod = 3 * clock.Millisecond
 )
 
 // awaitRecord waits until this node's present record is in the store. A node that is killed right after it acknowledged
@@ -235,8 +235,8 @@
 func (n *node) awaitRecord() {
 	var want int64
 	n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { want = c.Self().Sequence })
-	for end := n.clock.Now().Add(recordPatience); n.written.Load() < want && n.clock.Now() < end; {
-		time.Sleep(recordPoll.Std())
+	for end := n.clock.Now().Add(recordTimeout); n.writtenSequence.Load() < want && n.clock.Now() < end; {
+		time.Sleep(recordPollPeriod.Std())
 	}
 }
 
@@ -247,12 +247,12 @@
 		n.recorder.Event("record not encoded", "error", err.Error())
 		return m, false
 	}
-	for pause := firstWritePause; ctx.Err() == nil; pause = min(longestWritePause, 2*pause) {
+	for pause := firstWritePause; ctx.Err() == nil; pause = min(maxWritePause, 2*pause) {
 		limited, cancel := context.WithTimeout(ctx, writeTimeout.Std())
-		err := n.options.Outside.Members.Write(limited, string(m.Node), data)
+		err := n.options.Platform.Members.Write(limited, string(m.Node), data)
 		cancel()
 		if err == nil {
-			n.written.Store(m.Sequence)
+			n.writtenSequence.Store(m.Sequence)
 			n.recorder.Event("record written", "endpoint", string(m.Endpoint), "state", int(m.State), "sequence", m.Sequence)
 			return m, false
 		}
