--- a/internal/inspector/client.go
+++ b/internal/inspector/client.go
@@ -15,8 +15,8 @@
 	"strings"
 )
 
-// MaxAnswer is the largest answer in bytes that is taken.
-const MaxAnswer = 64 << 20
+// MaxAnswerBytes is the largest answer in bytes that is taken.
+const MaxAnswerBytes = 64 << 20
 
 // Client asks one node's admin endpoint.
 type Client struct {
@@ -87,11 +87,11 @@
 		return nil, UnreachableError{Address: c.Address(), Cause: err}
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, MaxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(res.Body, MaxAnswerBytes+1))
 	if err != nil {
 		return nil, UnreachableError{Address: c.Address(), Cause: err}
 	}
-	if len(data) > MaxAnswer {
+	if len(data) > MaxAnswerBytes {
 		return nil, RefusedError{Address: c.Address(), Status: res.StatusCode, Detail: "the answer is too large"}
 	}
 	if res.StatusCode != http.StatusOK {
