--- a/internal/soaker/plan.go
+++ b/internal/soaker/plan.go
@@ -45,7 +45,7 @@
 	return fault{name, func(f *fleet, _ *node, d time.Duration) error {
 		f.store.SetMode(m)
 		time.Sleep(d)
-		f.store.SetMode(standin.Sound)
+		f.store.SetMode(standin.Healthy)
 		return nil
 	}}
 }
@@ -67,9 +67,9 @@
 	{"killAll", func(f *fleet, _ *node, d time.Duration) error { return f.killAll(d / 4) }},
 	storing("storeRefuses", standin.Refusing),
 	storing("storeSilent", standin.Silent),
-	storing("storeLosesAnswers", standin.Losing),
+	storing("storeLosesAnswers", standin.LosingAnswers),
 	storing("storeSlow", standin.Slow),
-	{"storeForgets", func(f *fleet, _ *node, _ time.Duration) error { f.store.Forget(); return nil }},
+	{"storeForgets", func(f *fleet, _ *node, _ time.Duration) error { f.store.DropHistory(); return nil }},
 	proxied("storeCutThere", ofStore, CutThere),
 	proxied("storeCutBack", ofStore, CutBack),
 	proxied("storeSilenced", ofStore, Silenced),
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -110,7 +110,7 @@
 
 // calm ends every fault that overlapping rows may have left behind.
 func (f *fleet) calm() {
-	f.store.SetMode(standin.Sound)
+	f.store.SetMode(standin.Healthy)
 	for _, n := range f.nodes {
 		n.signal(syscall.SIGCONT)
 		f.returned(n)
