--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -22,7 +22,7 @@
 	held   []byte
 	stream io.Reader
 	length int64
-	// bodyRead is set by the goroutine that sends the body, and read by the one that waits for the answer.
+	// readStarted is set by the goroutine that sends the body, and read by the one that waits for the answer.
 	readStarted atomic.Bool
 }
 
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -190,7 +190,7 @@
 	c <- effect
 }
 
-// queueDelay returns the effect that ends a Hold, or the context's error.
+// wait returns the effect that ends a Hold, or the context's error.
 func (r *Relayer) wait(ctx context.Context, h held) (conductor.Effect, error) {
 	select {
 	case effect := <-h.resumed:
