--- a/internal/inspector/camel.go
+++ b/internal/inspector/camel.go
@@ -1,5 +1,5 @@
-// The state's types carry no tags, and a dump has hundreds of fields that change with the code. So its form on the
-// wire follows one rule, applied here: a field's name with its first letters in lower case.
+// The types of a dump carry no JSON tags, and a dump has hundreds of fields that change with the code. So their JSON names
+// follow one rule, which is applied here: the field's name with its leading capitals in lower case.
 //
 // Example: struct{KeyHash string; IDRecords int} becomes {"keyHash":"…","idRecords":0}.
 
@@ -81,7 +81,8 @@
 	return out
 }
 
-// camelName lowers the first letter, and all of a leading run of capitals but the one that starts the next word.
+// camelName converts the first letter to lower case, and all of a leading run of capitals except the capital that starts
+// the next word.
 func camelName(name string) string {
 	r := []rune(name)
 	for i := range r {
--- a/internal/inspector/client.go
+++ b/internal/inspector/client.go
@@ -1,7 +1,7 @@
 package inspector
 
-// The client only reads, and bounds what it reads: a dump of a large node is some megabytes, and an address that
-// is no admin endpoint may stream for ever.
+// The client only reads, and limits the size of an answer: the dump of a large node has some megabytes, and a server that
+// is not an admin endpoint may send an answer without end.
 //
 // Example: c, err := NewClient("http://127.0.0.1:8082", http.DefaultClient); s, err := c.Status(ctx)
 
@@ -15,10 +15,10 @@
 	"strings"
 )
 
-// MaxAnswerBytes is the largest answer in bytes that is taken.
+// MaxAnswerBytes is the size of the largest answer that the client accepts.
 const MaxAnswerBytes = 64 << 20
 
-// Client asks one node's admin endpoint.
+// Client reads from one node's admin endpoint.
 type Client struct {
 	base *url.URL
 	http *http.Client
@@ -61,7 +61,7 @@
 	return c.raw(ctx, MetricsPath)
 }
 
-// Explain returns what the node knows of the decisions on a request, as JSON.
+// Explain returns the decisions on a request that the node has kept, as JSON.
 func (c *Client) Explain(ctx context.Context, request string) (json.RawMessage, error) {
 	return c.raw(ctx, ExplainPath+url.PathEscape(request))
 }
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	if !json.Valid(data) {
-		return nil, RefusedError{Address: c.Address(), Status: http.StatusOK, Detail: "the answer is no JSON"}
+		return nil, RefusedError{Address: c.Address(), Status: http.StatusOK, Detail: "answer is not valid JSON"}
 	}
 	return data, nil
 }
@@ -92,7 +92,7 @@
 		return nil, UnreachableError{Address: c.Address(), Cause: err}
 	}
 	if len(data) > MaxAnswerBytes {
-		return nil, RefusedError{Address: c.Address(), Status: res.StatusCode, Detail: "the answer is too large"}
+		return nil, RefusedError{Address: c.Address(), Status: res.StatusCode, Detail: "answer is larger than 64 MiB"}
 	}
 	if res.StatusCode != http.StatusOK {
 		return nil, RefusedError{Address: c.Address(), Status: res.StatusCode, Detail: excerpt(data)}
--- a/internal/inspector/doc.go
+++ b/internal/inspector/doc.go
@@ -1,2 +1,2 @@
-// Package inspector holds what a node's admin endpoint tells, and asks for it.
+// Package inspector holds the server and the client of a node's admin endpoint.
 package inspector
--- a/internal/inspector/names_test.go
+++ b/internal/inspector/names_test.go
@@ -12,8 +12,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// Guards against a renamed field: a dump takes its JSON names from the state's fields by reflection, and operators' tools
-// read them.
+// A renamed field would change the dump's JSON names, which are derived from the fields by reflection and which operators'
+// tools read.
 func TestNamesInDumpStayTheSame(t *testing.T) {
 	names := slices.Concat(
 		namesOf("dump", reflect.TypeFor[reducer.Dump]()),
--- a/internal/inspector/server.go
+++ b/internal/inspector/server.go
@@ -1,4 +1,4 @@
-// The admin endpoint only reads. It is on loopback, or behind mutual TLS, since a dump tells who calls what.
+// The admin endpoint is read-only. It listens on loopback or requires mutual TLS, since a dump reveals who calls what.
 //
 // Example: GET /explain/0190c… returns the node's decisions on that request and the calls nested in it.
 
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// Source is what the admin endpoint reads from; each method gives one consistent moment.
+// Source is the state that the admin endpoint reads; each method returns a consistent view of one moment.
 type Source interface {
 	Dump() reducer.Dump
 	Explain(r identifier.Request) []reducer.Decision
@@ -52,6 +52,6 @@
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// An operator who has gone away by now needs no answer.
+	// A failed write means that the operator has disconnected and needs no answer.
 	_ = encoder.Encode(v)
 }
--- a/internal/inspector/types.go
+++ b/internal/inspector/types.go
@@ -1,7 +1,6 @@
 package inspector
 
-// A node and the operators' command line must agree on the paths and on the JSON of the admin endpoint; both take
-// them from here.
+// The paths and the JSON types of the admin endpoint are shared by its server and the operators' command line.
 //
 // Example: GET /status → {"node":{"name":"portal-1",…},"fleet":[…]}
 
@@ -15,7 +14,7 @@
 	MetricsPath = "/debug/vars"
 )
 
-// NodeStatus is what is known of the configuration in force at one node.
+// NodeStatus is the known state of the configuration in force at one node.
 type NodeStatus struct {
 	Node          string `json:"node"`
 	FailureDomain string `json:"failureDomain"`
@@ -23,18 +22,18 @@
 	Preset string `json:"preset"`
 	// Version counts the configuration changes that the node has accepted.
 	Version int64 `json:"version"`
-	// SilenceMs is how old the node's newest news from the log is; -1 means that it never had any.
+	// SilenceMs is the age of the node's newest information from the log; -1 means that it never had any.
 	SilenceMs int64 `json:"silenceMs"`
 	Leaving   bool  `json:"leaving"`
 }
 
-// Status is the answer of GET /status: the node itself, and what it last heard of each other node.
+// Status is the answer to GET /status: the node itself, and the last known status of each other node.
 type Status struct {
 	Self  NodeStatus   `json:"self"`
 	Fleet []NodeStatus `json:"fleet"`
 }
 
-// UnreachableError reports an admin endpoint that gave no answer.
+// UnreachableError reports that an admin endpoint gave no answer.
 type UnreachableError struct {
 	Address string
 	Cause   error
@@ -50,14 +49,14 @@
 	return e.Cause
 }
 
-// RefusedError reports an admin endpoint that answered with another status than success.
+// RefusedError reports that an admin endpoint answered with a status other than 200, or with an answer that can't be used.
 type RefusedError struct {
 	Address string
 	Status  int
 	Detail  string
 }
 
-// Error names the address, the status and the endpoint's words.
+// Error names the address, the status and the detail.
 func (e RefusedError) Error() string {
 	return fmt.Sprintf("admin endpoint %s answered %d: %s", e.Address, e.Status, e.Detail)
 }
