--- a/internal/mesher/counted.go
+++ b/internal/mesher/counted.go
@@ -1,6 +1,6 @@
 package mesher
 
-// Calls to the platform's store are counted by topic and kind, since they are paid for and limited over the whole fleet.
+// Calls to the platform's store are counted by topic and kind, since they cost money and are limited for the whole fleet.
 //
 // Example: a read that waits for a configuration counts as store_calls{topic="operators",call="wait"}.
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// countingTopic counts the calls of a topic.
+// countingTopic is a topic that counts the calls made to it.
 type countingTopic struct {
 	watcher.Topic
 	name     string
--- a/internal/mesher/doc.go
+++ b/internal/mesher/doc.go
@@ -1,2 +1,2 @@
-// Package mesher puts a node beside an endpoint together, from its start to its planned stop.
+// Package mesher assembles the node beside an endpoint and runs it from its start to its planned stop.
 package mesher
--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -1,10 +1,10 @@
 package mesher
 
-// A planned stop must lose nothing: other nodes have to learn that no more requests should come here, callers that
-// their next request goes elsewhere, and everything under way has to end. The endpoint beside the node may go on
-// running and make nested calls, so the node serves for as long as requests come, up to its grace time.
+// A planned stop must lose no request: other nodes must learn to send no more requests here, callers must send their next
+// request to another node, and all requests in flight must end. The local endpoint may continue to run and make nested
+// calls, so the node serves as long as requests arrive, up to its grace time.
 //
-// Example: SIGTERM, 503 on readiness at once, the last request ends 1.2 s later, the node ends at 2.5 s.
+// Example: SIGTERM, readiness answers 503 at once, the last request ends 1.2 s later, the node stops after 3 s.
 
 import (
 	"context"
@@ -24,12 +24,12 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head; callers of any bound seen send theirs within 3 s.
+	// headerTimeout bounds the reading of a request's header; callers are expected to send theirs within 3 s.
 	headerTimeout = 10 * time.Second
-	// otherIdleTimeout is how long an unused connection of the platform, the endpoint's heartbeats or a peer is kept: longer than
-	// their calls are apart.
+	// otherIdleTimeout is how long an idle connection from the platform, the local endpoint's heartbeats or a peer is kept:
+	// longer than the interval between their calls.
 	otherIdleTimeout = 30 * time.Second
-	// maxHeaderBytes bounds a request's head, over the 16 KiB that callers may send.
+	// maxHeaderBytes is the upper bound of a request's header, above the 16 KiB that callers may send.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -94,13 +94,13 @@
 	return nil
 }
 
-// listenerLog makes events of what the standard server has to say, such as connections that it could not accept.
+// listenerLog records the HTTP server's errors, such as connections that it could not accept, as dependency failures.
 type listenerLog struct {
 	address  string
 	recorder *recorder.Recorder
 }
 
-// Write takes one line.
+// Write records one line of the server's error log.
 func (l listenerLog) Write(line []byte) (int, error) {
 	l.recorder.Dependency("listener "+l.address, errors.New(strings.TrimSpace(string(line))))
 	return len(line), nil
@@ -150,8 +150,9 @@
 	}
 }
 
-// reportSuspension tells that the VM was suspended. A woken node would take the reports that it holds for new: it would ask
-// for more at a node that stood still as well, and hear nothing of the rest of the fleet.
+// reportSuspension reports to the conductor that the VM was suspended. After it has resumed, the node would otherwise treat
+// its old reports as fresh: it would exchange reports with a node that was suspended as well, and receive none from the rest
+// of the fleet.
 func (n *node) reportSuspension(s *clock.Suspension) {
 	var now clock.Time
 	n.relayer.View(func(_ *conductor.Conductor, at clock.Time) { now = at })
@@ -164,18 +165,19 @@
 	n.exchangeSoon()
 }
 
-// ticksPerReadCheck is how many ticks pass between two looks whether the open read of the configuration has become too
-// long for what is known by now.
+// ticksPerReadCheck is how many ticks pass between two checks whether the read in flight of the configuration waits longer
+// than the current proof allows.
 const ticksPerReadCheck = 4
 
-// ticksPerSecond is how many ticks pass between two looks for connections that have been idle too long, and between
-// two lines of the local endpoint's load.
+// ticksPerSecond is the number of ticks a second: the interval at which idle connections are closed and the local endpoint's
+// load is logged.
 const ticksPerSecond = int(clock.Second / conductor.TickPeriod)
 
-// ticksPerTotalsLog is how many ticks pass between two lines of what has crossed failure domains, and of the store's calls.
+// ticksPerTotalsLog is how many ticks pass between two log lines with the totals of the traffic between failure domains and
+// of the calls to the store.
 const ticksPerTotalsLog = 4 * ticksPerSecond
 
-// logLoad writes how the local endpoint fares, so that a refusal can be understood from the second in which it fell.
+// logLoad logs the load of the local endpoint, so that a refusal can be explained by the load in the same second.
 func (n *node) logLoad() {
 	var s conductor.State
 	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { s = c.Dump(now) })
@@ -185,15 +187,15 @@
 }
 
 const (
-	// minStopTime is how long a stopping node serves at least: the platform asks for its readiness once a second and
-	// takes it out after two misses, and callers' last requests come a moment later.
+	// minStopTime is the minimum time for which a stopping node serves: the platform checks its readiness once a second and
+	// removes it after two failed checks, and the last requests of callers arrive a moment later.
 	minStopTime = 3 * clock.Second
-	// idleBeforeStop is how long no request may have been under way for the node to end.
+	// idleBeforeStop is how long no request must have been in flight before the node stops.
 	idleBeforeStop = 300 * clock.Millisecond
-	// stopReserve is kept back from the grace time for closing: with a part of a core, the last steps of a stop
-	// and a pause of the processor's share of a tenth of a second have to fit.
-	stopReserve = 1200 * clock.Millisecond
-	stopPollPeriod    = 50 * clock.Millisecond
+	// stopReserve is the part of the grace time that is reserved for closing: on a fraction of a core, the last steps
+	// of a stop and a throttling pause of a tenth of a second must fit into it.
+	stopReserve    = 1200 * clock.Millisecond
+	stopPollPeriod = 50 * clock.Millisecond
 )
 
 func (n *node) stop(context.Context) error {
--- a/internal/mesher/mesher.go
+++ b/internal/mesher/mesher.go
@@ -1,9 +1,9 @@
 package mesher
 
-// The parts of a node know each other only through the relayer. What belongs to the platform (header names, the
-// store's calls, how a configuration and a heartbeat are written) is passed in.
+// The parts of a node interact only through the relayer. Whatever depends on the platform (header names, calls to the
+// store, the formats of configurations and heartbeats) is passed in.
 //
-// Example: err := Run(ctx, Options{Settings: s, Outside: outside, Out: os.Stdout})
+// Example: err := Run(ctx, Options{Settings: s, Platform: p, Out: os.Stdout})
 
 import (
 	"context"
@@ -32,17 +32,17 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// Platform is what the node needs of the platform that it runs on.
+// Platform holds what a node needs from the platform that it runs on.
 type Platform struct {
 	Headers relayer.Headers
-	// Operators is the topic with the configuration under ConfigurationKey, Members the one of the nodes' records.
+	// Operators is the topic that holds the configuration under ConfigurationKey, Members the one with the member records.
 	Operators        watcher.Topic
 	Members          watcher.Topic
 	ConfigurationKey string
 	Decode           func([]byte) (matcher.Configuration, error)
-	// EvacuatedDomain returns the failure domain that a key of the operators' topic asks to evacuate, if it does.
+	// EvacuatedDomain returns the failure domain that a key of the operators' topic evacuates, false for any other key.
 	EvacuatedDomain func(key string) (identifier.FailureDomain, bool)
-	// Announcements serves the local endpoint's heartbeats.
+	// Announcements returns the handler of the local endpoint's heartbeats.
 	Announcements func(
 		accept func(registrar.Announcement),
 		remove func(identifier.Endpoint),
@@ -50,14 +50,14 @@
 	) http.Handler
 }
 
-// Options set a node up.
+// Options configure a node.
 type Options struct {
 	Settings loader.Sidecar
-	Platform  Platform
-	// Out takes the log.
+	Platform Platform
+	// Out receives the log.
 	Out io.Writer
-	// WatchSettings calls took with settings that have changed while the node runs, and failed with faulty ones, until the
-	// context ends; nil follows nothing.
+	// WatchSettings calls apply with settings that have changed while the node runs, and reject with the error of invalid
+	// ones, until the context ends; nil disables the reloading of settings.
 	WatchSettings func(ctx context.Context, apply func(loader.Sidecar), reject func(error))
 }
 
@@ -67,31 +67,32 @@
 	clock    *clock.Clock
 	recorder *recorder.Recorder
 	relayer  *relayer.Relayer
-	// outbound serves those who send requests, some of them ahead of the answers.
+	// outbound serves callers and the local endpoint, with pipelined requests.
 	outbound *pipeliner.Pipeliner
-	records chan exchanger.Member
-	// writtenSequence is the sequence of the record that was written last.
+	records  chan exchanger.Member
+	// writtenSequence is the sequence number of the member record that was last written to the store.
 	writtenSequence atomic.Int64
 	exchangeClient  *http.Client
-	// longPollClient is the client for reads that stay open at another node, orders what others wait for here.
-	longPollClient *http.Client
-	orders  orders
-	servers []*http.Server
-	cancel  context.CancelFunc
-	exchangeRequested   chan struct{}
-	// connections counts all that the node has open.
+	// longPollClient is used for reads that wait at another node for orders; orders serves those that wait here.
+	longPollClient    *http.Client
+	orders            orders
+	servers           []*http.Server
+	cancel            context.CancelFunc
+	exchangeRequested chan struct{}
+	// connections counts all open connections of the node.
 	connections *requester.Connections
-	// configurations follows the operators' topic.
+	// configurations watches the operators' topic.
 	configurations *watcher.Watcher
 }
 
-// memoryLimitRatio of the VM's limit is what the runtime aims at; the rest is for sockets' buffers and its own needs.
+// memoryLimitRatio is the ratio of the Go runtime's memory limit to the node's; the rest is left for socket buffers and
+// the runtime's overhead.
 const memoryLimitRatio = 0.5
 
-// startTimeout bounds the start, which only opens listeners.
+// startTimeout is the timeout of the start, during which only listeners are opened.
 const startTimeout = 10 * time.Second
 
-// Run runs a node until the context ends, and then stops it as planned.
+// Run runs a node until the context ends, and then performs a planned stop.
 func Run(ctx context.Context, o Options) error {
 	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(o.Settings.MemoryMB<<20)))
 	var n *node
@@ -156,23 +157,23 @@
 	}
 }
 
-// maxQueuedRecords is how many changes of this node's record may wait to be written; only the newest counts.
+// maxQueuedRecords is how many changes of this node's member record may wait to be written; only the newest counts.
 const maxQueuedRecords = 16
 
-// maxPipelined is how many requests of one caller are begun before those ahead of them are answered.
+// maxPipelined is how many pipelined requests on one connection may start before the earlier ones are answered.
 const maxPipelined = 4
 
 func newNode(o Options, c *clock.Clock, k *conductor.Conductor, log *recorder.Recorder) *node {
 	o.Platform.Operators = countingTopic{Topic: o.Platform.Operators, name: "operators", recorder: log}
 	o.Platform.Members = countingTopic{Topic: o.Platform.Members, name: "members", recorder: log}
 	n := &node{
-		options:  o,
-		clock:    c,
-		recorder: log,
-		records:  make(chan exchanger.Member, maxQueuedRecords),
-		exchangeClient:   newPeerClient(),
-		longPollClient:  newPeerClient(),
-		exchangeRequested:    make(chan struct{}, 1),
+		options:           o,
+		clock:             c,
+		recorder:          log,
+		records:           make(chan exchanger.Member, maxQueuedRecords),
+		exchangeClient:    newPeerClient(),
+		longPollClient:    newPeerClient(),
+		exchangeRequested: make(chan struct{}, 1),
 
 		connections: requester.NewConnections(o.Settings.Descriptors),
 	}
--- a/internal/mesher/mesher_test.go
+++ b/internal/mesher/mesher_test.go
@@ -27,11 +27,11 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// memoryTopic is a keyed topic in memory; while it is away it refuses everything.
+// memoryTopic is a keyed topic in memory; while it is unavailable it refuses all calls.
 type memoryTopic struct {
-	mu      sync.Mutex
-	records []watcher.Record
-	unavailable    bool
+	mu          sync.Mutex
+	records     []watcher.Record
+	unavailable bool
 }
 
 func (m *memoryTopic) setUnavailable(unavailable bool) {
@@ -85,10 +85,10 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// fleet is a store and some nodes with their endpoints.
+// fleet is a simulated store whose topics a test's nodes and their endpoints share.
 type fleet struct {
 	operators, members memoryTopic
-	// work is called for each request that reaches an endpoint, if it is set.
+	// work, if set, is called for each request that reaches an endpoint.
 	work func(r *http.Request)
 }
 
@@ -215,10 +215,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("not reached after 400 checks, 10 ms apart: %s", what)
 }
 
-// firstAnswer asks until there is an answer, since a node opens its listeners only after start has returned.
+// firstAnswer repeats a request until it is answered, since a node opens its listeners only after start has returned.
 func firstAnswer(t *testing.T, ask func() (int, string)) (status int, text string) {
 	t.Helper()
 	eventually(t, "answered", func() bool { status, text = ask(); return status != 0 })
@@ -245,8 +245,8 @@
 	assert.Assert(t, strings.Contains(text, `"beside"`) && !strings.Contains(text, `"k"`))
 }
 
-// The store goes away and comes back. Without it no node can know whether a key was withdrawn, so keyed requests are
-// refused when the last proof has run out, and served again as soon as there is a new one.
+// During an outage of the store no node can know whether a key was withdrawn. Keyed requests must be refused when the last
+// proof has expired, and served again as soon as there is a new one.
 func TestStoreOutage(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -263,7 +263,7 @@
 	eventually(t, "served again", served)
 }
 
-// A faulty configuration is published. The one in force stays, and the next good one is taken.
+// An invalid configuration is published. The old one must stay in force, and the next valid one must replace it.
 func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -278,7 +278,7 @@
 	})
 }
 
-// A node stops as planned while requests keep coming to the other one: none of them is lost.
+// A node performs a planned stop while an entry node goes on sending requests to its service: none of them may be lost.
 func TestPlannedStopLosesNoRequests(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -297,8 +297,8 @@
 	assert.Equal(t, text, "stayer")
 }
 
-// Everything is killed at once while the store is away, and the store comes back later. The nodes must then serve
-// without anybody's help.
+// All nodes start during an outage of the store. When the store is available again, they must serve without an operator's
+// intervention.
 func TestStartWithoutTheStore(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -313,8 +313,8 @@
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
 }
 
-// Callers that are refused come back on new connections and keep the old ones open. A node that kept them all would
-// run out of descriptors: it could accept nothing more, and requests would lie unread for seconds.
+// Refused callers retry on new connections and keep the old ones open. A node that kept all of them would run out of file
+// descriptors: it could accept no connection, and requests would remain unread for seconds.
 func TestManyCallersDoNotExhaustDescriptors(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -339,8 +339,8 @@
 	assert.Assert(t, kept > 10 && kept <= 64, "%d of 200 connections kept", kept)
 }
 
-// A caller sends three lookups at once on one connection and leaves while they are under way, two nodes from the endpoint. The
-// endpoint must not work on for nobody.
+// A caller pipelines three idempotent requests on one connection and disconnects while they are in flight, two nodes
+// away from the endpoint. The endpoint must be cancelled, or it goes on with work of no use.
 func TestPipeliningCallerDisconnects(t *testing.T) {
 	var running, begun atomic.Int64
 	f := &fleet{work: func(r *http.Request) {
@@ -366,7 +366,7 @@
 		assert.NilError(t, err)
 		time.Sleep(20 * time.Millisecond)
 	}
-	eventually(t, "all under way", func() bool { return running.Load() == 3 })
+	eventually(t, "three requests running", func() bool { return running.Load() == 3 })
 	assert.NilError(t, n.Close())
 	left := time.Now()
 	eventually(t, "all cancelled", func() bool { return running.Load() == 0 })
@@ -375,8 +375,8 @@
 	assert.Equal(t, begun.Load(), int64(3))
 }
 
-// An endpoint says that it leaves. By the time that this is acknowledged it must stand in the store: the node may be killed in
-// the next moment, and starts again by what stands there.
+// An endpoint announces that it is leaving. This must be recorded in the store before it is acknowledged: the node may be
+// killed at any time after that, and restarts from the record in the store.
 func TestLeavingIsRecordedBeforeItIsAcknowledged(t *testing.T) {
 	f := &fleet{}
 	n := f.start(t, "beside", "portal")
--- a/internal/mesher/metrics.go
+++ b/internal/mesher/metrics.go
@@ -1,6 +1,6 @@
 package mesher
 
-// The metrics address serves text for scrapers, and the process's own variables as expvar writes them.
+// The metrics address serves metrics as text for scrapers, and the process's expvar variables as JSON.
 //
 // Example: GET /metrics gives jackdawtide_attempts_total{outcome="answered"} 1042 and more.
 
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/conductor"
 )
 
-// addGauges serves what the conductor knows at the moment of asking.
+// addGauges registers gauges that read the conductor's state at each scrape.
 func (n *node) addGauges() {
 	gauge := func(name string, read func(s conductor.State) float64) {
 		n.recorder.Gauge(name, func() float64 {
--- a/internal/mesher/orders.go
+++ b/internal/mesher/orders.go
@@ -1,9 +1,10 @@
 package mesher
 
-// The newest record of each key by which operators give orders is kept, for those that wait for it here and to tell what is
-// in force. A key that was dropped stays with an empty record, which others have to hear of as well.
+// Operators' orders are the records of the operators' topic that nodes follow: the configuration and evacuations. The newest
+// record of each key is kept, to determine what is in force and to answer nodes that wait for it here. A key that was dropped
+// keeps an empty record as a tombstone, which other nodes must receive as well.
 //
-// Example: take of a snapshot without the key of an evacuation that was known before: that key now has an empty record.
+// Example: merge of a snapshot without the key of an evacuation that was known before: that key now has an empty record.
 
 import (
 	"cmp"
@@ -22,21 +23,22 @@
 	changed chan struct{}
 }
 
-// mergedOrders is what was new in an update.
+// mergedOrders are the records of an update that were new.
 type mergedOrders struct {
 	records []watcher.Record
-	// evacuations tells that some of it asks for an evacuation or ends one.
+	// evacuations reports whether one of the records begins or ends an evacuation.
 	evacuations bool
 }
 
-// configurations returns the records of a key that hold something.
+// configurations returns the records of a key that are not empty.
 func (t mergedOrders) configurations(key string) []watcher.Record {
 	return slices.DeleteFunc(slices.Clone(t.records), func(r watcher.Record) bool {
 		return r.Key != key || len(r.Value) == 0
 	})
 }
 
-// merge takes an update over; isOrder tells which keys are followed, and which of them ask for an evacuation.
+// merge adds the records of an update that are newer than the known ones; isOrder reports whether a key is followed, and
+// whether it evacuates a failure domain.
 func (o *orders) merge(u watcher.Update, isOrder func(key string) (followed, evacuation bool)) mergedOrders {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,7 +63,7 @@
 	return t
 }
 
-// tombstones returns empty records for the keys that a snapshot no longer has.
+// tombstones returns empty records for the known keys that are missing from a snapshot.
 func (o *orders) tombstones(u watcher.Update) []watcher.Record {
 	if !u.Snapshot {
 		return nil
@@ -79,7 +81,7 @@
 	return tombstones
 }
 
-// all returns the newest record of each key, in the order of their offsets.
+// all returns the newest record of each key, sorted by offset.
 func (o *orders) all() []watcher.Record {
 	records, _ := o.from(0)
 	return records
@@ -94,7 +96,7 @@
 	return records[len(records)-1].Offset + 1
 }
 
-// from returns the records of an offset and later, or a channel that is closed at the next change.
+// from returns the records at or after an offset, or if there is none, a channel that is closed at the next change.
 func (o *orders) from(offset identifier.Offset) ([]watcher.Record, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,7 +116,7 @@
 	return nil, o.changed
 }
 
-// wait returns the records of an offset and later as soon as there is one, and none when the context ends.
+// wait returns the records at or after an offset as soon as there is one, and none if the context ends first.
 func (o *orders) wait(ctx context.Context, offset identifier.Offset) []watcher.Record {
 	for {
 		records, changed := o.from(offset)
--- a/internal/mesher/orders_test.go
+++ b/internal/mesher/orders_test.go
@@ -17,7 +17,8 @@
 	return watcher.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// The end of an evacuation whose record the store no longer keeps must not be missed: its endpoints would stay unused for good.
+// An evacuation whose record is missing from a snapshot has ended. If this were missed, the domain's endpoints would stay
+// unused permanently.
 func TestKeyMissingFromSnapshotIsDropped(t *testing.T) {
 	var o orders
 	first := o.merge(watcher.Update{Records: []watcher.Record{record("rules", "1", 3), record("east", "{}", 4)}, Next: 5}, isTestOrder)
@@ -34,7 +35,7 @@
 	assert.Equal(t, o.next(), identifier.Offset(9))
 }
 
-// An order that comes late must not undo a later one.
+// An older order that arrives late must not replace a newer one.
 func TestOlderOrderIsIgnored(t *testing.T) {
 	var o orders
 	o.merge(watcher.Update{Records: []watcher.Record{record("east", "", 7), record("other", "x", 8)}, Next: 9}, isTestOrder)
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -1,7 +1,8 @@
 package mesher
 
-// Reports are exchanged twice a second with the failure domain's collector, which answers with everybody's and exchanges with
-// the other domains' more often; a change of the local endpoint is told at once. The same port serves the state dump.
+// Reports are exchanged twice a second with the failure domain's collector, which answers with the reports of all nodes and
+// exchanges with the collectors of other domains more often. A change of the local endpoint starts an exchange at once. The
+// same port serves tokens, operators' orders and the state dump.
 //
 // Example: POST /reports with one report, answered with those of all other nodes that are new.
 
@@ -29,9 +30,9 @@
 )
 
 const (
-	// exchangeTimeout is a few round trips between failure domains, and less than a period.
+	// exchangeTimeout allows a few round trips between failure domains, and is shorter than the period of the exchanges.
 	exchangeTimeout = 400 * clock.Millisecond
-	// maxReportsBytes bounds a bundle: 10,000 nodes at some 200 bytes.
+	// maxReportsBytes is the upper bound of a message with reports: 10,000 nodes need some 200 bytes each.
 	maxReportsBytes = 4 << 20
 )
 
@@ -49,7 +50,7 @@
 func (n *node) exchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		for n.exchangeOnce(ctx) && ctx.Err() == nil {
-			// The node asked gave no answer; the next one is asked at once.
+			// The node gave no answer, so the exchange is attempted with another one at once.
 			continue
 		}
 		var period clock.Duration
@@ -65,7 +66,7 @@
 	}
 }
 
-// exchangeSoon asks for an exchange without waiting for the period's end.
+// exchangeSoon requests an exchange before the end of the current period.
 func (n *node) exchangeSoon() {
 	select {
 	case n.exchangeRequested <- struct{}{}:
@@ -73,7 +74,7 @@
 	}
 }
 
-// exchangeOnce asks one node, and tells whether another one should be asked instead.
+// exchangeOnce exchanges reports with one node, and reports whether to attempt it with another one at once.
 func (n *node) exchangeOnce(ctx context.Context) bool {
 	var exchange conductor.ReportExchange
 	var ok bool
@@ -97,7 +98,7 @@
 	return false
 }
 
-// exchangeReports exchanges reports, and returns the other node's proof of its configuration if it has one.
+// exchangeReports sends a question to a member, and returns its answer and the proof of its configuration if it has one.
 func (n *node) exchangeReports(
 	ctx context.Context,
 	member exchanger.Member,
@@ -166,13 +167,13 @@
 	_, _ = w.Write(answer)
 }
 
-// serveState dumps what the node knows, for an engineer.
+// serveState serves a dump of the node's state for debugging.
 func (n *node) serveState(w http.ResponseWriter, _ *http.Request) {
 	var state conductor.State
 	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { state = c.Dump(now) })
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(state.Fields()); err != nil {
-		n.recorder.Event("state not written", "error", err.Error())
+		n.recorder.Event("state dump not sent", "error", err.Error())
 	}
 }
 
--- a/internal/mesher/record_test.go
+++ b/internal/mesher/record_test.go
@@ -14,11 +14,11 @@
 	"github.com/jackdawtide/jackdawtide/internal/watcher"
 )
 
-// refusingTopic refuses writes until a moment, and counts them.
+// refusingTopic refuses writes until a given time, and records the key of each attempt.
 type refusingTopic struct {
 	memoryTopic
 	attempts chan string
-	until time.Time
+	until    time.Time
 }
 
 func (r *refusingTopic) Write(ctx context.Context, key string, value []byte) error {
@@ -29,8 +29,8 @@
 	return r.memoryTopic.Write(ctx, key, value)
 }
 
-// While the store is away, tries to write a record must grow rare, or a large fleet presses a store that is coming back; a
-// record that has changed is tried at once.
+// During an outage of the store, attempts to write a record must back off, or a large fleet overloads the recovering store. A
+// record that has changed is attempted at once.
 func TestRecordWritesBackOff(t *testing.T) {
 	topic := &refusingTopic{attempts: make(chan string, 100), until: time.Now().Add(3 * time.Second)}
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
@@ -43,7 +43,7 @@
 	n.records <- exchanger.Member{Node: "n", Sequence: 1}
 	go n.writeRecords(ctx)
 	time.Sleep(2800 * time.Millisecond)
-	assert.Assert(t, len(topic.attempts) >= 3 && len(topic.attempts) <= 5, "%d tries", len(topic.attempts))
+	assert.Assert(t, len(topic.attempts) >= 3 && len(topic.attempts) <= 5, "%d attempts", len(topic.attempts))
 	before := len(topic.attempts)
 	n.records <- exchanger.Member{Node: "n", Sequence: 2}
 	time.Sleep(100 * time.Millisecond)
--- a/internal/mesher/relay.go
+++ b/internal/mesher/relay.go
@@ -1,8 +1,8 @@
 package mesher
 
-// What operators order, a new configuration or the evacuation of a failure domain, is read from the store by the fleet's
-// collector, and passed on by the collectors of the failure domains to nodes that wait there for it. Each order would
-// otherwise cost the store a call of every node.
+// Operators' orders, such as a new configuration or the evacuation of a failure domain, are read from the store by the
+// fleet's collector and relayed by the collectors of the failure domains to the nodes that wait for them there.
+// Otherwise each order would cause a call to the store by every node.
 //
 // Example: GET /orders?from=7&waitMilliseconds=28000 is answered with the records from offset 7 on as soon as there is one,
 // or with 204.
@@ -29,11 +29,12 @@
 const (
 	ordersPath    = "/orders"
 	waitParameter = "waitMilliseconds"
-	// collectorRetryPause is the wait after a collector gave no answer: half a period of the exchanges, by which another one is found.
+	// collectorRetryPause is the pause after a collector gave no answer: half a period of the exchanges, which find another
+	// collector.
 	collectorRetryPause = 250 * clock.Millisecond
-	// maxOrdersWait bounds how long a node may wait for orders here.
+	// maxOrdersWait is the longest time for which another node may wait for orders here.
 	maxOrdersWait = 30 * clock.Second
-	// maxOrdersBytes bounds what is passed on at once.
+	// maxOrdersBytes is the upper bound of an answer with orders.
 	maxOrdersBytes = 8 << 20
 )
 
@@ -73,14 +74,14 @@
 	_, _ = w.Write(data)
 }
 
-// relayedTopic reads from a collector while its proofs are enough, and from the store otherwise.
+// relayedTopic reads from a collector while that has a sufficiently fresh proof, and from the store otherwise.
 type relayedTopic struct {
 	watcher.Topic
 	node *node
 }
 
-// Read waits for records at the collector or at the store. A collector that gives no answer is no failure of the store: until
-// another one is found or the proofs have grown old, there is no news.
+// Read waits for records at the collector or at the store. A collector that gives no answer is not a failure of the store: an
+// empty batch is returned until another collector is found or the proofs have become too old.
 func (t relayedTopic) Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
 	source, ok := t.node.configurationSource()
 	if !ok {
@@ -94,7 +95,7 @@
 	return batch, nil
 }
 
-// readStore reads from the store, and if that fails takes what a collector that still answers has.
+// readStore reads from the store, and if that fails, from a collector that still has a proof.
 func (t relayedTopic) readStore(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
 	batch, storeErr := t.Topic.Read(ctx, from, wait)
 	var dropped watcher.DroppedError
@@ -118,8 +119,8 @@
 	return relayed, nil
 }
 
-// retryAtCollector ends the wait after a failed call of the store when a collector has a proof again: a configuration that
-// follows an outage closely would otherwise be late by that wait.
+// retryAtCollector ends the backoff after a failed call to the store once a collector has a proof again: a configuration that
+// is published soon after an outage would otherwise be delayed by that backoff.
 func (n *node) retryAtCollector() {
 	if _, ok := n.configurationSource(); ok {
 		n.configurations.Retry()
@@ -167,7 +168,7 @@
 	}
 	for _, w := range wire {
 		if identifier.Offset(w.Offset) < from {
-			return batch, fmt.Errorf("decode orders: offset %d, asked from %d", w.Offset, from)
+			return batch, fmt.Errorf("decode orders: got offset %d, requested offsets from %d", w.Offset, from)
 		}
 		batch.Records = append(batch.Records, watcher.Record{Key: w.Key, Value: w.Value, Offset: identifier.Offset(w.Offset)})
 	}
--- a/internal/mesher/relay_test.go
+++ b/internal/mesher/relay_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// storeReads are the calls that a node has made to follow the operators' topic, as its metrics tell.
+// storeReads returns how many calls a node has made to the store to watch the operators' topic, read from its metrics.
 func storeReads(n *runningNode) (calls int) {
 	_, text := n.get(n.settings.Listen.Metrics, "/metrics")
 	for line := range strings.Lines(text) {
@@ -32,15 +32,15 @@
 	return strings.TrimRight(after[:min(2, len(after))], ",}")
 }
 
-// Each change of the configuration must reach a node by its collector, not by a call of its own to the store: with hundreds of
-// nodes those calls are the largest price of a day.
+// Each change of the configuration must reach a node through its collector, without a call of its own to the store: with
+// hundreds of nodes those calls would be the largest daily cost.
 func TestConfigurationIsRelayedByCollector(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
 	beside := f.start(t, "beside", "portal")
 	entry := f.start(t, "entry", "desk")
 	eventually(t, "served", func() bool { status, _ := entry.request(); return status == 200 })
-	// The node waits at its collector once it has heard a proof there, and a first read of its own has ended.
+	// The node waits at its collector only after it has received a proof there and its first read at the store has ended.
 	time.Sleep(time.Second)
 	before := storeReads(entry)
 	assert.Assert(t, before > 0)
@@ -52,7 +52,7 @@
 	assert.Assert(t, storeReads(entry) <= before+1, "%d calls before, %d after four changes", before, storeReads(entry))
 }
 
-// The collector is gone without a word: a change must still reach the others in time, by the store.
+// After the collector has gone, a change of the configuration must still reach the other nodes in time, through the store.
 func TestConfigurationIsReadFromStoreWithoutCollector(t *testing.T) {
 	f := &fleet{}
 	assert.NilError(t, f.operators.Write(context.Background(), "rules", []byte("version 1")))
@@ -66,7 +66,7 @@
 	eventually(t, "version 2", func() bool { return versionOf(entry) == "2" })
 }
 
-// A question that can't be read must be refused by field and value.
+// A malformed request for orders must be refused with an error that names the parameter and its value.
 func TestMalformedOrdersRequest(t *testing.T) {
 	f := &fleet{}
 	n := f.start(t, "beside", "portal")
@@ -84,7 +84,8 @@
 	}
 }
 
-// An evacuation, and its end, must reach every node by its collector, and its endpoints get nothing in between.
+// The start and the end of an evacuation must reach every node through its collector, and the evacuated endpoints must get no
+// requests in between.
 func TestEvacuationIsRelayedByCollector(t *testing.T) {
 	f := &fleet{}
 	ctx := context.Background()
@@ -105,7 +106,7 @@
 	assert.Assert(t, storeReads(entry) <= before+1, "%d calls before, %d after", before, storeReads(entry))
 }
 
-// A node that starts during an evacuation must know of it before it sends anything.
+// A node that starts during an evacuation must know of it before it sends its first request.
 func TestEvacuationIsKnownAtTheStart(t *testing.T) {
 	f := &fleet{}
 	ctx := context.Background()
--- a/internal/mesher/reload.go
+++ b/internal/mesher/reload.go
@@ -1,9 +1,9 @@
 package mesher
 
-// Bounds can change under a running node; who the node is and where it listens can't, and a change of that is told to be
-// longPollClient for a restart.
+// Bounds can change while a node runs. Its identity and its addresses can't; if the settings change these, the log says that
+// a restart is needed.
 //
-// Example: revoke goes from 5s to 3s: from then on keys are served on proofs that are at most 3 s old.
+// Example: revoke goes from 5s to 3s: from then on keys are accepted only on proofs that are at most 3 s old.
 
 import (
 	"context"
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -1,9 +1,9 @@
 package mesher
 
-// Two topics of the platform's store are followed: the operators', for the configuration, evacuations and the proof that these
-// are the newest, and the nodes' own, for who is there.
+// Two topics of the platform's store are watched: the operators' topic for the configuration, evacuations and the proof that
+// they are the newest, and the members' topic for the fleet's member records.
 //
-// Example: a configuration that can't be put in force leaves a line with the field that is wrong, and the old one.
+// Example: an invalid configuration is refused with a log line that names the invalid field; the old one stays in force.
 
 import (
 	"context"
@@ -18,17 +18,17 @@
 )
 
 const (
-	// maxStoreLateness is how much later than asked an answer may come: the store's round trip of some 10 ms, sixty times
-	// as much on its slow days.
+	// maxStoreLateness is how much later than the requested wait an answer of the store may arrive: its round trip takes some
+	// 10 ms, and sixty times as long when it is slow.
 	maxStoreLateness = 700 * clock.Millisecond
-	// membersReadWait is how long a read of the members waits; nothing is proved by it, so only its price counts, and it is
-	// the longest that stores of this kind allow.
+	// membersReadWait is how long a read of the members' topic waits. Such a read proves nothing, so only its cost matters,
+	// and the wait is the longest that stores of this kind allow.
 	membersReadWait = 30 * clock.Second
-	// membersReadPause gathers the records of nodes that start together: 14 nodes that read each by itself made 266 calls in
-	// their first 15 s. Changes while they run come with the reports.
+	// membersReadPause is the pause between two reads, which collects the records of nodes that start together: without
+	// it, 14 nodes made 266 calls in their first 15 s. Later changes arrive with the reports.
 	membersReadPause = clock.Second
-	// configurationReadPause gathers configurations that come in quick succession. A fifth of the time in which a change must be in
-	// force.
+	// configurationReadPause is the pause between two reads, which collects configurations that are published in quick
+	// succession. It is a fifth of the time within which a change must be in force.
 	configurationReadPause = 400 * clock.Millisecond
 )
 
@@ -49,14 +49,16 @@
 	})
 }
 
-// relayedBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
-// come with the reports, soon after the collector has them. Trying like a collector, 195 nodes would make a thousand calls
-// in an outage of some seconds.
+// relayedBackoff is the backoff between failed calls to the store for a node that gets proofs and members from a collector:
+// they come with the reports, soon after the collector has them. With a collector's shorter backoff, 195 nodes would make a
+// thousand calls in an outage of some seconds.
 var relayedBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Most: 4 * clock.Second, Factor: 20}
 
 func (n *node) storeBackoff() watcher.Backoff {
 	reliedOn := false
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { reliedOn = c.FollowsStore(now) || c.CollectsForDomain(now) })
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) {
+		reliedOn = c.FollowsStore(now) || c.CollectsForDomain(now)
+	})
 	if reliedOn {
 		return watcher.DefaultBackoff
 	}
@@ -79,7 +81,7 @@
 	}
 	if len(merged.records) > 0 {
 		n.relayer.ApplyEvent(conductor.OrdersRead{Next: n.orders.next()})
-		// Its collector's proof comes at once, so that the node need not ask the store for its own.
+		// The exchange fetches the collector's proof at once, so that the node need not read its own from the store.
 		n.exchangeSoon()
 	}
 	if !u.Complete {
@@ -90,7 +92,7 @@
 	n.relayer.ApplyEvent(conductor.ConfigurationProved{Version: version, AsOf: u.AsOf})
 }
 
-// isOrder tells whether a key is one that nodes follow, and whether it asks for an evacuation.
+// isOrder reports whether nodes follow a key, and whether the key evacuates a failure domain.
 func (n *node) isOrder(key string) (followed, evacuation bool) {
 	if n.options.Platform.EvacuatedDomain != nil {
 		_, evacuation = n.options.Platform.EvacuatedDomain(key)
@@ -98,7 +100,7 @@
 	return evacuation || key == n.options.Platform.ConfigurationKey, evacuation
 }
 
-// applyEvacuations puts in force which failure domains are evacuated.
+// applyEvacuations puts the evacuations in the known orders in force.
 func (n *node) applyEvacuations() {
 	domains := []identifier.FailureDomain{}
 	newest := identifier.Offset(-1)
@@ -183,8 +185,8 @@
 	}
 }
 
-// publish queues this node's record; when the queue is full the oldest change makes room, since only the newest
-// counts.
+// publish queues this node's member record for writing. If the queue is full, the oldest change is dropped, since only the
+// newest counts.
 func (n *node) publish(m exchanger.Member) {
 	for {
 		select {
@@ -201,14 +203,15 @@
 }
 
 const (
-	// writeTimeout bounds one write of the record.
+	// writeTimeout is the timeout of one write of the record.
 	writeTimeout = clock.Second
-	// firstWritePause and longestWritePause bound the wait before the next try: a record is back soon after the store is.
-	firstWritePause   = 300 * clock.Millisecond
-	maxWritePause = 1500 * clock.Millisecond
+	// firstWritePause and maxWritePause bound the backoff between attempts to write the record; the upper bound is short so
+	// that the record is written soon after the store has recovered.
+	firstWritePause = 300 * clock.Millisecond
+	maxWritePause   = 1500 * clock.Millisecond
 )
 
-// writeRecords writes the newest of this node's records, and tries again until it is written or a newer one comes.
+// writeRecords writes this node's newest member record, and retries until it is written or replaced by a newer one.
 func (n *node) writeRecords(ctx context.Context) {
 	for {
 		select {
@@ -223,15 +226,18 @@
 }
 
 const (
-	// recordTimeout is how long the acknowledgement of an endpoint's leaving waits for the record: less than half of the second
-	// in which it must come. While the store is away the leaving is acknowledged without.
+	// recordTimeout is how long the acknowledgement of a leaving endpoint waits for the record to be written: less than
+	// half of the second within which the acknowledgement must arrive. During an outage of the store the leaving is
+	// acknowledged although the record is not written.
 	recordTimeout = 400 * clock.Millisecond
-	// recordPollPeriod is the time between two looks; a write takes 4 ms on a calm day.
+	// recordPollPeriod is the time between two checks whether the record is written; a write takes 4 ms when the store
+	// is not busy.
 	recordPollPeriod = 3 * clock.Millisecond
 )
 
-// awaitRecord waits until this node's present record is in the store. A node that is killed right after it acknowledged
-// that its endpoint leaves starts again by that record, and must not take the endpoint for one that stays.
+// awaitRecord waits until this node's current member record is in the store, for at most recordTimeout. A node that is killed
+// right after it acknowledged that its endpoint is leaving restarts from that record, and must not treat the endpoint as
+// available.
 func (n *node) awaitRecord() {
 	var want int64
 	n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { want = c.Self().Sequence })
@@ -240,11 +246,11 @@
 	}
 }
 
-// writeRecord tries until the record is written. It ends early with a newer record, which is to be written instead.
+// writeRecord retries until the record is written. If a newer record arrives first, it returns that record and true.
 func (n *node) writeRecord(ctx context.Context, m exchanger.Member) (exchanger.Member, bool) {
 	data, err := exchanger.EncodeMember(m)
 	if err != nil {
-		n.recorder.Event("record not encoded", "error", err.Error())
+		n.recorder.Event("member record not encoded; not written", "error", err.Error())
 		return m, false
 	}
 	for pause := firstWritePause; ctx.Err() == nil; pause = min(maxWritePause, 2*pause) {
