--- a/internal/relayer/handover_test.go
+++ b/internal/relayer/handover_test.go
@@ -123,7 +123,7 @@
 	assert.NilError(t, err)
 	held, err := newReplayable(request)
 	assert.NilError(t, err)
-	order := func() conductor.Outcome {
+	attempt := func() conductor.Outcome {
 		out := &requester.Request{Method: http.MethodPost, URI: "/obs/1", Host: "h.example", Header: http.Header{}}
 		out.Body, out.Length = held.reader()
 		a := entry.forward(context.Background(), conductor.Send{
@@ -134,9 +134,9 @@
 		return a.outcome
 	}
 	// The node in the other domain has one token at first.
-	assert.Equal(t, order(), conductor.Answered)
+	assert.Equal(t, attempt(), conductor.Answered)
 	before := crossingBytes(t, entry, "sent")
-	assert.Equal(t, order(), conductor.Over)
+	assert.Equal(t, attempt(), conductor.Over)
 	assert.Assert(t, crossingBytes(t, entry, "sent")-before < 1000)
 	assert.Equal(t, e.count(), 1)
 }
