--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -24,11 +24,11 @@
 	// membersReadWait is how long a read of the members' topic waits. Such a read proves nothing, so only its cost matters,
 	// and the wait is the longest that stores of this kind allow.
 	membersReadWait = 30 * clock.Second
-	// membersReadPause is the pause between two reads, which collects the records of nodes that start together: without
-	// it, 14 nodes made 266 calls in their first 15 s. Later changes arrive with the reports.
+	// membersReadPause is the pause after a read that returned records, so that the next read collects those of nodes
+	// that start together: without it, 14 nodes made 266 calls in their first 15 s. Later changes arrive with the reports.
 	membersReadPause = clock.Second
-	// configurationReadPause is the pause between two reads, which collects configurations that are published in quick
-	// succession. It is a fifth of the time within which a change must be in force.
+	// configurationReadPause is the pause after a read that returned records, so that the next read collects
+	// configurations that are published in quick succession. It is a fifth of the time within which a change must be in force.
 	configurationReadPause = 400 * clock.Millisecond
 )
 
