--- a/internal/mesher/orders.go
+++ b/internal/mesher/orders.go
@@ -1,9 +1,10 @@
 package mesher
 
-// The newest record of each key by which operators give orders is kept, for those that wait for it here and to tell what is
-// in force. A key that was dropped stays with an empty record, which others have to hear of as well.
+// Operators' orders are the records of the operators' topic that nodes follow: the configuration and evacuations. The newest
+// record of each key is kept, to determine what is in force and to answer nodes that wait for it here. A key that was dropped
+// keeps an empty record as a tombstone, which other nodes must receive as well.
 //
-// Example: take of a snapshot without the key of an evacuation that was known before: that key now has an empty record.
+// Example: merge of a snapshot without the key of an evacuation that was known before: that key now has an empty record.
 
 import (
 	"cmp"
@@ -22,29 +23,30 @@
 	changed chan struct{}
 }
 
-// taken is what was new in an update.
-type taken struct {
+// mergedOrders are the records of an update that were new.
+type mergedOrders struct {
 	records []watcher.Record
-	// evacuations tells that some of it asks for an evacuation or ends one.
+	// evacuations reports whether one of the records begins or ends an evacuation.
 	evacuations bool
 }
 
-// configurations returns the records of a key that hold something.
-func (t taken) configurations(key string) []watcher.Record {
+// configurations returns the records of a key that are not empty.
+func (t mergedOrders) configurations(key string) []watcher.Record {
 	return slices.DeleteFunc(slices.Clone(t.records), func(r watcher.Record) bool {
 		return r.Key != key || len(r.Value) == 0
 	})
 }
 
-// take takes an update over; isOrder tells which keys are followed, and which of them ask for an evacuation.
-func (o *orders) take(u watcher.Update, isOrder func(key string) (followed, evacuation bool)) taken {
+// merge adds the records of an update that are newer than the known ones; isOrder reports whether a key is followed, and
+// whether it evacuates a failure domain.
+func (o *orders) merge(u watcher.Update, isOrder func(key string) (followed, evacuation bool)) mergedOrders {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.records == nil {
 		o.records = map[string]watcher.Record{}
 	}
-	var t taken
-	for _, r := range append(u.Records, o.dropped(u)...) {
+	var t mergedOrders
+	for _, r := range append(u.Records, o.tombstones(u)...) {
 		followed, evacuation := isOrder(r.Key)
 		known, ok := o.records[r.Key]
 		if !followed || ok && r.Offset <= known.Offset {
@@ -61,25 +63,25 @@
 	return t
 }
 
-// dropped returns empty records for the keys that a snapshot no longer has.
-func (o *orders) dropped(u watcher.Update) []watcher.Record {
+// tombstones returns empty records for the known keys that are missing from a snapshot.
+func (o *orders) tombstones(u watcher.Update) []watcher.Record {
 	if !u.Snapshot {
 		return nil
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range u.Records {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
-	var dropped []watcher.Record
+	var tombstones []watcher.Record
 	for key, r := range o.records {
-		if !there[key] && len(r.Value) > 0 {
-			dropped = append(dropped, watcher.Record{Key: key, Offset: max(r.Offset+1, u.Next-1)})
+		if !present[key] && len(r.Value) > 0 {
+			tombstones = append(tombstones, watcher.Record{Key: key, Offset: max(r.Offset+1, u.Next-1)})
 		}
 	}
-	return dropped
+	return tombstones
 }
 
-// all returns the newest record of each key, in the order of their offsets.
+// all returns the newest record of each key, sorted by offset.
 func (o *orders) all() []watcher.Record {
 	records, _ := o.from(0)
 	return records
@@ -94,7 +96,7 @@
 	return records[len(records)-1].Offset + 1
 }
 
-// from returns the records of an offset and later, or a channel that is closed at the next change.
+// from returns the records at or after an offset, or if there is none, a channel that is closed at the next change.
 func (o *orders) from(offset identifier.Offset) ([]watcher.Record, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,7 +116,7 @@
 	return nil, o.changed
 }
 
-// wait returns the records of an offset and later as soon as there is one, and none when the context ends.
+// wait returns the records at or after an offset as soon as there is one, and none if the context ends first.
 func (o *orders) wait(ctx context.Context, offset identifier.Offset) []watcher.Record {
 	for {
 		records, changed := o.from(offset)
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -1,7 +1,8 @@
 package mesher
 
-// Reports are exchanged twice a second with the failure domain's collector, which answers with everybody's and exchanges with
-// the other domains' more often; a change of the local endpoint is told at once. The same port serves the state dump.
+// Reports are exchanged twice a second with the failure domain's collector, which answers with the reports of all nodes and
+// exchanges with the collectors of other domains more often. A change of the local endpoint starts an exchange at once. The
+// same port serves tokens, operators' orders and the state dump.
 //
 // Example: POST /reports with one report, answered with those of all other nodes that are new.
 
@@ -29,10 +30,10 @@
 )
 
 const (
-	// exchangeTimeout is a few round trips between failure domains, and less than a period.
+	// exchangeTimeout allows a few round trips between failure domains, and is shorter than the period of the exchanges.
 	exchangeTimeout = 400 * clock.Millisecond
-	// largestReports bounds a bundle: 10,000 nodes at some 200 bytes.
-	largestReports = 4 << 20
+	// maxReportsBytes is the upper bound of a message with reports: 10,000 nodes need some 200 bytes each.
+	maxReportsBytes = 4 << 20
 )
 
 func newPeerClient() *http.Client {
@@ -49,7 +50,7 @@
 func (n *node) exchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		for n.exchangeOnce(ctx) && ctx.Err() == nil {
-			// The node asked gave no answer; the next one is asked at once.
+			// The node gave no answer, so the exchange is attempted with another one at once.
 			continue
 		}
 		var period clock.Duration
@@ -59,46 +60,46 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-n.asked:
+		case <-n.exchangeRequested:
 		}
 		timer.Stop()
 	}
 }
 
-// exchangeSoon asks for an exchange without waiting for the period's end.
+// exchangeSoon requests an exchange before the end of the current period.
 func (n *node) exchangeSoon() {
 	select {
-	case n.asked <- struct{}{}:
+	case n.exchangeRequested <- struct{}{}:
 	default:
 	}
 }
 
-// exchangeOnce asks one node, and tells whether another one should be asked instead.
+// exchangeOnce exchanges reports with one node, and reports whether to attempt it with another one at once.
 func (n *node) exchangeOnce(ctx context.Context) bool {
-	var asking conductor.ReportExchange
+	var exchange conductor.ReportExchange
 	var ok bool
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { asking, ok = c.Ask(now) })
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { exchange, ok = c.Ask(now) })
 	if !ok {
 		return false
 	}
 	limited, cancel := context.WithTimeout(ctx, exchangeTimeout.Std())
 	defer cancel()
-	node := asking.Member.Node
-	answer, proof, err := n.ask(limited, asking.Member, asking.Question)
+	node := exchange.Member.Node
+	answer, proof, err := n.exchangeReports(limited, exchange.Member, exchange.Question)
 	if err != nil {
 		n.recorder.Dependency("reports", err)
-		n.relayer.Tell(conductor.PeerFailed{Node: node, Sought: asking.Seeks})
-		return !asking.Seeks
+		n.relayer.ApplyEvent(conductor.PeerFailed{Node: node, Sought: exchange.Seeks})
+		return !exchange.Seeks
 	}
-	n.relayer.Tell(conductor.PeerAnswered{Node: node, Answer: answer})
+	n.relayer.ApplyEvent(conductor.PeerAnswered{Node: node, Answer: answer})
 	if proof != nil {
-		n.relayer.Tell(*proof)
+		n.relayer.ApplyEvent(*proof)
 	}
 	return false
 }
 
-// ask exchanges reports, and returns the other node's proof of its configuration if it has one.
-func (n *node) ask(
+// exchangeReports sends a question to a member, and returns its answer and the proof of its configuration if it has one.
+func (n *node) exchangeReports(
 	ctx context.Context,
 	member exchanger.Member,
 	question exchanger.Question,
@@ -107,17 +108,17 @@
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	asked := clock.Boot{}.Now()
+	requestedAt := clock.Boot{}.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member.PeerAddress+"/reports", bytes.NewReader(body))
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	response, err := n.client.Do(request)
+	response, err := n.exchangeClient.Do(request)
 	if err != nil {
 		return exchanger.Answer{}, nil, fmt.Errorf("exchange reports: %w", err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, largestReports))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxReportsBytes))
 	if err != nil {
 		return exchanger.Answer{}, nil, fmt.Errorf("read reports: %w", err)
 	}
@@ -128,7 +129,7 @@
 	if err != nil {
 		return exchanger.Answer{}, nil, err
 	}
-	proof, ok := relayer.ReadProof(response.Header, asked)
+	proof, ok := relayer.ReadProof(response.Header, requestedAt)
 	if !ok {
 		return answer, nil, nil
 	}
@@ -145,7 +146,7 @@
 }
 
 func (n *node) serveReports(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, largestReports))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxReportsBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -155,9 +156,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var told exchanger.Answer
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { told = c.Answer(question, now) })
-	answer, err := exchanger.EncodeAnswer(told)
+	var reply exchanger.Answer
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { reply = c.Answer(question, now) })
+	answer, err := exchanger.EncodeAnswer(reply)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -166,26 +167,26 @@
 	_, _ = w.Write(answer)
 }
 
-// serveState dumps what the node knows, for an engineer.
+// serveState serves a dump of the node's state for debugging.
 func (n *node) serveState(w http.ResponseWriter, _ *http.Request) {
 	var state conductor.State
 	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { state = c.Dump(now) })
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(state.Fields()); err != nil {
-		n.recorder.Event("state not written", "error", err.Error())
+		n.recorder.Event("state dump not sent", "error", err.Error())
 	}
 }
 
 func (n *node) announcements() http.Handler {
-	return n.options.Outside.Announcements(
+	return n.options.Platform.Announcements(
 		func(a registrar.Announcement) {
-			n.relayer.Tell(conductor.EndpointAnnounced{Announcement: a})
+			n.relayer.ApplyEvent(conductor.EndpointAnnounced{Announcement: a})
 			if a.Leaving {
 				n.awaitRecord()
 			}
 		},
 		func(id identifier.Endpoint) {
-			n.relayer.Tell(conductor.EndpointRemoved{Endpoint: id})
+			n.relayer.ApplyEvent(conductor.EndpointRemoved{Endpoint: id})
 			n.awaitRecord()
 		},
 		func(err error) { n.recorder.Event("heartbeat refused", "error", err.Error()) },
--- a/internal/mesher/relay.go
+++ b/internal/mesher/relay.go
@@ -1,8 +1,8 @@
 package mesher
 
-// What operators order, a new configuration or the evacuation of a failure domain, is read from the store by the fleet's
-// collector, and passed on by the collectors of the failure domains to nodes that wait there for it. Each order would
-// otherwise cost the store a call of every node.
+// Operators' orders, such as a new configuration or the evacuation of a failure domain, are read from the store by the
+// fleet's collector and relayed by the collectors of the failure domains to the nodes that wait for them there.
+// Otherwise each order would cause a call to the store by every node.
 //
 // Example: GET /orders?from=7&waitMilliseconds=28000 is answered with the records from offset 7 on as soon as there is one,
 // or with 204.
@@ -29,12 +29,13 @@
 const (
 	ordersPath    = "/orders"
 	waitParameter = "waitMilliseconds"
-	// relayPause is the wait after a collector gave no answer: half a period of the exchanges, by which another one is found.
-	relayPause = 250 * clock.Millisecond
-	// longestRelay bounds how long a node may wait for orders here.
-	longestRelay = 30 * clock.Second
-	// largestOrders bounds what is passed on at once.
-	largestOrders = 8 << 20
+	// collectorRetryPause is the pause after a collector gave no answer: half a period of the exchanges, which find another
+	// collector.
+	collectorRetryPause = 250 * clock.Millisecond
+	// maxOrdersWait is the longest time for which another node may wait for orders here.
+	maxOrdersWait = 30 * clock.Second
+	// maxOrdersBytes is the upper bound of an answer with orders.
+	maxOrdersBytes = 8 << 20
 )
 
 type wireRecord struct {
@@ -54,7 +55,7 @@
 		http.Error(w, fmt.Sprintf("%s: %q is not a time", waitParameter, r.FormValue(waitParameter)), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(clock.Duration(wait), longestRelay).Std())
+	ctx, cancel := context.WithTimeout(r.Context(), min(clock.Duration(wait), maxOrdersWait).Std())
 	defer cancel()
 	records := n.orders.wait(ctx, identifier.Offset(from))
 	if len(records) == 0 {
@@ -73,14 +74,14 @@
 	_, _ = w.Write(data)
 }
 
-// relayedTopic reads from a collector while its proofs are enough, and from the store otherwise.
+// relayedTopic reads from a collector while that has a sufficiently fresh proof, and from the store otherwise.
 type relayedTopic struct {
 	watcher.Topic
 	node *node
 }
 
-// Read waits for records at the collector or at the store. A collector that gives no answer is no failure of the store: until
-// another one is found or the proofs have grown old, there is no news.
+// Read waits for records at the collector or at the store. A collector that gives no answer is not a failure of the store: an
+// empty batch is returned until another collector is found or the proofs have become too old.
 func (t relayedTopic) Read(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
 	source, ok := t.node.configurationSource()
 	if !ok {
@@ -89,37 +90,37 @@
 	batch, err := t.node.readRelayed(ctx, source, from, wait)
 	if err != nil && ctx.Err() == nil {
 		t.node.recorder.Dependency("orders at node "+string(source.Node), err)
-		clock.Sleep(ctx, relayPause.Std())
+		clock.Sleep(ctx, collectorRetryPause.Std())
 	}
 	return batch, nil
 }
 
-// readStore reads from the store, and if that fails takes what a collector that still answers has.
+// readStore reads from the store, and if that fails, from a collector that still has a proof.
 func (t relayedTopic) readStore(ctx context.Context, from identifier.Offset, wait clock.Duration) (watcher.Batch, error) {
-	batch, failed := t.Topic.Read(ctx, from, wait)
+	batch, storeErr := t.Topic.Read(ctx, from, wait)
 	var dropped watcher.DroppedError
-	if failed == nil || errors.As(failed, &dropped) {
-		return batch, failed
+	if storeErr == nil || errors.As(storeErr, &dropped) {
+		return batch, storeErr
 	}
 	var source exchanger.Member
 	known := false
 	boot := clock.Boot{}.Now()
 	t.node.relayer.View(func(c *conductor.Conductor, now clock.Time) { source, known = c.ProvingNode(now, boot) })
 	if !known {
-		return batch, failed
+		return batch, storeErr
 	}
 	relayed, err := t.node.readRelayed(ctx, source, from, 0)
 	if err != nil {
 		t.node.recorder.Dependency("orders at node "+string(source.Node), err)
 	}
 	if len(relayed.Records) == 0 {
-		return batch, failed
+		return batch, storeErr
 	}
 	return relayed, nil
 }
 
-// retryAtCollector ends the wait after a failed call of the store when a collector has a proof again: a configuration that
-// follows an outage closely would otherwise be late by that wait.
+// retryAtCollector ends the backoff after a failed call to the store once a collector has a proof again: a configuration that
+// is published soon after an outage would otherwise be delayed by that backoff.
 func (n *node) retryAtCollector() {
 	if _, ok := n.configurationSource(); ok {
 		n.configurations.Retry()
@@ -145,12 +146,12 @@
 	if err != nil {
 		return batch, err
 	}
-	response, err := n.waiting.Do(request)
+	response, err := n.longPollClient.Do(request)
 	if err != nil {
 		return batch, fmt.Errorf("wait for orders: %w", err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, largestOrders))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxOrdersBytes))
 	if err != nil {
 		return batch, fmt.Errorf("read orders: %w", err)
 	}
@@ -167,7 +168,7 @@
 	}
 	for _, w := range wire {
 		if identifier.Offset(w.Offset) < from {
-			return batch, fmt.Errorf("decode orders: offset %d, asked from %d", w.Offset, from)
+			return batch, fmt.Errorf("decode orders: got offset %d, requested offsets from %d", w.Offset, from)
 		}
 		batch.Records = append(batch.Records, watcher.Record{Key: w.Key, Value: w.Value, Offset: identifier.Offset(w.Offset)})
 	}
--- a/internal/mesher/reload.go
+++ b/internal/mesher/reload.go
@@ -1,9 +1,9 @@
 package mesher
 
-// Bounds can change under a running node; who the node is and where it listens can't, and a change of that is told to be
-// waiting for a restart.
+// Bounds can change while a node runs. Its identity and its addresses can't; if the settings change these, the log says that
+// a restart is needed.
 //
-// Example: revoke goes from 5s to 3s: from then on keys are served on proofs that are at most 3 s old.
+// Example: revoke goes from 5s to 3s: from then on keys are accepted only on proofs that are at most 3 s old.
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 )
 
 func (n *node) reload(ctx context.Context) {
-	if n.options.Follow == nil {
+	if n.options.WatchSettings == nil {
 		return
 	}
-	n.options.Follow(ctx, n.takeSettings, func(err error) {
+	n.options.WatchSettings(ctx, n.applySettings, func(err error) {
 		n.recorder.Event("settings refused", "error", err.Error())
 	})
 }
 
-func (n *node) takeSettings(s loader.Sidecar) {
+func (n *node) applySettings(s loader.Sidecar) {
 	old := n.options.Settings
 	restart := s.Listen != old.Listen || s.Endpoint != old.Endpoint || s.Store != old.Store ||
 		s.Name != old.Name || s.Service != old.Service || s.Domain != old.Domain
-	n.relayer.Tell(conductor.BoundsChanged{Bounds: boundsOf(s.Bounds)})
+	n.relayer.ApplyEvent(conductor.BoundsChanged{Bounds: boundsOf(s.Bounds)})
 	n.recorder.Event("settings reloaded", "revokeMs", int64(s.Bounds.Revoke), "needsRestart", restart)
 }
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -1,9 +1,9 @@
 package mesher
 
-// Two topics of the platform's store are followed: the operators', for the configuration, evacuations and the proof that these
-// are the newest, and the nodes' own, for who is there.
+// Two topics of the platform's store are watched: the operators' topic for the configuration, evacuations and the proof that
+// they are the newest, and the members' topic for the fleet's member records.
 //
-// Example: a configuration that can't be put in force leaves a line with the field that is wrong, and the old one.
+// Example: an invalid configuration is refused with a log line that names the invalid field; the old one stays in force.
 
 import (
 	"context"
@@ -18,30 +18,30 @@
 )
 
 const (
-	// storeSlack is how much later than asked an answer may come: the store's round trip of some 10 ms, sixty times
-	// as much on its slow days.
-	storeSlack = 700 * clock.Millisecond
-	// membersWait is how long a read of the members waits; nothing is proved by it, so only its price counts, and it is
-	// the longest that stores of this kind allow.
-	membersWait = 30 * clock.Second
-	// membersRest gathers the records of nodes that start together: 14 nodes that read each by itself made 266 calls in
-	// their first 15 s. Changes while they run come with the reports.
-	membersRest = clock.Second
-	// configurationRest gathers configurations that come in quick succession. A fifth of the time in which a change must be in
-	// force.
-	configurationRest = 400 * clock.Millisecond
+	// maxStoreLateness is how much later than the requested wait an answer of the store may arrive: its round trip takes some
+	// 10 ms, and sixty times as long when it is slow.
+	maxStoreLateness = 700 * clock.Millisecond
+	// membersReadWait is how long a read of the members' topic waits. Such a read proves nothing, so only its cost matters,
+	// and the wait is the longest that stores of this kind allow.
+	membersReadWait = 30 * clock.Second
+	// membersReadPause is the pause after a read that returned records, so that the next read collects those of nodes
+	// that start together: without it, 14 nodes made 266 calls in their first 15 s. Later changes arrive with the reports.
+	membersReadPause = clock.Second
+	// configurationReadPause is the pause after a read that returned records, so that the next read collects
+	// configurations that are published in quick succession. It is a fifth of the time within which a change must be in force.
+	configurationReadPause = 400 * clock.Millisecond
 )
 
 func (n *node) newConfigurationWatcher() *watcher.Watcher {
 	return watcher.New(watcher.Options{
-		Topic:             relayedTopic{Topic: n.options.Outside.Operators, node: n},
+		Topic:             relayedTopic{Topic: n.options.Platform.Operators, node: n},
 		Wait:              n.readWait,
-		PauseAfterRecords: configurationRest,
-		Slack:             storeSlack,
+		PauseAfterRecords: configurationReadPause,
+		Slack:             maxStoreLateness,
 
 		Backoff:  n.storeBackoff,
 		Now:      clock.Boot{}.Now,
-		OnUpdate: n.takeOrders,
+		OnUpdate: n.applyOrders,
 		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "operators", "error", err.Error())
 		},
@@ -49,18 +49,20 @@
 	})
 }
 
-// coveredBackoff is the wait between failed calls of the store for a node that a collector tells of proofs and members: those
-// come with the reports, soon after the collector has them. Trying like a collector, 195 nodes would make a thousand calls
-// in an outage of some seconds.
-var coveredBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Max: 4 * clock.Second, Factor: 20}
+// relayedBackoff is the backoff between failed calls to the store for a node that gets proofs and members from a collector:
+// they come with the reports, soon after the collector has them. With a collector's shorter backoff, 195 nodes would make a
+// thousand calls in an outage of some seconds.
+var relayedBackoff = watcher.Backoff{First: 100 * clock.Millisecond, Max: 4 * clock.Second, Factor: 20}
 
 func (n *node) storeBackoff() watcher.Backoff {
-	relied := false
-	n.relayer.View(func(c *conductor.Conductor, now clock.Time) { relied = c.FollowsStore(now) || c.CollectsForDomain(now) })
-	if relied {
+	reliedOn := false
+	n.relayer.View(func(c *conductor.Conductor, now clock.Time) {
+		reliedOn = c.FollowsStore(now) || c.CollectsForDomain(now)
+	})
+	if reliedOn {
 		return watcher.DefaultBackoff
 	}
-	return coveredBackoff
+	return relayedBackoff
 }
 
 func (n *node) readWait() (wait clock.Duration) {
@@ -69,17 +71,17 @@
 	return wait
 }
 
-func (n *node) takeOrders(u watcher.Update) {
-	taken := n.orders.take(u, n.isOrder)
-	for _, r := range taken.configurations(n.options.Outside.ConfigurationKey) {
-		n.readConfiguration(r)
+func (n *node) applyOrders(u watcher.Update) {
+	merged := n.orders.merge(u, n.isOrder)
+	for _, r := range merged.configurations(n.options.Platform.ConfigurationKey) {
+		n.applyConfiguration(r)
 	}
-	if taken.evacuations {
-		n.takeEvacuations()
+	if merged.evacuations {
+		n.applyEvacuations()
 	}
-	if len(taken.records) > 0 {
-		n.relayer.Tell(conductor.OrdersRead{Next: n.orders.next()})
-		// Its collector's proof comes at once, so that the node need not ask the store for its own.
+	if len(merged.records) > 0 {
+		n.relayer.ApplyEvent(conductor.OrdersRead{Next: n.orders.next()})
+		// The exchange fetches the collector's proof at once, so that the node need not read its own from the store.
 		n.exchangeSoon()
 	}
 	if !u.Complete {
@@ -87,23 +89,23 @@
 	}
 	var version identifier.Version
 	n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { version = c.Version() })
-	n.relayer.Tell(conductor.ConfigurationProved{Version: version, AsOf: u.AsOf})
+	n.relayer.ApplyEvent(conductor.ConfigurationProved{Version: version, AsOf: u.AsOf})
 }
 
-// isOrder tells whether a key is one that nodes follow, and whether it asks for an evacuation.
+// isOrder reports whether nodes follow a key, and whether the key evacuates a failure domain.
 func (n *node) isOrder(key string) (followed, evacuation bool) {
-	if n.options.Outside.EvacuatedDomain != nil {
-		_, evacuation = n.options.Outside.EvacuatedDomain(key)
+	if n.options.Platform.EvacuatedDomain != nil {
+		_, evacuation = n.options.Platform.EvacuatedDomain(key)
 	}
-	return evacuation || key == n.options.Outside.ConfigurationKey, evacuation
+	return evacuation || key == n.options.Platform.ConfigurationKey, evacuation
 }
 
-// takeEvacuations puts in force which failure domains are evacuated.
-func (n *node) takeEvacuations() {
+// applyEvacuations puts the evacuations in the known orders in force.
+func (n *node) applyEvacuations() {
 	domains := []identifier.FailureDomain{}
 	newest := identifier.Offset(-1)
 	for _, r := range n.orders.all() {
-		domain, ok := n.options.Outside.EvacuatedDomain(r.Key)
+		domain, ok := n.options.Platform.EvacuatedDomain(r.Key)
 		if !ok {
 			continue
 		}
@@ -113,14 +115,14 @@
 		}
 	}
 	n.recorder.Event("evacuations read", "domains", domains, "offset", int64(newest))
-	n.relayer.Tell(conductor.DomainsEvacuated{Domains: domains})
+	n.relayer.ApplyEvent(conductor.DomainsEvacuated{Domains: domains})
 }
 
-func (n *node) readConfiguration(r watcher.Record) {
+func (n *node) applyConfiguration(r watcher.Record) {
 	refuse := func(err error) {
 		n.recorder.Event("configuration refused", "offset", int64(r.Offset), "error", err.Error())
 	}
-	configuration, err := n.options.Outside.Decode(r.Value)
+	configuration, err := n.options.Platform.Decode(r.Value)
 	if err != nil {
 		refuse(err)
 		return
@@ -134,21 +136,21 @@
 		refuse(err)
 		return
 	}
-	n.relayer.Tell(conductor.ConfigurationRead{Matcher: m, At: clock.Boot{}.Now()})
+	n.relayer.ApplyEvent(conductor.ConfigurationRead{Matcher: m, At: clock.Boot{}.Now()})
 	n.recorder.Event("configuration read", "version", int64(m.Version()), "offset", int64(r.Offset))
 }
 
 func (n *node) watchMembers(ctx context.Context) {
 	w := watcher.New(watcher.Options{
-		Topic:             n.options.Outside.Members,
-		Wait:              func() clock.Duration { return membersWait },
+		Topic:             n.options.Platform.Members,
+		Wait:              func() clock.Duration { return membersReadWait },
 		Need:              n.followsStore,
-		PauseAfterRecords: membersRest,
-		Slack:             storeSlack,
+		PauseAfterRecords: membersReadPause,
+		Slack:             maxStoreLateness,
 
 		Backoff:  n.storeBackoff,
 		Now:      clock.Boot{}.Now,
-		OnUpdate: n.takeMembers,
+		OnUpdate: n.applyMembers,
 		OnLost: func(err error) {
 			n.recorder.Event("store lost", "topic", "members", "error", err.Error())
 		},
@@ -162,10 +164,10 @@
 	return follows
 }
 
-func (n *node) takeMembers(u watcher.Update) {
+func (n *node) applyMembers(u watcher.Update) {
 	for _, r := range u.Records {
 		if len(r.Value) == 0 {
-			n.relayer.Tell(conductor.MemberLearned{
+			n.relayer.ApplyEvent(conductor.MemberLearned{
 				Member:  exchanger.Member{Node: identifier.Node(r.Key)},
 				Dropped: true,
 			})
@@ -176,15 +178,15 @@
 			n.recorder.Event("member refused", "key", r.Key, "error", err.Error())
 			continue
 		}
-		n.relayer.Tell(conductor.MemberLearned{Member: m})
+		n.relayer.ApplyEvent(conductor.MemberLearned{Member: m})
 	}
 	if len(u.Records) > 0 {
 		n.exchangeSoon()
 	}
 }
 
-// publish queues this node's record; when the queue is full the oldest change makes room, since only the newest
-// counts.
+// publish queues this node's member record for writing. If the queue is full, the oldest change is dropped, since only the
+// newest counts.
 func (n *node) publish(m exchanger.Member) {
 	for {
 		select {
@@ -201,58 +203,62 @@
 }
 
 const (
-	// writeTimeout bounds one write of the record.
+	// writeTimeout is the timeout of one write of the record.
 	writeTimeout = clock.Second
-	// firstWritePause and longestWritePause bound the wait before the next try: a record is back soon after the store is.
-	firstWritePause   = 300 * clock.Millisecond
-	longestWritePause = 1500 * clock.Millisecond
+	// firstWritePause and maxWritePause bound the backoff between attempts to write the record; the upper bound is short so
+	// that the record is written soon after the store has recovered.
+	firstWritePause = 300 * clock.Millisecond
+	maxWritePause   = 1500 * clock.Millisecond
 )
 
-// writeRecords writes the newest of this node's records, and tries again until it is written or a newer one comes.
+// writeRecords writes this node's newest member record, and retries until it is written or replaced by a newer one.
 func (n *node) writeRecords(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-n.records:
-			for again := true; again; {
-				m, again = n.writeRecord(ctx, m)
+			for pending := true; pending; {
+				m, pending = n.writeRecord(ctx, m)
 			}
 		}
 	}
 }
 
 const (
-	// recordPatience is how long the acknowledgement of an endpoint's leaving waits for the record: less than half of the second
-	// in which it must come. While the store is away the leaving is acknowledged without.
-	recordPatience = 400 * clock.Millisecond
-	// recordPoll is the time between two looks; a write takes 4 ms on a calm day.
-	recordPoll = 3 * clock.Millisecond
+	// recordTimeout is how long the acknowledgement of a leaving endpoint waits for the record to be written: less than
+	// half of the second within which the acknowledgement must arrive. During an outage of the store the leaving is
+	// acknowledged although the record is not written.
+	recordTimeout = 400 * clock.Millisecond
+	// recordPollPeriod is the time between two checks whether the record is written; a write takes 4 ms when the store
+	// is not busy.
+	recordPollPeriod = 3 * clock.Millisecond
 )
 
-// awaitRecord waits until this node's present record is in the store. A node that is killed right after it acknowledged
-// that its endpoint leaves starts again by that record, and must not take the endpoint for one that stays.
+// awaitRecord waits until this node's current member record is in the store, for at most recordTimeout. A node that is killed
+// right after it acknowledged that its endpoint is leaving restarts from that record, and must not treat the endpoint as
+// available.
 func (n *node) awaitRecord() {
 	var want int64
 	n.relayer.View(func(c *conductor.Conductor, _ clock.Time) { want = c.Self().Sequence })
-	for end := n.clock.Now().Add(recordPatience); n.written.Load() < want && n.clock.Now() < end; {
-		time.Sleep(recordPoll.Std())
+	for end := n.clock.Now().Add(recordTimeout); n.writtenSequence.Load() < want && n.clock.Now() < end; {
+		time.Sleep(recordPollPeriod.Std())
 	}
 }
 
-// writeRecord tries until the record is written. It ends early with a newer record, which is to be written instead.
+// writeRecord retries until the record is written. If a newer record arrives first, it returns that record and true.
 func (n *node) writeRecord(ctx context.Context, m exchanger.Member) (exchanger.Member, bool) {
 	data, err := exchanger.EncodeMember(m)
 	if err != nil {
-		n.recorder.Event("record not encoded", "error", err.Error())
+		n.recorder.Event("member record not encoded; not written", "error", err.Error())
 		return m, false
 	}
-	for pause := firstWritePause; ctx.Err() == nil; pause = min(longestWritePause, 2*pause) {
+	for pause := firstWritePause; ctx.Err() == nil; pause = min(maxWritePause, 2*pause) {
 		limited, cancel := context.WithTimeout(ctx, writeTimeout.Std())
-		err := n.options.Outside.Members.Write(limited, string(m.Node), data)
+		err := n.options.Platform.Members.Write(limited, string(m.Node), data)
 		cancel()
 		if err == nil {
-			n.written.Store(m.Sequence)
+			n.writtenSequence.Store(m.Sequence)
 			n.recorder.Event("record written", "endpoint", string(m.Endpoint), "state", int(m.State), "sequence", m.Sequence)
 			return m, false
 		}
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -1,9 +1,9 @@
 package relayer
 
-// A request's body is read from its caller once. A small one is held, so that the request can be sent to another node; a
-// large one is passed on as it comes, and what goes wrong with it on the way is the caller's to know.
+// A request's body can be read from its caller only once. A small body is held in memory, so that the request can be sent
+// again to another node; a large one is streamed, and a failure on the way is reported to the caller.
 //
-// Example: 300 bytes are held and sent to two nodes in turn; 60 kB can be sent again only if none of them was read.
+// Example: 300 bytes are held and sent to two nodes in turn; 60 kB can be sent again only if none of it has been read.
 
 import (
 	"bytes"
@@ -16,26 +16,26 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// replayable is a request's body, which can be sent again as long as none of it was read from the caller, or all of
-// it is held.
+// replayable is a request's body that can be sent again if it is held in memory, or as long as none of it has been read
+// from the caller.
 type replayable struct {
 	held   []byte
 	stream io.Reader
 	length int64
-	// read is set by the goroutine that sends the body, and asked by the one that waits for the answer.
-	read atomic.Bool
+	// readStarted is set by the goroutine that sends the body, and read by the one that waits for the answer.
+	readStarted atomic.Bool
 }
 
 const (
-	// heldBody is the largest body that is held in memory to be sent again.
-	heldBody = 16 << 10
+	// maxHeldBody is the size in bytes of the largest body that is held in memory to be sent again.
+	maxHeldBody = 16 << 10
 )
 
 func newReplayable(request *http.Request) (*replayable, error) {
 	if request.ContentLength == 0 {
 		return &replayable{}, nil
 	}
-	if request.ContentLength > 0 && request.ContentLength <= heldBody {
+	if request.ContentLength > 0 && request.ContentLength <= maxHeldBody {
 		held := make([]byte, request.ContentLength)
 		_, err := io.ReadFull(request.Body, held)
 		return &replayable{held: held, length: request.ContentLength}, err
@@ -47,11 +47,11 @@
 	return b.stream != nil
 }
 
-func (b *replayable) untouched() bool {
-	return !b.read.Load()
+func (b *replayable) canResend() bool {
+	return !b.readStarted.Load()
 }
 
-// reader returns the body from its start, and its length.
+// reader returns a reader at the body's start, and the body's length.
 func (b *replayable) reader() (io.Reader, int64) {
 	switch {
 	case b.stream != nil:
@@ -63,19 +63,19 @@
 	}
 }
 
-// Read reads from the caller.
+// Read reads from the caller and marks the body as no longer replayable.
 func (b *replayable) Read(p []byte) (int, error) {
-	b.read.Store(true)
+	b.readStarted.Store(true)
 	return b.stream.Read(p)
 }
 
-func (r *Relayer) refuseLength(w http.ResponseWriter, limit int64) {
+func (r *Relayer) refuseTooLarge(w http.ResponseWriter, limit int64) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, "body is longer than "+strconv.FormatInt(limit, 10)+" bytes", http.StatusRequestEntityTooLarge)
 }
 
-// bodyLimit returns the limit that a request's body went over, 0 where something else is wrong.
-func bodyLimit(err error) int64 {
+// exceededBodyLimit returns the limit that a request's body exceeded, 0 if the error has another cause.
+func exceededBodyLimit(err error) int64 {
 	var long *http.MaxBytesError
 	var body requester.BodyError
 	if errors.As(err, &body) && errors.As(body.Cause, &long) {
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -23,25 +23,26 @@
 	"github.com/jackdawtide/jackdawtide/internal/pooler"
 )
 
-func ok(text string) func(http.ResponseWriter, *http.Request) {
+func respondWith(text string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// pair is an entry node whose own endpoint serves another service, and a node beside an endpoint of the called one.
+// pair returns an entry node whose local endpoint serves another service, a node beside an endpoint of the called service,
+// and that endpoint.
 func pair(t testing.TB, c matcher.Configuration, respond func(http.ResponseWriter, *http.Request)) (*node, *node, *endpoint) {
 	t.Helper()
 	e := newEndpoint(t, respond)
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	beside := newNode(t, "beside", "portal", e)
 	entry.configure(t, c)
 	beside.configure(t, c)
-	meet(entry, beside)
+	exchangeMembers(entry, beside)
 	return entry, beside, e
 }
 
-func TestRequestTravelsUnchanged(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), ok("hello"))
-	got := ask(t, entry, func(r *http.Request) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
+	got := sendRequest(t, entry, func(r *http.Request) {
 		r.Header.Set("X-Custom", "kept")
 		r.Header.Set(names.Team, "forged")
 		r.Header.Set(names.Origin, "forged")
@@ -64,12 +65,12 @@
 	assert.Equal(t, seen.Header.Get(names.Key), "")
 	assert.Equal(t, seen.Header.Get("X-Hop"), "")
 	for name := range seen.Header {
-		assert.Assert(t, !strings.HasPrefix(name, ownPrefix), name)
+		assert.Assert(t, !strings.HasPrefix(name, fleetPrefix), name)
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), ok("hello"))
+	entry, _, e := pair(t, configurationOf(matcher.Idempotent, 2), respondWith("hello"))
 	tests := map[string]struct {
 		change func(*http.Request)
 		want   int
@@ -81,21 +82,21 @@
 		"public route": {func(r *http.Request) { r.URL.Path = "/public/1"; r.Header.Del(names.Key) }, 200},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, ask(t, entry, test.change).StatusCode, test.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, sendRequest(t, entry, test.change).StatusCode, test.want) })
 	}
 	assert.Equal(t, e.count(), 1)
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
-	got := ask(t, entry, nil)
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
 }
 
-// Bodies of all lengths, with a length and in chunks, must reach the endpoint as they were sent.
-func TestBodiesTravelWhole(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.Upload, 2), ok("taken"))
+// Bodies of all sizes, with a content length or chunked, must reach the endpoint as they were sent.
+func TestBodiesAreForwardedWhole(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.Upload, 2), respondWith("taken"))
 	tests := map[string]struct {
 		size    int
 		chunked bool
@@ -105,7 +106,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			body := bytes.Repeat([]byte("abcdefg"), test.size/7)
-			got := ask(t, entry, func(r *http.Request) {
+			got := sendRequest(t, entry, func(r *http.Request) {
 				r.Method = http.MethodPost
 				r.Body = io.NopCloser(bytes.NewReader(body))
 				r.ContentLength = int64(len(body))
@@ -120,104 +121,105 @@
 	}
 }
 
-// The endpoint has announced that it leaves; the node beside it knows, the entry does not yet. The request must not
-// reach the endpoint, and the caller is told truly that it has not run.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
-	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
+// The endpoint has announced that it is leaving; the node beside it knows this, the entry does not yet. The request must not
+// reach the endpoint, and the caller must be told that it has not run.
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
+	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	beside.announce("beside", true)
 	ticking, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keepTicking(ticking, entry, beside)
-	got := ask(t, entry, nil)
+	go tickUntilDone(ticking, entry, beside)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
 	assert.Equal(t, e.count(), 0)
 }
 
-// All VMs have lost power. Their endpoints have started anew under other names, which the nodes beside them know and the entry
-// does not: it goes by the store's records from before. Told only that the endpoint has moved, callers would be refused
-// until the new record has come round, some hundreds of milliseconds.
-func TestRenamedEndpointIsFoundByItsNodesWord(t *testing.T) {
-	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
-	beside.Tell(conductor.EndpointRemoved{Endpoint: "i-beside"})
+// After a power loss of all VMs the endpoints have restarted under other ids. The nodes beside them know the new ids, but the
+// entry still has the old records from the store. If a Moved answer did not carry the new record, callers would be refused
+// until that record is distributed, which takes some hundreds of milliseconds.
+func TestRenamedEndpointIsLearnedFromMovedAnswer(t *testing.T) {
+	entry, beside, e := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
+	beside.ApplyEvent(conductor.EndpointRemoved{Endpoint: "i-beside"})
 	beside.announce("anew", false)
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200, got.text)
 	seen, _ := e.last()
 	assert.Equal(t, seen.Header.Get(names.Target), "i-anew")
 	assert.Equal(t, e.count(), 1)
 }
 
-// The endpoint says that it did not run the request: another one may run it, even if it must not run twice.
-func TestDeclinedRequestGoesElsewhere(t *testing.T) {
+// An endpoint declines a request without running it: even a non-idempotent request may then run at another endpoint.
+func TestDeclinedRequestIsSentToAnotherEndpoint(t *testing.T) {
 	full := newEndpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(names.NotRun, "1")
 		w.WriteHeader(503)
 	})
-	free := newEndpoint(t, ok("free"))
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+	free := newEndpoint(t, respondWith("free"))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	a, b := newNode(t, "a", "portal", full), newNode(t, "b", "portal", free)
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.NonIdempotent, 2))
 	}
-	meet(entry, a, b)
+	exchangeMembers(entry, a, b)
 	for range 3 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		if got.StatusCode == 200 {
 			assert.Equal(t, got.text, "free")
 			continue
 		}
-		// Out of repeats; the refusal is still true.
+		// The retry budget is used up; the refusal still states correctly that the request has not run.
 		assert.Equal(t, got.StatusCode, 503)
 	}
 	assert.Assert(t, free.count() >= 1)
 }
 
-// breaksOff takes a request and closes the connection without an answer.
-func breaksOff(w http.ResponseWriter, _ *http.Request) {
+// closeWithoutAnswer reads a request and closes its connection without an answer.
+func closeWithoutAnswer(w http.ResponseWriter, _ *http.Request) {
 	n, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = n.Close()
 	}
 }
 
-// The endpoint ran an order and its answer was lost. Sent again, the order would be placed twice; called "not run",
-// the caller would do it.
-func TestLostAnswerOfAnOrder(t *testing.T) {
-	entry, _, e := pair(t, configurationOf(matcher.NonIdempotent, 2), breaksOff)
-	got := ask(t, entry, nil)
+// The endpoint ran a non-idempotent request and its answer was lost. A retry would run it twice, and so would the caller if
+// it were told that the request has not run.
+func TestLostAnswerOfNonIdempotentRequest(t *testing.T) {
+	entry, _, e := pair(t, configurationOf(matcher.NonIdempotent, 2), closeWithoutAnswer)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 502)
 	assert.Equal(t, e.count(), 1)
 }
 
-// The answer to a lookup is lost at one endpoint; another one can give it.
-func TestLostAnswerOfALookupIsAskedForAgain(t *testing.T) {
-	lossy := newEndpoint(t, breaksOff)
-	sound := newEndpoint(t, ok("sound"))
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
+// The answer to an idempotent request is lost at one endpoint; another endpoint can still answer it.
+func TestLostAnswerOfIdempotentRequestIsRetried(t *testing.T) {
+	lossy := newEndpoint(t, closeWithoutAnswer)
+	sound := newEndpoint(t, respondWith("sound"))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
 	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", sound)
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.Idempotent, 2))
 	}
-	meet(entry, a, b)
-	got := ask(t, entry, nil)
+	exchangeMembers(entry, a, b)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.text, "sound")
 }
 
-// The endpoint breaks off within its answer. The caller must not take the part for the whole.
-func TestCutAnswerIsNotPassedOn(t *testing.T) {
+// The endpoint closes the connection within its answer. The truncated answer must not look complete to the caller.
+func TestTruncatedAnswerIsNotForwarded(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		panic(http.ErrAbortHandler)
 	})
-	assert.Equal(t, ask(t, entry, nil).StatusCode, 502)
+	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, 502)
 }
 
-// The endpoint sends an answer without a length and is reset within it. A lookup can be asked for again as long as none of
-// the answer was passed on; its caller would else see a connection that ends, and with it lose what it sent behind.
-func TestUnframedAnswerThatBreaksOffIsAskedForAgain(t *testing.T) {
+// The endpoint sends an answer without a length, and the connection is reset within it. An idempotent request can be retried
+// as long as nothing of the answer was forwarded; otherwise the caller's connection would close, and the requests that it
+// had pipelined behind this one would be lost.
+func TestTruncatedAnswerWithoutLengthIsRetried(t *testing.T) {
 	lossy := newEndpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -228,30 +230,30 @@
 		_ = n.(*net.TCPConn).SetLinger(0)
 		_ = n.Close()
 	})
-	entry := newNode(t, "entry", "desk", newEndpoint(t, ok("desk")))
-	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", newEndpoint(t, ok("whole")))
+	entry := newNode(t, "entry", "desk", newEndpoint(t, respondWith("desk")))
+	a, b := newNode(t, "a", "portal", lossy), newNode(t, "b", "portal", newEndpoint(t, respondWith("whole")))
 	for _, n := range []*node{entry, a, b} {
 		n.configure(t, configurationOf(matcher.Idempotent, 2))
 	}
-	meet(entry, a, b)
-	got := ask(t, entry, nil)
+	exchangeMembers(entry, a, b)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.text, "whole")
 	assert.Equal(t, lossy.count(), 1)
 }
 
-// A caller asks for an answer's head only. The head says how long the body would be, and no body comes; taken for an answer
-// that broke off, each such request would fail.
-func TestHeadIsAnswered(t *testing.T) {
+// The answer to a HEAD request states the length of a body that does not follow. If it counted as truncated, every HEAD
+// request would fail.
+func TestHeadRequest(t *testing.T) {
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 2), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 	})
-	got := ask(t, entry, func(r *http.Request) { r.Method = http.MethodHead })
+	got := sendRequest(t, entry, func(r *http.Request) { r.Method = http.MethodHead })
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, got.Header.Get("Content-Length"), "100")
 }
 
-// An answer may have no length and end with its connection, and one may be much longer than what is held at once.
+// An answer may have no length and end with its connection, or be much larger than the buffer.
 func TestStreamedAnswers(t *testing.T) {
 	long := strings.Repeat("0123456789", 50000)
 	tests := map[string]func(http.ResponseWriter, *http.Request){
@@ -268,16 +270,16 @@
 	for name, respond := range tests {
 		t.Run(name, func(t *testing.T) {
 			entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 2), respond)
-			got := ask(t, entry, nil)
+			got := sendRequest(t, entry, nil)
 			assert.Equal(t, got.StatusCode, 200)
 			assert.Assert(t, got.text == long)
 		})
 	}
 }
 
-// The route's timeout is shorter than the caller's patience, and the endpoint is slower than both: the caller gets a
-// final answer when the time is up.
-func TestTimeoutOfTheRoute(t *testing.T) {
+// The route's timeout is shorter than the caller's timeout, and the endpoint is slower than both: the caller must get an
+// answer when the route's timeout has passed.
+func TestRouteTimeout(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 2)
 	c.Routes[0].Timeout = 200
 	entry, _, e := pair(t, c, func(_ http.ResponseWriter, r *http.Request) {
@@ -287,7 +289,7 @@
 		}
 	})
 	started := time.Now()
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	took := time.Since(started)
 	assert.Equal(t, got.StatusCode, 504)
 	assert.Assert(t, took > 150*time.Millisecond && took < 600*time.Millisecond, "took %v", took)
@@ -297,8 +299,8 @@
 	assert.Assert(t, left <= 200*time.Millisecond && left > 100*time.Millisecond, "left %v", left)
 }
 
-// The caller leaves. Two nodes further the endpoint must learn of it soon, or it works for nobody.
-func TestCallerLeaves(t *testing.T) {
+// The caller disconnects. The endpoint, two nodes away, must be cancelled soon, or it goes on with work of no use.
+func TestCallerDisconnects(t *testing.T) {
 	started := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
 	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), func(_ http.ResponseWriter, r *http.Request) {
@@ -321,12 +323,12 @@
 	select {
 	case <-gone:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the endpoint still works")
+		t.Fatal("endpoint still runs the request 500 ms after its caller disconnected")
 	}
 }
 
-// All slots are taken. What waits gets the next slot; what can't wait that long is turned away before it reaches the
-// endpoint.
+// All slots are in use. A queued request gets the next free slot; a request whose queue timeout passes first is turned away
+// before it reaches the endpoint.
 func TestFullEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
@@ -337,15 +339,15 @@
 	t.Cleanup(open)
 	ticking, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keepTicking(ticking, entry, beside)
+	go tickUntilDone(ticking, entry, beside)
 	answers := make(chan int, 5)
 	for range 4 {
-		go func() { answers <- ask(t, entry, nil).StatusCode }()
+		go func() { answers <- sendRequest(t, entry, nil).StatusCode }()
 	}
 	for i := 0; i < 200 && e.count() < 3; i++ {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Slots 4 with a part kept free are 3: the fourth waits for a quarter of its objective, and no longer.
+	// Of 4 slots one is kept free, so 3 requests run; the fourth is queued for at most a quarter of its objective.
 	assert.Equal(t, <-answers, 503)
 	assert.Equal(t, e.count(), 3)
 	open()
@@ -354,56 +356,56 @@
 	}
 }
 
-// A node of the called service is cut off without a word: connections to it hang or are refused. The request goes to
-// the other one.
-func TestUnreachableNodeIsPassedOver(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), ok("hello"))
+// A node of the called service has become unreachable without leaving: connections to it hang or are refused. Requests must
+// go to the other node.
+func TestUnreachableNodeIsSkipped(t *testing.T) {
+	entry, beside, _ := pair(t, configurationOf(matcher.NonIdempotent, 2), respondWith("hello"))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	dead := beside.member
 	dead.Node, dead.Endpoint, dead.DeliveryAddress = "dead", "i-dead", l.Addr().String()
 	assert.NilError(t, l.Close())
-	meetAs(entry, dead)
+	learnMember(entry, dead)
 	for range 10 {
-		assert.Equal(t, ask(t, entry, nil).StatusCode, 200)
+		assert.Equal(t, sendRequest(t, entry, nil).StatusCode, 200)
 	}
 }
 
-// A node is stopping while callers go on using their connections. Each must get its answer, and learn from it that
-// the connection ends; a connection closed from this side could cut a request that is just being read.
-func TestStoppingNodeAnswersAndSaysSo(t *testing.T) {
-	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	assert.Assert(t, !ask(t, entry, nil).Close)
+// A node stops while callers still use their connections. Each request must be answered, and the answer must announce that
+// the connection closes: closing the connection directly could cut off a request that is just arriving.
+func TestStoppingNodeClosesConnectionsAfterAnswers(t *testing.T) {
+	entry, _, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	assert.Assert(t, !sendRequest(t, entry, nil).Close)
 	entry.Stop()
-	got := ask(t, entry, nil)
+	got := sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Close)
-	got = ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
+	got = sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
 	assert.Equal(t, got.StatusCode, 404)
 	assert.Assert(t, got.Close)
 }
 
-// More connections are open than a node should keep, as when refused callers come back on new ones again and again. Each
-// answer ends its connection then; before, they were all kept until no new one could be accepted, and callers waited
-// for seconds on connections that nobody read.
-func TestCrowdedNodeEndsConnections(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	got := ask(t, entry, nil)
+// More connections are open than a node should keep, as when refused callers retry on ever new ones. Each answer must then
+// close its connection. If all were kept, no new one could be accepted in the end, and callers would wait for seconds on
+// connections that are not read.
+func TestNodeOverConnectionLimitClosesConnections(t *testing.T) {
+	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	got := sendRequest(t, entry, nil)
 	assert.Assert(t, !got.Close)
-	assert.Equal(t, got.Header.Get("Keep-Alive"), outboundSaid)
+	assert.Equal(t, got.Header.Get("Keep-Alive"), keepAliveValue)
 	entry.options.Connections.Add(1000)
 	beside.options.Connections.Add(1000)
-	got = ask(t, entry, nil)
+	got = sendRequest(t, entry, nil)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Close)
-	got = ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
+	got = sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" })
 	assert.Equal(t, got.StatusCode, 404)
 	assert.Assert(t, got.Close)
 	assert.Equal(t, entry.options.Connections.Open(), int64(1000))
 }
 
-// A token is asked for at the node with a team's bucket, and the request goes on when it is there; where that node is
-// gone, this node's own part lets the first request through.
+// A token is requested from the node that holds the team's bucket, and the request is forwarded once it is granted. If
+// that node is unreachable, this node admits by its own share of the rate.
 func TestTokenIsDrawnFromAnotherNode(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 1)
 	team := &c.Teams[0]
@@ -411,7 +413,7 @@
 	for i := 0; pooler.Weight(team.Name, "beside") < pooler.Weight(team.Name, "entry"); i++ {
 		team.Name = identifier.Team(fmt.Sprint("parish-", i))
 	}
-	entry, beside, _ := pair(t, c, ok("hello"))
+	entry, beside, _ := pair(t, c, respondWith("hello"))
 	var questions atomic.Int32
 	peers := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		questions.Add(1)
@@ -419,11 +421,11 @@
 	}))
 	beside.member.PeerAddress = strings.TrimPrefix(peers.URL, "http://")
 	beside.member.Sequence++
-	meetAs(entry, beside.member)
-	meetAs(beside, entry.member)
+	learnMember(entry, beside.member)
+	learnMember(beside, entry.member)
 	granted := 0
 	for range 20 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		if got.StatusCode == http.StatusOK {
 			granted++
 			continue
@@ -435,48 +437,48 @@
 	assert.Assert(t, questions.Load() > 0)
 	peers.Close()
 	time.Sleep(400 * time.Millisecond)
-	assert.Equal(t, ask(t, entry, nil).StatusCode, http.StatusTooManyRequests)
+	assert.Equal(t, sendRequest(t, entry, nil).StatusCode, http.StatusTooManyRequests)
 }
 
-// A caller that is refused for now comes back on a new connection. One that is told that there is nothing for it goes on
-// using the one that it has.
-func TestRefusalForNowEndsTheConnection(t *testing.T) {
+// A caller that gets a retryable refusal retries on a new connection, so the old one is closed. A caller that gets a final
+// refusal goes on using its connection.
+func TestRetryableRefusalClosesConnection(t *testing.T) {
 	c := configurationOf(matcher.Idempotent, 1)
 	c.Teams[0].Rate, c.Teams[0].Burst = 0.1, 0.1
-	entry, _, _ := pair(t, c, ok("hello"))
+	entry, _, _ := pair(t, c, respondWith("hello"))
 	statuses := map[int]bool{}
 	for range 4 {
-		got := ask(t, entry, nil)
+		got := sendRequest(t, entry, nil)
 		statuses[got.StatusCode] = true
 		assert.Equal(t, got.Close, got.StatusCode == http.StatusTooManyRequests)
 	}
 	assert.Assert(t, statuses[http.StatusTooManyRequests])
-	assert.Assert(t, !ask(t, entry, func(r *http.Request) { r.URL.Path = "/none/" }).Close)
+	assert.Assert(t, !sendRequest(t, entry, func(r *http.Request) { r.URL.Path = "/none/" }).Close)
 }
 
-// endless gives bytes without end, as a body in chunks whose length nobody has said.
-type endless struct{}
+// endlessBody is a reader without end, for a chunked body of unknown length.
+type endlessBody struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessBody) Read(p []byte) (int, error) { return len(p), nil }
 
-// A body comes in chunks and goes over the limit, so that it is noticed only on the way. The caller must be told so at once:
-// before, the endpoint waited for the rest until the time was up, and the caller was told that the time was up.
+// A chunked body exceeds the limit, which shows only while it is forwarded. The caller must be refused at once: otherwise the
+// endpoint would wait for the rest until the deadline, and the caller would get a timeout instead of the cause.
 func TestChunkedBodyOverTheLimitIsRefusedAtOnce(t *testing.T) {
 	c := configurationOf(matcher.Upload, 1)
 	c.Limits.BodyBytes = 100_000
-	entry, _, _ := pair(t, c, ok("hello"))
+	entry, _, _ := pair(t, c, respondWith("hello"))
 	begun := time.Now()
-	got := ask(t, entry, func(r *http.Request) {
-		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(io.LimitReader(endless{}, 300_000)), -1
+	got := sendRequest(t, entry, func(r *http.Request) {
+		r.Method, r.Body, r.ContentLength = http.MethodPost, io.NopCloser(io.LimitReader(endlessBody{}, 300_000)), -1
 	})
 	assert.Equal(t, got.StatusCode, http.StatusRequestEntityTooLarge)
 	assert.Assert(t, got.Close)
 	assert.Assert(t, time.Since(begun) < 500*time.Millisecond)
 }
 
-// The node that a lookup waits for can't be reached any more. Its caller is told at once instead of when the time is up,
-// and can ask again; an order goes on waiting, since it may be running.
-func TestAttemptAtALostNodeEnds(t *testing.T) {
+// The node to which a request was sent becomes unreachable. An idempotent request is answered at once instead of at its
+// deadline, so that its caller can retry; a non-idempotent one goes on waiting, since it may be running.
+func TestAttemptAtUnreachableNodeIsAborted(t *testing.T) {
 	for name, test := range map[string]struct {
 		kind matcher.Kind
 		ends bool
@@ -493,10 +495,10 @@
 				for e.count() == 0 {
 					time.Sleep(5 * time.Millisecond)
 				}
-				entry.Tell(conductor.Probed{Node: "beside"})
+				entry.ApplyEvent(conductor.Probed{Node: "beside"})
 			}()
 			begun := time.Now()
-			got := ask(t, entry, nil)
+			got := sendRequest(t, entry, nil)
 			if test.ends {
 				assert.Equal(t, got.StatusCode, http.StatusBadGateway)
 				assert.Assert(t, time.Since(begun) < 400*time.Millisecond)
@@ -508,8 +510,8 @@
 }
 
 func TestProbe(t *testing.T) {
-	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), ok("hello"))
-	entry.Tell(conductor.Probed{Node: "beside"})
+	entry, beside, _ := pair(t, configurationOf(matcher.Idempotent, 1), respondWith("hello"))
+	entry.ApplyEvent(conductor.Probed{Node: "beside"})
 	entry.probe(conductor.Probe{Node: "beside", Address: beside.member.DeliveryAddress})
 	entry.View(func(c *conductor.Conductor, _ clock.Time) { assert.Assert(t, !c.Lost("beside")) })
 }
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -1,6 +1,6 @@
 package relayer
 
-// A token of a pooled team is one small question to the node with the team's bucket.
+// A token of a pooled team is requested from the node that holds the team's bucket, in one small request.
 //
 // Example: POST /tokens with Jackdaw-Team: parish is answered with 200 and Jackdaw-Token: 1, or 0 and Jackdaw-Wait: 80.
 
@@ -16,18 +16,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// TokensPath is where a node answers questions for tokens.
+// TokensPath is the path at which a node answers requests for tokens.
 const TokensPath = "/tokens"
 
-// tokenPatience is how long a node waits for a token: thirty round trips between failure domains, or a tenth of a second in
-// which a VM's share of its processor is used up. It is as much as the shortest objectives leave.
-const tokenPatience = 100 * clock.Millisecond
+// tokenTimeout is how long a node waits for a token: thirty round trips between failure domains, or the tenth of a second for
+// which a VM that has used up its processor share is paused. The shortest latency objectives allow no more.
+const tokenTimeout = 100 * clock.Millisecond
 
-// draw asks another node for a token, and returns what is to be done then.
+// draw requests a token from another node, and returns the conductor's next effect on the request.
 func (r *Relayer) draw(ctx context.Context, d conductor.Draw) conductor.Effect {
-	asked := r.options.Clock.Now()
-	grant, err := r.askToken(ctx, d)
-	r.options.Recorder.TokenRequested(drawOutcome(grant, err), r.options.Clock.Now().Sub(asked))
+	started := r.options.Clock.Now()
+	grant, err := r.requestToken(ctx, d)
+	r.options.Recorder.TokenRequested(drawOutcome(grant, err), r.options.Clock.Now().Sub(started))
 	if err != nil && ctx.Err() == nil {
 		r.options.Recorder.Dependency("tokens of node "+string(d.Node), err)
 	}
@@ -49,26 +49,26 @@
 	}
 }
 
-func (r *Relayer) askToken(ctx context.Context, d conductor.Draw) (pooler.Grant, error) {
-	limited, cancel := context.WithTimeout(ctx, tokenPatience.Std())
+func (r *Relayer) requestToken(ctx context.Context, d conductor.Draw) (pooler.Grant, error) {
+	limited, cancel := context.WithTimeout(ctx, tokenTimeout.Std())
 	defer cancel()
-	question := &requester.Request{
+	tokenRequest := &requester.Request{
 		Method: http.MethodPost,
 		URI:    TokensPath,
 		Host:   d.Address,
 		Header: http.Header{teamField: {string(d.Team)}},
 	}
-	defer r.countQuestion(d, question)()
+	defer r.countTokenRequest(d, tokenRequest)()
 	if d.Back > 0 {
-		question.Header[backField] = []string{strconv.Itoa(d.Back)}
+		tokenRequest.Header[returnedTokensField] = []string{strconv.Itoa(d.Back)}
 	}
-	response, err := r.peers.Do(limited, d.Address, question)
+	response, err := r.peers.Do(limited, d.Address, tokenRequest)
 	if err != nil {
-		// Other connections to a node that failed one may be as dead.
+		// Other connections to a node at which one has failed may be dead as well.
 		r.peers.CloseIdle(d.Address)
 		return pooler.Grant{}, err
 	}
-	response.Close(drain(response))
+	response.Close(drainBody(response))
 	if response.StatusCode != http.StatusOK {
 		return pooler.Grant{}, requester.StatusError{Address: d.Address, Status: response.StatusCode}
 	}
@@ -76,11 +76,11 @@
 	return pooler.Grant{Allowed: response.Header.Get(tokenField) == "1", Wait: wait}, nil
 }
 
-// ServeTokens answers another node's question for a token.
+// ServeTokens answers another node's request for a token.
 func (r *Relayer) ServeTokens(w http.ResponseWriter, request *http.Request) {
 	id := r.newID()
-	// A question without the field gives nothing back.
-	back, _ := strconv.Atoi(request.Header.Get(backField))
+	// A request without the field returns no tokens.
+	back, _ := strconv.Atoi(request.Header.Get(returnedTokensField))
 	effect := r.apply(id, conductor.TokenRequested{
 		ID:   id,
 		Team: identifier.Team(request.Header.Get(teamField)),
