--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -251,19 +251,19 @@
 // reportsDeliveredUntil returns until when a peer has received this node's reports. A peer that reports on schedule is
 // about to ask again, and has received the report before the latest.
 func (a *Apportioner) reportsDeliveredUntil(p peer, now clock.Time) clock.Time {
-	asked := now
+	reference := now
 	if now.Sub(a.lastReportsAt) <= maxReportPeriod {
-		asked = a.lastReportsAt
+		reference = a.lastReportsAt
 	}
-	if asked.Sub(p.reportedAt) <= maxReportPeriod {
-		return asked.Add(-minReportPeriod)
+	if reference.Sub(p.reportedAt) <= maxReportPeriod {
+		return reference.Add(-minReportPeriod)
 	}
 	return p.reportedAt.Add(-maxReportTransit)
 }
 
 // deliverReports marks the reports made until the given time as received by all others.
-func (b *bucket) deliverReports(horizon clock.Time) {
-	for len(b.reports) > 0 && b.reports[0].at <= horizon {
+func (b *bucket) deliverReports(until clock.Time) {
+	for len(b.reports) > 0 && b.reports[0].at <= until {
 		b.deliveredDemand = b.reports[0].demand
 		b.reports = b.reports[1:]
 	}
@@ -297,8 +297,8 @@
 	Allowed bool
 	// Wait is the time until a request is within the rate again.
 	Wait clock.Duration
-	// Part is this node's quota share of the rate at the time of the verdict.
-	Part float64
+	// Share is this node's quota share of the rate at the time of the verdict.
+	Share float64
 	// Elsewhere is true if another node may have a token: the team's demand is about its rate or below, so that this
 	// bucket may be empty by chance and the other one not.
 	Elsewhere bool
@@ -308,7 +308,7 @@
 func (a *Apportioner) Take(team identifier.Team, now clock.Time) Verdict {
 	b, ok := a.teams[team]
 	if !ok || b.rate <= 0 {
-		return Verdict{Allowed: true, Part: 1}
+		return Verdict{Allowed: true, Share: 1}
 	}
 	b.decayDemand(now)
 	b.demand += float64(clock.Second) / float64(demandTimeConstant)
@@ -316,12 +316,12 @@
 	share := a.share(b)
 	if b.tokens >= 1 || b.tokens >= 0 && a.wellWithinRate(b, now) {
 		b.tokens--
-		return Verdict{Allowed: true, Part: share}
+		return Verdict{Allowed: true, Share: share}
 	}
 	perMillisecond := max(b.rate*share, 0.1) / float64(clock.Second)
 	return Verdict{
 		Wait:      clock.Duration((1 - b.tokens) / perMillisecond),
-		Part:      share,
+		Share:     share,
 		Elsewhere: b.deliveredDemand+b.otherDemand <= saturatingDemandRatio*b.rate,
 	}
 }
--- a/internal/conductor/attempt_end.go
+++ b/internal/conductor/attempt_end.go
@@ -50,7 +50,7 @@
 	}
 	r.arrivalCounted = r.arrivalCounted || e.Outcome != Moved && e.Outcome != Unreached && e.Outcome != Over
 	r.excluded = append(r.excluded, r.picked)
-	r.turnedAway = r.turnedAway || e.Outcome != Moved && e.Outcome != Unreached
+	r.endpointFound = r.endpointFound || e.Outcome != Moved && e.Outcome != Unreached
 	if c.mayAttemptAgain(r, e, now) {
 		c.attempt(r, now)
 		return
--- a/internal/conductor/call_graph.go
+++ b/internal/conductor/call_graph.go
@@ -25,13 +25,13 @@
 		for _, part := range route.Parts {
 			total += part.Weight
 		}
-		parts := serviceShares{}
+		perService := serviceShares{}
 		for _, part := range route.Parts {
 			if total > 0 {
-				parts[part.Service] += float64(part.Weight) / float64(total)
+				perService[part.Service] += float64(part.Weight) / float64(total)
 			}
 		}
-		shares[identifier.Route(route.Name)] = parts
+		shares[identifier.Route(route.Name)] = perService
 	}
 	return shares
 }
@@ -149,8 +149,8 @@
 				continue
 			}
 			for nested, n := range k.calls {
-				for service, part := range shares[nested] {
-					if !yield(origin{route: nested, service: service}, n/k.reporters*part) {
+				for service, share := range shares[nested] {
+					if !yield(origin{route: nested, service: service}, n/k.reporters*share) {
 						return
 					}
 				}
--- a/internal/conductor/chain.go
+++ b/internal/conductor/chain.go
@@ -55,15 +55,15 @@
 // refusedRatio returns the part of requests of r's origin and class that is refused for the services they lead to.
 func (c *Conductor) refusedRatio(r *call, now clock.Time) float64 {
 	c.refreshPlan(now)
-	parts, ok := c.plan.refusedRatios[r.origin()]
+	ratios, ok := c.plan.refusedRatios[r.origin()]
 	if !ok {
 		return 0
 	}
-	return parts[r.class]
+	return ratios[r.class]
 }
 
-// Pressed reports whether some service has more load than it can take.
-func (c *Conductor) Pressed(now clock.Time) bool {
+// AnyOverloaded reports whether some service has more load than it can take.
+func (c *Conductor) AnyOverloaded(now clock.Time) bool {
 	c.refreshPlan(now)
 	for _, excess := range c.plan.excess {
 		if excess > 0 {
@@ -88,7 +88,7 @@
 		costLevels: map[origin]int{},
 	}
 	c.refreshGraph(now)
-	pressed := c.planLoads(now)
+	overloaded := c.planLoads(now)
 	costs := map[origin]map[identifier.Service]float64{}
 	for from := range c.arrivalCounts.counts {
 		costs[from] = c.callGraph.costsOf(from)
@@ -97,7 +97,7 @@
 	available := c.usableDomains()
 	c.planMissing(costs, available, now)
 	c.planPreferredDomains(available)
-	if !pressed {
+	if !overloaded {
 		return
 	}
 	for _, bottleneck := range slices.Sorted(maps.Keys(c.plan.excess)) {
@@ -140,19 +140,19 @@
 		l.excesses = append(l.excesses, report.Excess)
 		l.loads = append(l.loads, report.Load)
 	}
-	pressed := false
+	overloaded := false
 	for service, l := range loads {
 		excess := throttler.Mean(l.excesses, l.loads)
 		c.plan.excess[service] = excess
 		for _, nodeLoad := range l.loads {
 			c.plan.arrivalRates[service] += nodeLoad * (1 - excess)
 		}
-		pressed = pressed || excess > 0
+		overloaded = overloaded || excess > 0
 		if s, ok := c.callGraph.services[service]; ok {
 			c.plan.leafServices[service] = s.leaf()
 		}
 	}
-	return pressed
+	return overloaded
 }
 
 // isCurrent reports whether a report describes the present state of its service.
@@ -178,13 +178,13 @@
 			demands = append(demands, throttler.Demand{Load: count * cost, Worth: class(i).worth(costLevel(cost))})
 		}
 	}
-	for i, part := range throttler.Shed(demands, excess) {
-		parts, ok := c.plan.refusedRatios[kinds[i].from]
+	for i, ratio := range throttler.Shed(demands, excess) {
+		ratios, ok := c.plan.refusedRatios[kinds[i].from]
 		if !ok {
-			parts = &[throttler.Classes]float64{}
-			c.plan.refusedRatios[kinds[i].from] = parts
+			ratios = &[throttler.Classes]float64{}
+			c.plan.refusedRatios[kinds[i].from] = ratios
 		}
-		parts[kinds[i].class] = max(parts[kinds[i].class], part)
+		ratios[kinds[i].class] = max(ratios[kinds[i].class], ratio)
 	}
 }
 
--- a/internal/conductor/cold.go
+++ b/internal/conductor/cold.go
@@ -60,10 +60,10 @@
 	}
 	wasWarm := c.coldUntil <= now
 	until := now.Add(left + coldMargin)
-	if !c.coldPresumed {
+	if !c.coldAssumed {
 		until = max(until, c.coldUntil)
 	}
-	c.coldUntil, c.coldPresumed = until, false
+	c.coldUntil, c.coldAssumed = until, false
 	c.limitCold(now)
 	return wasWarm
 }
@@ -76,7 +76,7 @@
 	rate := c.coldRate(c.self.Service)
 	if rate == 0 && c.matcher != nil {
 		// The configuration sets no limit for this service.
-		c.coldUntil, c.coldPresumed = now, false
+		c.coldUntil, c.coldAssumed = now, false
 		c.limiter.SetCold(limiter.ColdLimit{}, now, now)
 		return
 	}
@@ -95,29 +95,29 @@
 	}
 }
 
-// presumeCold treats the local endpoint as cold when its recent activity is not known, and checks it.
-func (c *Conductor) presumeCold(now clock.Time) {
+// assumeCold treats the local endpoint as cold when its recent activity is not known, and checks it.
+func (c *Conductor) assumeCold(now clock.Time) {
 	left := clock.Duration(unknownColdStart)
 	if c.matcher != nil {
 		left = c.matcher.Service(c.self.Service).ColdStart
 	}
 	c.learnCold(left, now)
-	c.coldPresumed = c.coldUntil > now
+	c.coldAssumed = c.coldUntil > now
 	c.nextColdCheckAt = now
-	c.checkPresumedCold(now)
+	c.checkAssumedCold(now)
 }
 
-// presumeOtherCold treats the endpoint beside another node as cold until that node reports otherwise.
-func (c *Conductor) presumeOtherCold(m exchanger.Member, now clock.Time) {
+// assumeOtherCold treats the endpoint beside another node as cold until that node reports otherwise.
+func (c *Conductor) assumeOtherCold(m exchanger.Member, now clock.Time) {
 	if c.coldRate(m.Service) > 0 {
 		c.otherColdUntil[m.Node] = now.Add(c.matcher.Service(m.Service).ColdStart)
 	}
 }
 
-// checkPresumedCold periodically asks the local endpoint whether it is cold, until it has answered: if only this node
+// checkAssumedCold periodically asks the local endpoint whether it is cold, until it has answered: if only this node
 // was restarted, the endpoint is warm.
-func (c *Conductor) checkPresumedCold(now clock.Time) {
-	if !c.coldPresumed || c.matcher == nil || now < c.nextColdCheckAt || now >= c.coldUntil {
+func (c *Conductor) checkAssumedCold(now clock.Time) {
+	if !c.coldAssumed || c.matcher == nil || now < c.nextColdCheckAt || now >= c.coldUntil {
 		return
 	}
 	c.nextColdCheckAt = now.Add(coldCheckPeriod)
@@ -131,7 +131,7 @@
 	if !e.Known || c.limiter == nil || e.Endpoint != c.registrar.Local().Endpoint {
 		return
 	}
-	c.coldUntil, c.coldPresumed = now, false
+	c.coldUntil, c.coldAssumed = now, false
 	if e.ColdLeft > 0 {
 		c.learnCold(e.ColdLeft, now)
 		return
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -114,9 +114,9 @@
 	// coldUntil is the time until which the local endpoint counts as cold; otherColdUntil is the same for endpoints
 	// beside other nodes.
 	coldUntil clock.Time
-	// coldPresumed is set while coldUntil is an assumption; nextColdCheckAt is when the endpoint is next asked whether
+	// coldAssumed is set while coldUntil is an assumption; nextColdCheckAt is when the endpoint is next asked whether
 	// it is cold.
-	coldPresumed    bool
+	coldAssumed     bool
 	nextColdCheckAt clock.Time
 	otherColdUntil  map[identifier.Node]clock.Time
 
@@ -273,7 +273,7 @@
 	c.verdicts = c.limiter.Tick(now, c.verdicts[:0])
 	c.applyVerdicts(now)
 	c.endColdLimit(now)
-	c.checkPresumedCold(now)
+	c.checkAssumedCold(now)
 	c.refreshPlan(now)
 	c.throttler.Observe(c.limiter.Queued(), c.plan.excess[c.self.Service], now)
 }
--- a/internal/conductor/configuration.go
+++ b/internal/conductor/configuration.go
@@ -32,7 +32,7 @@
 		delete(c.splits, name)
 	}
 	c.limitCold(now)
-	c.checkPresumedCold(now)
+	c.checkAssumedCold(now)
 }
 
 func (c *Conductor) acceptProof(e ConfigurationProved) {
--- a/internal/conductor/delivery.go
+++ b/internal/conductor/delivery.go
@@ -241,7 +241,7 @@
 		Order:     limiter.DueFirst,
 		Queue:     queuePerSlot * usedSlots(slots),
 	}, now)
-	c.coldUntil, c.coldPresumed = now, false
+	c.coldUntil, c.coldAssumed = now, false
 	c.learnCold(coldLeft, now)
 	c.deliveries = map[CallID]*delivery{}
 	c.parents = map[identifier.Request]parent{}
--- a/internal/conductor/endpoint_wait.go
+++ b/internal/conductor/endpoint_wait.go
@@ -17,7 +17,7 @@
 // awaitEndpoint makes a request wait for an endpoint if waiting can help: a request that was turned away has already
 // found an endpoint.
 func (c *Conductor) awaitEndpoint(r *call, now clock.Time) bool {
-	if r.turnedAway || r.rateUnchecked || r.mayHaveRun || c.stopping {
+	if r.endpointFound || r.rateUnchecked || r.mayHaveRun || c.stopping {
 		return false
 	}
 	if r.awaitsUntil == 0 {
@@ -68,6 +68,6 @@
 )
 
 func (r *call) retryAfterNoEndpoint(now clock.Time) clock.Duration {
-	part := clock.Duration(retryAfterRatio * float64(r.deadline.Sub(now)))
-	return max(retryAfterNoRoom, min(maxRetryAfterNoEndpoint, part))
+	delay := clock.Duration(retryAfterRatio * float64(r.deadline.Sub(now)))
+	return max(retryAfterNoRoom, min(maxRetryAfterNoEndpoint, delay))
 }
--- a/internal/conductor/entry.go
+++ b/internal/conductor/entry.go
@@ -41,8 +41,8 @@
 	// connection attempts failed has not been counted and must still be counted at the next node; otherwise the last
 	// endpoint of a service, which gets requests only after attempts at dead endpoints, would report too low a load.
 	arrivalCounted bool
-	// turnedAway is set when an endpoint, or the node beside it, received the request and refused it.
-	turnedAway bool
+	// endpointFound is set when an endpoint, or the node beside it, received the request and refused it.
+	endpointFound bool
 	// awaitsUntil is the time until which the request waits for an endpoint, 0 if it has not waited yet.
 	awaitsUntil clock.Time
 	// rateUnchecked is set when this node had no token for the request; tokenWait is the time until it has one.
@@ -76,7 +76,7 @@
 	if e.Left > 0 {
 		r.deadline = min(r.deadline, now.Add(e.Left))
 	}
-	r.permittedDomains = c.allowedDomains(r)
+	r.permittedDomains = c.permittedDomainsOf(r)
 	r.class = classOf(r)
 	r.service = c.splitOf(route).next()
 	r.rank = r.class.rank(c.plan.costLevels[r.origin()], c.random.Uint64())
@@ -126,7 +126,7 @@
 		return true
 	}
 	c.arrivalCounts.add(r.origin(), r.class)
-	if part := c.refusedRatio(r, now); part > 0 && c.random.Float64() < part {
+	if ratio := c.refusedRatio(r, now); ratio > 0 && c.random.Float64() < ratio {
 		c.refuse(r.id, http.StatusServiceUnavailable, Pressure, c.jitter(retryAfterPressure))
 		return false
 	}
@@ -137,7 +137,7 @@
 	if r.team == nil {
 		return true
 	}
-	if c.pools(r.team.Name) {
+	if c.isPooled(r.team.Name) {
 		return c.draw(r, now)
 	}
 	v := c.apportioner.Take(r.team.Name, now)
--- a/internal/conductor/evacuation.go
+++ b/internal/conductor/evacuation.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		if before[m.Domain] && node != c.self.Node {
-			c.presumeOtherCold(m, now)
+			c.assumeOtherCold(m, now)
 		}
 		c.updateRouterFor(m, now)
 	}
@@ -66,5 +66,5 @@
 		return
 	}
 	c.startLimiter(local.Slots, 0, now)
-	c.presumeCold(now)
+	c.assumeCold(now)
 }
--- a/internal/conductor/membership.go
+++ b/internal/conductor/membership.go
@@ -195,8 +195,8 @@
 	if node == c.self.Node {
 		return false
 	}
-	age, heard := c.table.Age(node, now)
-	if !heard {
+	age, reported := c.table.Age(node, now)
+	if !reported {
 		age = now.Sub(c.incarnationLearnedAt[node])
 	}
 	return age > suspectAfter
@@ -242,10 +242,10 @@
 }
 
 const (
-	// exchangePeriod is the time between two exchanges of a node in steady state, pressedPeriod while some service is
+	// exchangePeriod is the time between two exchanges of a node in steady state, overloadPeriod while some service is
 	// overloaded: its excess changes by a twentieth in that time.
 	exchangePeriod = 500 * clock.Millisecond
-	pressedPeriod  = 200 * clock.Millisecond
+	overloadPeriod = 200 * clock.Millisecond
 	// shortPeriod is the time between two exchanges of collectors, which carry changes across failure domains, and of a
 	// node that has just started: until it knows the teams' demands at other nodes, it refuses requests for which they
 	// leave rate unused.
@@ -259,8 +259,8 @@
 	switch {
 	case now.Sub(c.started) < startingTime || c.CollectsForDomain(now) && !c.CollectsForFleet(now):
 		return shortPeriod
-	case c.Pressed(now):
-		return pressedPeriod
+	case c.AnyOverloaded(now):
+		return overloadPeriod
 	default:
 		return exchangePeriod
 	}
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/pooler"
 )
 
-func (c *Conductor) pools(team identifier.Team) bool {
+func (c *Conductor) isPooled(team identifier.Team) bool {
 	return c.pooler.Pools(team, len(c.members))
 }
 
@@ -41,8 +41,8 @@
 
 // isReporting reports whether a member's reports arrive, or the member has only just become known.
 func (c *Conductor) isReporting(node identifier.Node, now clock.Time) bool {
-	age, heard := c.table.Age(node, now)
-	if !heard {
+	age, reported := c.table.Age(node, now)
+	if !reported {
 		age = now.Sub(c.incarnationLearnedAt[node])
 	}
 	return age <= suspectAfter
@@ -52,7 +52,7 @@
 func (c *Conductor) draw(r *call, now clock.Time) bool {
 	team := r.team.Name
 	if wait := c.pooler.EmptyFor(team, now); wait > 0 {
-		c.overRate(r, wait)
+		c.refuseOverRate(r, wait)
 		return false
 	}
 	holder := c.holder(team, now)
@@ -76,12 +76,12 @@
 
 func (c *Conductor) granted(r *call, g pooler.Grant) bool {
 	if !g.Allowed {
-		c.overRate(r, g.Wait)
+		c.refuseOverRate(r, g.Wait)
 	}
 	return g.Allowed
 }
 
-func (c *Conductor) overRate(r *call, wait clock.Duration) {
+func (c *Conductor) refuseOverRate(r *call, wait clock.Duration) {
 	c.refuse(r.id, http.StatusTooManyRequests, OverRate, c.jitter(min(max(wait, minRetryAfterOverRate), maxRetryAfterOverRate)))
 }
 
@@ -117,7 +117,7 @@
 // grantToken answers another node's request for a token. It does so also while this node stops: the other nodes learn
 // of the stop and choose another holder.
 func (c *Conductor) grantToken(e TokenRequested, now clock.Time) {
-	if !c.pools(e.Team) {
+	if !c.isPooled(e.Team) {
 		c.emit(Give{ID: e.ID})
 		return
 	}
@@ -128,7 +128,7 @@
 // refundToken returns the token of a request that has certainly not run.
 func (c *Conductor) refundToken(team identifier.Team, now clock.Time) {
 	switch {
-	case !c.pools(team):
+	case !c.isPooled(team):
 		c.apportioner.Return(team)
 	case c.holder(team, now).Node == c.self.Node:
 		c.pooler.ReturnTokens(team, 1)
--- a/internal/conductor/region.go
+++ b/internal/conductor/region.go
@@ -13,9 +13,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// allowedDomains returns the failure domains whose endpoints may run a request, nil for all. A failure domain whose
+// permittedDomainsOf returns the failure domains whose endpoints may run a request, nil for all. A failure domain whose
 // region is unknown is excluded.
-func (c *Conductor) allowedDomains(r *call) map[identifier.FailureDomain]bool {
+func (c *Conductor) permittedDomainsOf(r *call) map[identifier.FailureDomain]bool {
 	var team []identifier.Region
 	if r.team != nil {
 		team = r.team.Regions
@@ -23,13 +23,13 @@
 	if len(r.route.Regions) == 0 && len(team) == 0 {
 		return nil
 	}
-	allowed := map[identifier.FailureDomain]bool{}
+	permitted := map[identifier.FailureDomain]bool{}
 	for domain, region := range c.options.Regions {
 		if permits(r.route.Regions, region) && permits(team, region) {
-			allowed[domain] = true
+			permitted[domain] = true
 		}
 	}
-	return allowed
+	return permitted
 }
 
 // permits reports whether a list of bound regions allows a region; an empty list allows all.
--- a/internal/conductor/restart.go
+++ b/internal/conductor/restart.go
@@ -26,7 +26,7 @@
 	}
 	if c.registrar.Assume(m.Endpoint, int64(m.Slots)) {
 		c.startLimiter(int64(m.Slots), 0, now)
-		c.presumeCold(now)
+		c.assumeCold(now)
 		c.publish(now)
 	}
 }
--- a/internal/reducer/delivery.go
+++ b/internal/reducer/delivery.go
@@ -62,7 +62,7 @@
 	}
 	d.backend = b
 	d.route = s.routeOf(e)
-	b.meter.Note(e.Attempt > 1, s.now)
+	b.meter.CountCall(e.Attempt > 1, s.now)
 	if b.refusesNew(s.now) {
 		s.refuseDelivery(d, EndpointLeaving)
 		return
--- a/internal/retrier/meter.go
+++ b/internal/retrier/meter.go
@@ -20,8 +20,8 @@
 	decayedAt      clock.Time
 }
 
-// Note counts a call.
-func (m *Meter) Note(retry bool, now clock.Time) {
+// CountCall counts a call.
+func (m *Meter) CountCall(retry bool, now clock.Time) {
 	m.decay(now)
 	m.calls++
 	if retry {
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -168,7 +168,7 @@
 	m := &Meter{}
 	for i := range 100 {
 		d.CountFirst("ice", 0)
-		m.Note(i%4 == 0, 0)
+		m.CountCall(i%4 == 0, 0)
 	}
 	assert.Assert(t, d.Allow("ice", 0))
 	d.SetHint("ice", m.Hint(false, 0), 0)
--- a/internal/router/member.go
+++ b/internal/router/member.go
@@ -145,11 +145,11 @@
 
 // recordRefusal updates the fraction of its calls that the endpoint refuses.
 func (m *member) recordRefusal(refused bool) {
-	part := 0.0
+	sample := 0.0
 	if refused {
-		part = 1
+		sample = 1
 	}
-	m.refusalRate += refusalWeight * (part - m.refusalRate)
+	m.refusalRate += refusalWeight * (sample - m.refusalRate)
 }
 
 // currentRefusalRate is the refusal rate, approaching 0 with age.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -131,7 +131,7 @@
 		return m, Probing
 	}
 	if len(q.need.Domains) > 0 {
-		if m := r.bestInNeededDomains(&s.remote, q); m != nil {
+		if m := r.bestInPreferredDomains(&s.remote, q); m != nil {
 			return m, ForItsCalls
 		}
 	}
@@ -194,9 +194,9 @@
 	return a
 }
 
-// bestInNeededDomains returns the best endpoint with headroom in the failure domains that the call's nested calls need;
+// bestInPreferredDomains returns the best endpoint with headroom in the failure domains that the call's nested calls need;
 // it compares all of them, since there are rarely more than a few.
-func (r *Router) bestInNeededDomains(g *group, q pickRequest) *member {
+func (r *Router) bestInPreferredDomains(g *group, q pickRequest) *member {
 	var best *member
 	for _, m := range g.members {
 		if !slices.Contains(q.need.Domains, m.endpoint.Domain) || !q.allows(m) {
@@ -210,10 +210,10 @@
 }
 
 // nextAllowed returns the first member from the given index on, wrapping around, that may run the call.
-func (r *Router) nextAllowed(g *group, place int, q pickRequest) *member {
+func (r *Router) nextAllowed(g *group, start int, q pickRequest) *member {
 	n := len(g.members)
 	for i := range n {
-		m := g.members[(place+i)%n]
+		m := g.members[(start+i)%n]
 		if q.allows(m) {
 			return m
 		}
--- a/internal/throttler/shed.go
+++ b/internal/throttler/shed.go
@@ -35,12 +35,12 @@
 		for ; end < len(order) && demands[order[end]].Worth == demands[order[first]].Worth; end++ {
 			load += demands[order[end]].Load
 		}
-		part := 0.0
+		fraction := 0.0
 		if load > 0 {
-			part = min(1, remaining/load)
+			fraction = min(1, remaining/load)
 		}
 		for _, i := range order[first:end] {
-			refused[i] = part
+			refused[i] = fraction
 		}
 		remaining -= load
 		first = end
