--- a/internal/apportioner/apportioner.go
+++ b/internal/apportioner/apportioner.go
@@ -248,8 +248,9 @@
 	}
 }
 
-// reportsDeliveredUntil returns until when a peer has received this node's reports. A peer that reports on schedule is
-// about to ask again, and has received the report before the latest.
+// reportsDeliveredUntil returns until when a peer has received this node's reports. A peer that reports on schedule has
+// received the report before the latest; one that is late, the reports made before its own last report. It is on
+// schedule if its report was recent when reports last arrived here, or is recent now if none have arrived for a while.
 func (a *Apportioner) reportsDeliveredUntil(p peer, now clock.Time) clock.Time {
 	reference := now
 	if now.Sub(a.lastReportsAt) <= maxReportPeriod {
--- a/internal/conductor/chain.go
+++ b/internal/conductor/chain.go
@@ -43,7 +43,8 @@
 	leafServices map[identifier.Service]bool
 }
 
-// planPeriod is how often the plan is recomputed: half of the shortest period of the reports it is based on.
+// planPeriod is the age at which the plan is recomputed: half of overloadPeriod, in which nodes exchange the reports it
+// is based on while a service is overloaded, and as much as shortPeriod, in which collectors exchange them.
 const planPeriod = 100 * clock.Millisecond
 
 func (c *Conductor) refreshPlan(now clock.Time) {
--- a/internal/conductor/configuration_proof_test.go
+++ b/internal/conductor/configuration_proof_test.go
@@ -45,8 +45,8 @@
 	assert.Equal(t, c.ReadWait(heard, boot), 2000*collectorWaitTenths/10*clock.Millisecond)
 }
 
-// The node that provides the proofs is cut off from the store unnoticed, and a new configuration is accepted. The other
-// nodes must read the store while there is still time to apply the configuration.
+// The node that provides the proofs loses contact with the store unnoticed, and a new configuration is accepted. The
+// other nodes must read the store while there is still time to apply the configuration.
 func TestStaleProofTriggersStoreRead(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
--- a/internal/conductor/delivery.go
+++ b/internal/conductor/delivery.go
@@ -232,6 +232,7 @@
 	c.shedQueue(now)
 	ramp := coldLeft
 	if c.boundsCold() {
+		// The limit of requests to a cold endpoint (see cold.go) replaces the limiter's ramp.
 		ramp = 0
 	}
 	c.limiter = limiter.New(limiter.Options{
--- a/internal/conductor/endpoint_wait.go
+++ b/internal/conductor/endpoint_wait.go
@@ -1,9 +1,9 @@
 package conductor
 
 // A service can be without an endpoint for some hundreds of milliseconds: all VMs have lost power and their endpoints
-// have not announced themselves yet, a node is restarting, or a failure domain was cut off. Refusing a nested call at
-// such a moment fails a request whose work has been done, so the call waits for a while. A root request waits only
-// briefly: its caller can retry, but only a few times.
+// have not announced themselves yet, a node is restarting, or a failure domain was partitioned off. Refusing a nested
+// call at such a moment fails a request whose work has been done, so the call waits for a while. A root request waits
+// only briefly: its caller can retry, but only a few times.
 //
 // Example: a nested call with 700 ms left and no endpoint: Hold, and Send when an endpoint appears within 233 ms.
 
@@ -14,8 +14,8 @@
 // rootAwaitRatio is the part of a root request's queue timeout that it may wait for an endpoint.
 const rootAwaitRatio = 1.0 / 2
 
-// awaitEndpoint makes a request wait for an endpoint if waiting can help: a request that was turned away has already
-// found an endpoint.
+// awaitEndpoint makes a request wait for an endpoint if waiting can help: it does not help a request that has already
+// found one.
 func (c *Conductor) awaitEndpoint(r *call, now clock.Time) bool {
 	if r.endpointFound || r.rateUnchecked || r.mayHaveRun || c.stopping {
 		return false
--- a/internal/conductor/entry.go
+++ b/internal/conductor/entry.go
@@ -16,12 +16,13 @@
 
 // call is a request that entered at this node.
 type call struct {
-	id       CallID
-	route    *matcher.Route
-	team     *matcher.Team
-	service  identifier.Service
-	class    class
-	rank     identifier.Rank
+	id      CallID
+	route   *matcher.Route
+	team    *matcher.Team
+	service identifier.Service
+	class   class
+	rank    identifier.Rank
+	// nested is set for a call of the local endpoint: a request without a key to a public route counts as one.
 	nested   bool
 	arrived  clock.Time
 	deadline clock.Time
@@ -41,7 +42,7 @@
 	// connection attempts failed has not been counted and must still be counted at the next node; otherwise the last
 	// endpoint of a service, which gets requests only after attempts at dead endpoints, would report too low a load.
 	arrivalCounted bool
-	// endpointFound is set when an endpoint, or the node beside it, received the request and refused it.
+	// endpointFound is set when an attempt reached an endpoint or the node beside it, and the endpoint had not moved.
 	endpointFound bool
 	// awaitsUntil is the time until which the request waits for an endpoint, 0 if it has not waited yet.
 	awaitsUntil clock.Time
@@ -113,6 +114,7 @@
 		c.refuse(e.ID, http.StatusUnauthorized, UnknownKey, 0)
 		return nil, false
 	case !keysProved:
+		// The key may have been withdrawn since then.
 		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryAfterStaleKeys)
 		return nil, false
 	}
@@ -155,9 +157,9 @@
 const (
 	// retryAfterNoConfiguration is about how long a node takes to read its first configuration.
 	retryAfterNoConfiguration = 300 * clock.Millisecond
-	// retryAfterStaleKeys is the shortest time that brief outages of the store last.
+	// retryAfterStaleKeys is how long even a brief outage of the store lasts; an earlier retry would fail as well.
 	retryAfterStaleKeys = 500 * clock.Millisecond
-	// retryAfterPressure is the time in which a service's excess load changes by a tenth (see throttler).
+	// retryAfterPressure is about the time in which a service's excess load changes by a tenth.
 	retryAfterPressure = 400 * clock.Millisecond
 	// minRetryAfterOverRate keeps a team that is over its rate from retrying for each single token.
 	minRetryAfterOverRate = 200 * clock.Millisecond
--- a/internal/conductor/missing_service.go
+++ b/internal/conductor/missing_service.go
@@ -4,8 +4,8 @@
 // it: callers wait for an error, and requests that do not need the service lack capacity. Requests that lead to it are
 // therefore refused before any work, with a time to retry.
 //
-// Example: each "browse" calls desk, whose last endpoint was cut off: they are refused with noEndpoint; one in ten
-// "search" calls it: one in ten of them is refused.
+// Example: each "browse" calls desk, whose last endpoint became unreachable: they are refused with noEndpoint; one in
+// ten "search" calls it: one in ten of them is refused.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
--- a/internal/conductor/placement.go
+++ b/internal/conductor/placement.go
@@ -19,9 +19,10 @@
 	maxAttempts = 4
 	// minTimeLeft is the shortest remaining time in which an attempt can succeed: a round trip and some work.
 	minTimeLeft = 10 * clock.Millisecond
-	// A root request may be queued for its route's objective divided by rootQueueDivisor, a nested call for its
-	// remaining time divided by nestedQueueDivisor. A root request that waits longer than an eighth of its objective is
-	// late more often than not; a nested call that is refused wastes the work of its parent.
+	// A root request may be queued for its route's objective divided by rootQueueDivisor; a nested call, or a request to
+	// a route without an objective, for its remaining time divided by nestedQueueDivisor. Waiting helps few root
+	// requests: after an eighth of its objective, one is late more often than not. A nested call that is refused wastes
+	// the work of its parent.
 	rootQueueDivisor   = 4
 	nestedQueueDivisor = 3
 )
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -74,6 +74,7 @@
 	return false
 }
 
+// granted reports whether a token was granted; if not, it has refused the request.
 func (c *Conductor) granted(r *call, g pooler.Grant) bool {
 	if !g.Allowed {
 		c.refuseOverRate(r, g.Wait)
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -159,9 +159,9 @@
 	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
 }
 
-// A failure domain with a quarter of the nodes is cut off while a small team sends eight times its rate everywhere.
-// Each side of the partition then has its own bucket, and both together must not grant more than one bucket may: the
-// other teams would wait behind this team.
+// A failure domain with a quarter of the nodes is partitioned off while a small team sends eight times its rate
+// everywhere. Each side of the partition then has its own bucket, and both together must not grant more than one bucket
+// may: the other teams would wait behind this team.
 func TestSmallTeamsRateHoldsAcrossPartition(t *testing.T) {
 	const rate = 26.0
 	for shift := range 8 {
--- a/internal/conductor/reachability_test.go
+++ b/internal/conductor/reachability_test.go
@@ -16,9 +16,9 @@
 	return m
 }
 
-// A failure domain is cut off while lookups and an order are in flight there. Without an abort, the callers of the
-// lookups would wait until their deadline; the order may have run and must not be answered as not run. After that, no
-// further request may go there: an order sent on a dead connection can't be sent again.
+// A failure domain is partitioned off while lookups and an order are in flight there. Without an abort, the callers of
+// the lookups would wait until their deadline; the order may have run and must not be answered as not run. After that,
+// no further request may go there: an order sent on a dead connection can't be sent again.
 func TestUnreachableDomainIsAvoidedWithinASecond(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent), route("ord", "clock", matcher.NonIdempotent)), 0)
--- a/internal/conductor/retry_budget.go
+++ b/internal/conductor/retry_budget.go
@@ -19,10 +19,12 @@
 )
 
 const (
-	// The parts of the allowed ratio that nodes use: at leaf services, of the total load for root requests, of a node's
-	// own root requests, and of its nested calls; at other services, of all its requests. The remainder covers the
-	// nested calls that are repeated by retries at the services above: an eighth of a tenth, with up to eight calls
-	// each.
+	// The parts of the allowed ratio that nodes use. At a leaf service, leafLoadRatio of the total load is for retries
+	// of root requests. In addition, each first attempt that a node sends there earns it leafRootRatio for root requests
+	// and leafNestedRatio for nested calls. At other services, each first attempt earns innerRatio for either kind, a
+	// tenth together. What is left at a leaf covers the nested calls that are repeated by retries at the services above:
+	// where each run makes up to eight calls, the service above gets an eighth of the leaf's load and retries up to a
+	// tenth of the allowed ratio of it, which repeats calls for a tenth of the allowed ratio at the leaf.
 	leafLoadRatio   = 0.35
 	leafRootRatio   = 0.25
 	leafNestedRatio = 0.2
--- a/internal/conductor/stop_test.go
+++ b/internal/conductor/stop_test.go
@@ -10,9 +10,9 @@
 	"github.com/jackdawtide/jackdawtide/internal/matcher"
 )
 
-// The nodes are restarted one after the other while a failure domain is cut off, so that the only reachable endpoint is
-// beside a stopping node. The endpoint is healthy and its node still forwards requests; without it, callers would be
-// refused for the duration of the restart.
+// The nodes are restarted one after the other while a failure domain is partitioned off, so that the only reachable
+// endpoint is beside a stopping node. The endpoint is healthy and its node still forwards requests; without it, callers
+// would be refused for the duration of the restart.
 func TestStoppingNodeIsLastChoice(t *testing.T) {
 	stopping := peer("a", "portal")
 	stopping.State = exchanger.Stopping
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -1,6 +1,6 @@
-// Queued calls are dispatched most important first and shed least important first. All hops must use the same two
-// orders, or one hop works on a request that the next one refuses. So the keys of both orders are defined in this file
-// only.
+// Queued calls are dispatched in the order that the limiter's options select, and shed by rank, least important first.
+// All hops must use the same orders, or one hop works on a request that the next one refuses. So the keys of all orders
+// are defined in this file only.
 //
 // Example: with RankOldest, rank 5 is queued before rank 3: rank 3 is dispatched first and rank 5 is shed first.
 
@@ -12,6 +12,8 @@
 )
 
 const (
+	// A key has a rank or a priority in its upper 16 bits and the call's sequence number below: counted up for oldest
+	// first, complemented for newest first.
 	sequenceBits = 48
 	sequenceMask = 1<<sequenceBits - 1
 	// dueSequenceBits leaves 44 bits for the due time in milliseconds.
@@ -31,8 +33,10 @@
 	byDispatch heap[uint64]
 	byShed     heap[uint64]
 	byExpiry   heap[clock.Time]
-	byRank     heap[uint64]
-	urgent     int
+	// byRank replaces byDispatch while a standing queue lasts (see standing.go).
+	byRank heap[uint64]
+	// urgent is the number of queued urgent calls.
+	urgent int
 }
 
 func (q *queue) grow(n int) {
--- a/internal/pooler/types.go
+++ b/internal/pooler/types.go
@@ -34,7 +34,7 @@
 	// fallbackDelay is how long a node that cannot reach the bucket waits before it admits its own share. Until then
 	// the node with the bucket may not have detected the silence, and grants that share itself (see apportioner).
 	fallbackDelay = 1500 * clock.Millisecond
-	// fallbackRetention is how long after the last failure a node still counts as cut off from the bucket.
+	// fallbackRetention is how long after the last failure a node still counts as unable to reach the bucket.
 	fallbackRetention = 3 * clock.Second
 	// calmAfterEmpty is how long after an empty bucket a team does not count as within its rate: one window of the
 	// rate's tolerance.
--- a/internal/retrier/attempt.go
+++ b/internal/retrier/attempt.go
@@ -1,7 +1,7 @@
-// Whether an attempt may be repeated depends on whether it may already have run. A second booking is worse than a
+// Whether an attempt may be retried depends on whether it may already have run. A second booking is worse than a
 // failed one, and retries to an overloaded service prolong the overload.
 //
-// Example: a GET whose connection broke after sending may be repeated; a booking in the same state may not.
+// Example: a GET whose connection broke after sending may be retried; a booking in the same state may not.
 
 package retrier
 
@@ -50,7 +50,7 @@
 	Reason Reason
 }
 
-// MayRetry returns whether the attempt may be repeated at all; Damper and Budget must allow it as well.
+// MayRetry returns whether the attempt may be retried at all; Damper and Budget must allow it as well.
 func MayRetry(a Attempt) bool {
 	switch a.Reason {
 	case ServiceOverloaded, DeadlineExceeded, DeeperFailure:
--- a/internal/retrier/meter.go
+++ b/internal/retrier/meter.go
@@ -20,7 +20,7 @@
 	decayedAt      clock.Time
 }
 
-// CountCall counts a call.
+// CountCall counts a call, and whether it is a retry.
 func (m *Meter) CountCall(retry bool, now clock.Time) {
 	m.decay(now)
 	m.calls++
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -45,7 +45,7 @@
 	retries  int
 }
 
-// call is one hop: it makes attempts and repeats its own failed ones while the budget lasts.
+// call is one hop: it makes attempts and retries its own failed ones while the budget lasts.
 func (f *simulation) call(n *callTree, b *Budget, portion uint8) bool {
 	carried := b.Take(portion)
 	for {
@@ -114,7 +114,7 @@
 	})
 }
 
-// A booking that may have run must not run again, and a hop must not repeat what a deeper hop gave up. Otherwise a
+// A booking that may have run must not run again, and a hop must not retry what a deeper hop gave up. Otherwise a
 // booking is made twice, or the load grows with the depth of the chain.
 func TestMayRetry(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -194,8 +194,8 @@
 	return a
 }
 
-// bestInPreferredDomains returns the best endpoint with headroom in the failure domains that the call's nested calls need;
-// it compares all of them, since there are rarely more than a few.
+// bestInPreferredDomains returns the best endpoint with headroom in the failure domains that serve the call's nested
+// calls; it compares all of them, since there are rarely more than a few.
 func (r *Router) bestInPreferredDomains(g *group, q pickRequest) *member {
 	var best *member
 	for _, m := range g.members {
@@ -209,7 +209,7 @@
 	return best
 }
 
-// nextAllowed returns the first member from the given index on, wrapping around, that may run the call.
+// nextAllowed returns the first member from index start on, wrapping around, that may run the call.
 func (r *Router) nextAllowed(g *group, start int, q pickRequest) *member {
 	n := len(g.members)
 	for i := range n {
@@ -251,7 +251,7 @@
 	return s
 }
 
-// regroup moves the member to the group for its state and ejection.
+// regroup moves the member to the group for its state, connection limit and ejection.
 func (r *Router) regroup(m *member) {
 	s := r.service(m.endpoint.Service)
 	target := r.groupOf(s, m)
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -47,8 +47,8 @@
 	// otherwise stay too low.
 	capacityGrowthPerSecond = 0.4
 	// maxCapacityOvershoot bounds the ratio of the grown capacity estimate to the rate that a full endpoint answers.
-	// Without it the estimate of an endpoint that was idle for ten seconds grew to four hundred times its capacity, and
-	// a surge was not seen as excess for 27 windows.
+	// Without it the estimate of an endpoint that was idle for ten seconds would grow to four hundred times its
+	// capacity, and a surge would not be seen as excess for 27 windows.
 	maxCapacityOvershoot = 1.5
 	// MaxExcess is the largest excess. Some requests are always admitted, because the end of an overload shows only in
 	// their calls.
