--- a/internal/conductor/configuration_proof_test.go
+++ b/internal/conductor/configuration_proof_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestReadWait(t *testing.T) {
-	const heard, revoke = clock.Time(10_000), clock.Duration(5000)
+	const receivedAt, revoke = clock.Time(10_000), clock.Duration(5000)
 	tests := map[string]struct {
 		version int
 		age     clock.Duration
@@ -32,17 +32,17 @@
 		t.Run(name, func(t *testing.T) {
 			c := newConductor("desk")
 			configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
-			c.Apply(MemberLearned{Member: peer("a", "portal")}, heard)
-			c.Apply(ReportsReceived{Reports: []exchanger.Report{{Member: peer("a", "portal"), Number: 1}}}, heard)
-			c.Apply(ProofReceived{Version: identifier.Version(test.version), AsOf: boot.Add(-test.age)}, heard)
-			assert.Equal(t, c.ReadWait(heard.Add(test.after), boot.Add(test.after)), test.want)
+			c.Apply(MemberLearned{Member: peer("a", "portal")}, receivedAt)
+			c.Apply(ReportsReceived{Reports: []exchanger.Report{{Member: peer("a", "portal"), Number: 1}}}, receivedAt)
+			c.Apply(ProofReceived{Version: identifier.Version(test.version), AsOf: boot.Add(-test.age)}, receivedAt)
+			assert.Equal(t, c.ReadWait(receivedAt.Add(test.after), boot.Add(test.after)), test.want)
 		})
 	}
 	// A node without a peer that answers is the fleet's collector.
 	c := newConductor("desk")
-	assert.Equal(t, c.ReadWait(heard, boot), firstWait)
+	assert.Equal(t, c.ReadWait(receivedAt, boot), firstWait)
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent)), 0)
-	assert.Equal(t, c.ReadWait(heard, boot), 2000*collectorWaitTenths/10*clock.Millisecond)
+	assert.Equal(t, c.ReadWait(receivedAt, boot), 2000*collectorWaitTenths/10*clock.Millisecond)
 }
 
 // The node that provides the proofs loses contact with the store unnoticed, and a new configuration is accepted. The
--- a/internal/conductor/entry.go
+++ b/internal/conductor/entry.go
@@ -114,7 +114,7 @@
 		c.refuse(e.ID, http.StatusUnauthorized, UnknownKey, 0)
 		return nil, false
 	case !keysProved:
-		// The key may have been withdrawn since then.
+		// The key may have been withdrawn since the last proof.
 		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryAfterStaleKeys)
 		return nil, false
 	}
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -24,14 +24,14 @@
 	last  CallID
 	// asked and passed are the counts of askAndCount.
 	asked, passed int
-	// cut reports whether two nodes can't reach each other.
-	cut func(from, to identifier.Node) bool
+	// partitioned reports whether two nodes can't reach each other.
+	partitioned func(from, to identifier.Node) bool
 }
 
 func newPoolFleet(t *testing.T, n int, rate float64) *poolFleet {
 	f := &poolFleet{
 		t: t, nodes: map[identifier.Node]*Conductor{},
-		cut: func(identifier.Node, identifier.Node) bool { return false },
+		partitioned: func(identifier.Node, identifier.Node) bool { return false },
 	}
 	config := configuration(1, route("obs", "portal", matcher.Idempotent))
 	config.Teams = []matcher.Team{{Name: "parish", Keys: []string{"k"}, Rate: rate, Burst: rate}}
@@ -64,16 +64,16 @@
 
 // report makes all nodes send a report to the nodes that they can reach.
 func (f *poolFleet) report(now clock.Time) {
-	heard := map[identifier.Node][]exchanger.Report{}
+	received := map[identifier.Node][]exchanger.Report{}
 	for _, from := range f.names {
 		r := f.nodes[from].Report(now)
 		for _, to := range f.names {
-			if to != from && !f.cut(from, to) {
-				heard[to] = append(heard[to], r)
+			if to != from && !f.partitioned(from, to) {
+				received[to] = append(received[to], r)
 			}
 		}
 	}
-	for to, reports := range heard {
+	for to, reports := range received {
 		f.nodes[to].Apply(ReportsReceived{Reports: reports}, now)
 	}
 	for _, c := range f.nodes {
@@ -88,7 +88,7 @@
 	effect := onlyEffect[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
 	if d, ok := effect.(Draw); ok {
 		drawn := TokenDrawn{ID: d.ID, Node: d.Node}
-		if !f.cut(at, d.Node) {
+		if !f.partitioned(at, d.Node) {
 			g := onlyEffect[Give](f.t, f.nodes[d.Node].Apply(TokenRequested{ID: 1, Team: d.Team, Back: d.Back}, now))
 			drawn.Answered, drawn.Grant = g.Known, g.Grant
 		}
@@ -170,8 +170,8 @@
 		random := rand.New(rand.NewPCG(uint64(shift), 8))
 		var passed []clock.Time
 		for now := clock.Time(0); now < 20000; now++ {
-			cut := now >= 6000 && now < 12000
-			f.cut = func(from, to identifier.Node) bool { return cut && side(from) != side(to) }
+			partitioned := now >= 6000 && now < 12000
+			f.partitioned = func(from, to identifier.Node) bool { return partitioned && side(from) != side(to) }
 			if now%500 == 0 {
 				f.report(now)
 			}
@@ -197,7 +197,7 @@
 		f.report(now)
 	}
 	holder := f.nodes["n00"].holder("parish", 3500).Node
-	f.cut = func(from, to identifier.Node) bool { return from == holder || to == holder }
+	f.partitioned = func(from, to identifier.Node) bool { return from == holder || to == holder }
 	asker := f.names[0]
 	if asker == holder {
 		asker = f.names[1]
@@ -255,7 +255,7 @@
 	var passed []clock.Time
 	for now := clock.Time(0); now < 16000; now++ {
 		frozen := now >= 9000 && now < 10500
-		f.cut = func(from, to identifier.Node) bool { return frozen && (from == holder || to == holder) }
+		f.partitioned = func(from, to identifier.Node) bool { return frozen && (from == holder || to == holder) }
 		if now%500 == 0 {
 			f.report(now)
 		}
