--- a/internal/conductor/entry.go
+++ b/internal/conductor/entry.go
@@ -16,12 +16,13 @@
 
 // call is a request that entered at this node.
 type call struct {
-	id       CallID
-	route    *matcher.Route
-	team     *matcher.Team
-	service  identifier.Service
-	class    class
-	rank     identifier.Rank
+	id      CallID
+	route   *matcher.Route
+	team    *matcher.Team
+	service identifier.Service
+	class   class
+	rank    identifier.Rank
+	// nested is set for a call of the local endpoint: a request without a key to a public route counts as one.
 	nested   bool
 	arrived  clock.Time
 	deadline clock.Time
@@ -41,8 +42,8 @@
 	// connection attempts failed has not been counted and must still be counted at the next node; otherwise the last
 	// endpoint of a service, which gets requests only after attempts at dead endpoints, would report too low a load.
 	arrivalCounted bool
-	// turnedAway is set when an endpoint, or the node beside it, received the request and refused it.
-	turnedAway bool
+	// endpointFound is set when an attempt reached an endpoint or the node beside it, and the endpoint had not moved.
+	endpointFound bool
 	// awaitsUntil is the time until which the request waits for an endpoint, 0 if it has not waited yet.
 	awaitsUntil clock.Time
 	// rateUnchecked is set when this node had no token for the request; tokenWait is the time until it has one.
@@ -76,7 +77,7 @@
 	if e.Left > 0 {
 		r.deadline = min(r.deadline, now.Add(e.Left))
 	}
-	r.permittedDomains = c.allowedDomains(r)
+	r.permittedDomains = c.permittedDomainsOf(r)
 	r.class = classOf(r)
 	r.service = c.splitOf(route).next()
 	r.rank = r.class.rank(c.plan.costLevels[r.origin()], c.random.Uint64())
@@ -113,6 +114,7 @@
 		c.refuse(e.ID, http.StatusUnauthorized, UnknownKey, 0)
 		return nil, false
 	case !keysProved:
+		// The key may have been withdrawn since the last proof.
 		c.refuse(e.ID, http.StatusServiceUnavailable, StaleKeys, retryAfterStaleKeys)
 		return nil, false
 	}
@@ -126,7 +128,7 @@
 		return true
 	}
 	c.arrivalCounts.add(r.origin(), r.class)
-	if part := c.refusedRatio(r, now); part > 0 && c.random.Float64() < part {
+	if ratio := c.refusedRatio(r, now); ratio > 0 && c.random.Float64() < ratio {
 		c.refuse(r.id, http.StatusServiceUnavailable, Pressure, c.jitter(retryAfterPressure))
 		return false
 	}
@@ -137,7 +139,7 @@
 	if r.team == nil {
 		return true
 	}
-	if c.pools(r.team.Name) {
+	if c.isPooled(r.team.Name) {
 		return c.draw(r, now)
 	}
 	v := c.apportioner.Take(r.team.Name, now)
@@ -155,9 +157,9 @@
 const (
 	// retryAfterNoConfiguration is about how long a node takes to read its first configuration.
 	retryAfterNoConfiguration = 300 * clock.Millisecond
-	// retryAfterStaleKeys is the shortest time that brief outages of the store last.
+	// retryAfterStaleKeys is how long even a brief outage of the store lasts; an earlier retry would fail as well.
 	retryAfterStaleKeys = 500 * clock.Millisecond
-	// retryAfterPressure is the time in which a service's excess load changes by a tenth (see throttler).
+	// retryAfterPressure is about the time in which a service's excess load changes by a tenth.
 	retryAfterPressure = 400 * clock.Millisecond
 	// minRetryAfterOverRate keeps a team that is over its rate from retrying for each single token.
 	minRetryAfterOverRate = 200 * clock.Millisecond
