--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	announceBound = 30 * time.Second
-	announcePause = 200 * time.Millisecond
-	leaveBound    = 10 * time.Minute
+	announceTimeout = 30 * time.Second
+	announceRetryInterval = 200 * time.Millisecond
+	leaveTimeout    = 10 * time.Minute
 )
 
 // PathError reports a nested call that is not given as /service/path.
@@ -59,9 +59,9 @@
 	logger.Info("backend server stand-in announced", "address", s.Address(), "node", o.Node)
 	<-ctx.Done()
 	logger.Info("backend server stand-in leaving")
-	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveBound)
+	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
-	if err := s.Leave(leave); err != nil {
+	if err := s.Leave(leaveCtx); err != nil {
 		return err
 	}
 	logger.Info("backend server stand-in stopped", "served", s.Served())
@@ -69,17 +69,17 @@
 }
 
 func announce(ctx context.Context, s *responder.Server) error {
-	bound, cancel := context.WithTimeout(ctx, announceBound)
+	announceCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	for {
-		err := s.Announce(bound)
+		err := s.Announce(announceCtx)
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-bound.Done():
+		case <-announceCtx.Done():
 			return err
-		case <-time.After(announcePause):
+		case <-time.After(announceRetryInterval):
 		}
 	}
 }
--- a/internal/runner/fleet.go
+++ b/internal/runner/fleet.go
@@ -64,7 +64,7 @@
 
 func printFleet(w io.Writer, f commander.Format, v faulter.Figures) error {
 	if f == commander.JSON {
-		return json.NewEncoder(w).Encode(fleetLineOf(v))
+		return json.NewEncoder(w).Encode(toFleetLine(v))
 	}
 	_, err := fmt.Fprintf(w, "%-24s rate served %s  exceeded %.2f  double runs %d  false not-run %d  reverted %d  "+
 		"in force %s ms  key %s ms  stop %s ms  last call %s ms  bookings %s  wrongful %s  %s\n",
@@ -88,7 +88,7 @@
 	return fmt.Sprint(*v)
 }
 
-func fleetLineOf(v faulter.Figures) fleetLine {
+func toFleetLine(v faulter.Figures) fleetLine {
 	return fleetLine{
 		Scenario:                  v.Scenario,
 		Scale:                     fleetScale,
--- a/internal/runner/node.go
+++ b/internal/runner/node.go
@@ -20,8 +20,8 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// stopSlack is what a stop needs besides waiting for calls.
-const stopSlack = 15 * time.Second
+// stopMargin is what a stop needs besides waiting for calls.
+const stopMargin = 15 * time.Second
 
 // NewLogger returns a logger that writes JSON lines.
 func NewLogger(w io.Writer) *log.Logger {
@@ -47,9 +47,9 @@
 		"caller", a.Caller, "local", a.Local, "peer", a.Peer, "admin", a.Admin)
 	<-ctx.Done()
 	logger.Info("node stopping", "drainTimeout", s.Limits.DrainTimeout.Std().String())
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Limits.DrainTimeout.Std()+stopSlack)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Limits.DrainTimeout.Std()+stopMargin)
 	defer cancel()
-	return n.Stop(stop)
+	return n.Stop(stopCtx)
 }
 
 func newNode(s loader.Settings, logger *log.Logger) (*assembler.Node, error) {
@@ -58,9 +58,9 @@
 		return nil, err
 	}
 	// The client bounds each request by its context; a timeout here would cut waiting reads.
-	l, err := appender.NewClient(s.Log.URL, &http.Client{})
+	logClient, err := appender.NewClient(s.Log.URL, &http.Client{})
 	if err != nil {
 		return nil, err
 	}
-	return assembler.New(assembler.Options{Settings: s, Trust: trust, Log: l, Logger: logger})
+	return assembler.New(assembler.Options{Settings: s, Trust: trust, Log: logClient, Logger: logger})
 }
--- a/internal/runner/overload.go
+++ b/internal/runner/overload.go
@@ -79,7 +79,7 @@
 }
 
 func printOverload(w io.Writer, f commander.Format, v overloader.Figures) error {
-	line := withScale(v)
+	line := toOverloadLine(v)
 	if f == commander.JSON {
 		return json.NewEncoder(w).Encode(line)
 	}
@@ -98,7 +98,7 @@
 	return strings.Join(parts, " ")
 }
 
-func withScale(v overloader.Figures) overloadLine {
+func toOverloadLine(v overloader.Figures) overloadLine {
 	return overloadLine{
 		Scenario:             v.Scenario,
 		Policy:               v.Policy,
