--- a/internal/overloader/baseline.go
+++ b/internal/overloader/baseline.go
@@ -37,56 +37,56 @@
 // fixedLimit lets four times the slots in, which wait in order of arrival.
 func fixedLimit(slots int) func() (func(), bool) {
 	const queueFactor = 4
-	var inside atomic.Int64
+	var inFlight atomic.Int64
 	limit := int64(slots * (1 + queueFactor))
 	return func() (func(), bool) {
-		if inside.Add(1) > limit {
-			inside.Add(-1)
+		if inFlight.Add(1) > limit {
+			inFlight.Add(-1)
 			return nil, false
 		}
-		return func() { inside.Add(-1) }, true
+		return func() { inFlight.Add(-1) }, true
 	}
 }
 
 // adaptiveLimit lowers its limit while latency is above twice the lowest seen, and raises it by one otherwise.
 func adaptiveLimit(slots int) func() (func(), bool) {
-	l := &latencyLimit{limit: float64(slots), least: math.MaxFloat64}
+	l := &latencyLimit{limit: float64(slots), minLatency: math.MaxFloat64}
 	return l.admit
 }
 
 type latencyLimit struct {
 	mu     sync.Mutex
 	limit  float64
-	least  float64
-	inside int
+	minLatency  float64
+	inFlight int
 }
 
 func (l *latencyLimit) admit() (func(), bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if float64(l.inside) >= l.limit {
+	if float64(l.inFlight) >= l.limit {
 		return nil, false
 	}
-	l.inside++
+	l.inFlight++
 	began := time.Now()
-	return func() { l.done(time.Since(began).Seconds()) }, true
+	return func() { l.finish(time.Since(began).Seconds()) }, true
 }
 
-func (l *latencyLimit) done(latency float64) {
+func (l *latencyLimit) finish(latency float64) {
 	const tolerance, decrease = 2, 0.98
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.inside--
-	l.least = min(l.least*1.0005, latency)
-	if latency > tolerance*l.least {
+	l.inFlight--
+	l.minLatency = min(l.minLatency*1.0005, latency)
+	if latency > tolerance*l.minLatency {
 		l.limit = max(1, l.limit*decrease)
 		return
 	}
 	l.limit += 1 / l.limit
 }
 
-// mesh is a baseline at work.
-type mesh struct {
+// baseline is a baseline at work.
+type baseline struct {
 	shape      shape
 	protection protection
 	client     *http.Client
@@ -94,12 +94,12 @@
 
 	mu       sync.Mutex
 	servers  map[string][]*responder.Server
-	first    atomic.Int64
+	firstAttempts    atomic.Int64
 	attempts atomic.Int64
 }
 
-func newMesh(s shape, p protection, seed uint64) (system, error) {
-	m := &mesh{shape: s, protection: p, client: newClient(), seed: seed, servers: make(map[string][]*responder.Server)}
+func newBaseline(s shape, p protection, seed uint64) (system, error) {
+	m := &baseline{shape: s, protection: p, client: newClient(), seed: seed, servers: make(map[string][]*responder.Server)}
 	for _, v := range s.plan.Services {
 		for range v.Endpoints {
 			server, err := m.listen(v.Name, v.Slots, v.ServiceTime, 0, v.Calls)
@@ -113,16 +113,16 @@
 	return m, nil
 }
 
-func (m *mesh) listen(service string, slots int, d, cold time.Duration, calls []responder.Nested) (*responder.Server, error) {
+func (m *baseline) listen(service string, slots int, serviceTime, cold time.Duration, calls []responder.Nested) (*responder.Server, error) {
 	o := responder.Options{
 		Endpoint:     service,
 		Service:      service,
 		Listen:       "127.0.0.1:0",
 		Slots:        slots,
-		ServiceTime:  d,
+		ServiceTime:  serviceTime,
 		ColdStart:    cold,
 		Calls:        calls,
-		Call:         m.nested,
+		Call:         m.callNested,
 		IgnoreCancel: m.protection.ignoreCancel,
 		Seed:         m.seed,
 	}
@@ -132,18 +132,18 @@
 	return responder.Listen(o)
 }
 
-func (m *mesh) nested(r *http.Request, n responder.Nested) (string, int) {
-	return m.hop(r.Context(), n.Service, n.Method, "/"+n.Service+n.Path, "")
+func (m *baseline) callNested(r *http.Request, n responder.Nested) (string, int) {
+	return m.callWithRetries(r.Context(), n.Service, n.Method, "/"+n.Service+n.Path, "")
 }
 
-// hop makes one call with the retries that every hop allows itself.
-func (m *mesh) hop(parent context.Context, service, method, path, id string) (string, int) {
-	m.first.Add(1)
+// callWithRetries makes one call with the retries that every hop allows itself.
+func (m *baseline) callWithRetries(parent context.Context, service, method, path, id string) (string, int) {
+	m.firstAttempts.Add(1)
 	status := 0
 	for range m.protection.retries + 1 {
 		m.attempts.Add(1)
-		ctx, cancel := context.WithTimeout(parent, deadline)
-		text, s := m.try(ctx, service, method, path, id)
+		ctx, cancel := context.WithTimeout(parent, attemptTimeout)
+		text, s := m.attemptOnce(ctx, service, method, path, id)
 		cancel()
 		status = s
 		if s == http.StatusOK {
@@ -159,8 +159,8 @@
 	return "", status
 }
 
-func (m *mesh) try(ctx context.Context, service, method, path, id string) (string, int) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+m.pick(service).Address()+path, http.NoBody)
+func (m *baseline) attemptOnce(ctx context.Context, service, method, path, id string) (string, int) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+m.randomServer(service).Address()+path, http.NoBody)
 	if err != nil {
 		return "", 0
 	}
@@ -179,20 +179,20 @@
 	return string(text), resp.StatusCode
 }
 
-func (m *mesh) pick(service string) *responder.Server {
+func (m *baseline) randomServer(service string) *responder.Server {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	list := m.servers[service]
 	return list[rand.IntN(len(list))]
 }
 
-func (m *mesh) send(ctx context.Context, a arrival, _ int) reply {
+func (m *baseline) send(ctx context.Context, a arrival, _ int) reply {
 	k := m.shape.kinds[a.kind]
 	id := ""
 	if k.withID {
 		id = uuidFor(a)
 	}
-	_, status := m.hop(ctx, serviceOf(k.path), k.method, k.path, id)
+	_, status := m.callWithRetries(ctx, serviceOf(k.path), k.method, k.path, id)
 	return reply{status: status}
 }
 
@@ -205,40 +205,40 @@
 	return path[1:]
 }
 
-func (m *mesh) deep() []*responder.Server {
+func (m *baseline) deepServers() []*responder.Server {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]*responder.Server(nil), m.servers[m.shape.deep]...)
+	return append([]*responder.Server(nil), m.servers[m.shape.deepService]...)
 }
 
-// restart takes each endpoint out of the list before it stops, as a careful operator would by hand.
-func (m *mesh) restart(context.Context) {
-	for i, old := range m.deep() {
+// rollingRestart takes each endpoint out of the list before it stops, as a careful operator would by hand.
+func (m *baseline) restart(context.Context) {
+	for i, old := range m.deepServers() {
 		m.mu.Lock()
-		list := append([]*responder.Server(nil), m.servers[m.shape.deep]...)
-		m.servers[m.shape.deep] = append(list[:i:i], list[i+1:]...)
+		list := append([]*responder.Server(nil), m.servers[m.shape.deepService]...)
+		m.servers[m.shape.deepService] = append(list[:i:i], list[i+1:]...)
 		m.mu.Unlock()
 		time.Sleep(restartPause)
 		old.Crash()
-		fresh, err := m.listen(m.shape.deep, deepSlots, deepServiceTime, coldStart, nil)
+		replacement, err := m.listen(m.shape.deepService, deepSlots, deepServiceTime, coldStart, nil)
 		if err != nil {
 			return
 		}
 		m.mu.Lock()
-		m.servers[m.shape.deep] = append(list[:i:i], append([]*responder.Server{fresh}, list[i+1:]...)...)
+		m.servers[m.shape.deepService] = append(list[:i:i], append([]*responder.Server{replacement}, list[i+1:]...)...)
 		m.mu.Unlock()
 		time.Sleep(coldStart)
 	}
 }
 
-func (m *mesh) attemptsPerRequest() float64 {
-	if m.first.Load() == 0 {
+func (m *baseline) attemptsPerRequest() float64 {
+	if m.firstAttempts.Load() == 0 {
 		return 1
 	}
-	return float64(m.attempts.Load()) / float64(m.first.Load())
+	return float64(m.attempts.Load()) / float64(m.firstAttempts.Load())
 }
 
-func (m *mesh) close() {
+func (m *baseline) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, list := range m.servers {
--- a/internal/overloader/calibrate.go
+++ b/internal/overloader/calibrate.go
@@ -22,8 +22,8 @@
 	callersPerSlot    = 2
 )
 
-// calibrate returns what one endpoint of the deep service answers a second at its ordinary service time.
-func calibrate(ctx context.Context, seed uint64) (float64, error) {
+// measureEndpointCapacity returns what one endpoint of the deep service answers a second at its ordinary service time.
+func measureEndpointCapacity(ctx context.Context, seed uint64) (float64, error) {
 	s, err := responder.Listen(responder.Options{
 		Endpoint:    "calibration",
 		Listen:      "127.0.0.1:0",
--- a/internal/overloader/account.go
+++ b/internal/overloader/figures.go
@@ -43,15 +43,15 @@
 // neverRecovered stands in RecoveryMs where the goodput did not come back within the run.
 const neverRecovered = -1
 
-type account struct {
+type evaluation struct {
 	scenario scenario
 	shape    shape
-	times    times
+	phases    phases
 	results  []result
 	attempts float64
 }
 
-func (a account) figures(policy string, seed uint64) Figures {
+func (a evaluation) figures(policy string, seed uint64) Figures {
 	f := Figures{
 		Scenario:           a.scenario.name,
 		Policy:             policy,
@@ -70,13 +70,13 @@
 		}
 		f.Reasons[reasonOf(r)]++
 	}
-	f.UrgentFits = sum(a.offered(&urgentClass)) <= a.scenario.capacity(a.shape.capacity())
+	f.UrgentFits = sum(a.offered(&urgentPriority)) <= a.scenario.capacity(a.shape.capacity())
 	f.WithinRateFits = sum(a.demands()) <= a.scenario.capacity(a.shape.capacity())
-	f.GoodputRatio = float64(f.Answered) / a.ideal()
-	f.RecoveryMs = a.recovery()
+	f.GoodputRatio = float64(f.Answered) / a.idealAnswered()
+	f.RecoveryMs = a.recoveryMs()
 	f.WorstTeam, f.WorstTeamRatio = a.worstTeam()
-	f.WrongfulRefusalRatio = a.wrongful()
-	f.UrgentServedRatio = a.urgent()
+	f.WrongfulRefusalRatio = a.wrongfulRefusalRatio()
+	f.UrgentServedRatio = a.urgentServedRatio()
 	f.P50Ms, f.P99Ms = percentiles(triggered)
 	return f
 }
@@ -92,49 +92,49 @@
 	}
 }
 
-func (a account) inTrigger() []result {
+func (a evaluation) inTrigger() []result {
 	var list []result
 	for _, r := range a.results {
-		if a.times.inTrigger(r.arrival.at) {
+		if a.phases.inTrigger(r.arrival.at) {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// ideal is the most whole requests that could be answered in the trigger: what is offered within the teams' rates, or
+// idealAnswered is the most whole requests that could be answered in the trigger: what is offered within the teams' rates, or
 // the capacity.
-func (a account) ideal() float64 {
-	seconds := a.times.trigger.Seconds()
+func (a evaluation) idealAnswered() float64 {
+	seconds := a.phases.trigger.Seconds()
 	return min(sum(a.demands())*seconds, a.scenario.capacity(a.shape.capacity())*seconds)
 }
 
 // demands are the teams' requests a second in the trigger, each at most at its rate.
-func (a account) demands() map[identifier.Team]float64 {
+func (a evaluation) demands() map[identifier.Team]float64 {
 	offered := a.offered(nil)
 	demands := make(map[identifier.Team]float64)
-	for _, l := range a.shape.loads() {
-		demands[l.team] = min(offered[l.team], l.rate*a.scenario.sold)
+	for _, l := range a.shape.teamLoads() {
+		demands[l.team] = min(offered[l.team], l.rate*a.scenario.rateFactor)
 	}
 	return demands
 }
 
-var urgentClass = identifier.Urgent
+var urgentPriority = identifier.Urgent
 
-func sum(parts map[identifier.Team]float64) float64 {
+func sum(rates map[identifier.Team]float64) float64 {
 	var all float64
-	for _, v := range parts {
+	for _, v := range rates {
 		all += v
 	}
 	return all
 }
 
 // offered counts the teams' requests a second in the trigger, of one class or of all.
-func (a account) offered(class *identifier.Priority) map[identifier.Team]float64 {
+func (a evaluation) offered(class *identifier.Priority) map[identifier.Team]float64 {
 	offered := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
 		if class == nil || a.shape.kinds[r.arrival.kind].priority == *class {
-			offered[teamOf(r)] += 1 / a.times.trigger.Seconds()
+			offered[teamOf(r)] += 1 / a.phases.trigger.Seconds()
 		}
 	}
 	return offered
@@ -142,7 +142,7 @@
 
 // entitlements share the capacity out in the order that the product states: class by class, and within a class by
 // max-min fairness over the teams' weights. A team over its rate counts with the part of its requests that it bought.
-func (a account) entitlements() map[identifier.Team]float64 {
+func (a evaluation) entitlements() map[identifier.Team]float64 {
 	left := a.scenario.capacity(a.shape.capacity())
 	all := a.offered(nil)
 	demands := a.demands()
@@ -152,7 +152,7 @@
 		for t := range wanted {
 			wanted[t] *= demands[t] / all[t]
 		}
-		for t, v := range a.shape.maxMin(left, wanted) {
+		for t, v := range a.shape.maxMinFairShares(left, wanted) {
 			entitled[t] += v
 			left -= v
 		}
@@ -160,9 +160,9 @@
 	return entitled
 }
 
-// maxMin shares capacity out so that no team gets more than it wants, and nobody's want is met at the cost of a team
+// maxMinFairShares shares capacity out so that no team gets more than it wants, and nobody's want is met at the cost of a team
 // that has less for its weight.
-func (s shape) maxMin(capacity float64, wanted map[identifier.Team]float64) map[identifier.Team]float64 {
+func (s shape) maxMinFairShares(capacity float64, wanted map[identifier.Team]float64) map[identifier.Team]float64 {
 	weights := make(map[identifier.Team]float64)
 	for _, t := range s.plan.Presets[0].Teams {
 		weights[t.Name] = float64(max(t.Weight, 1))
@@ -194,11 +194,11 @@
 	return got
 }
 
-func (a account) worstTeam() (string, float64) {
+func (a evaluation) worstTeam() (string, float64) {
 	served := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
 		if r.answered {
-			served[teamOf(r)] += 1 / a.times.trigger.Seconds()
+			served[teamOf(r)] += 1 / a.phases.trigger.Seconds()
 		}
 	}
 	worst, name := 1e9, ""
@@ -213,9 +213,9 @@
 	return name, worst
 }
 
-// wrongful is the part of the requests of teams within their rate that were not answered. It says something of the
+// wrongfulRefusalRatio is the part of the requests of teams within their rate that were not answered. It says something of the
 // policy only where the capacity suffices.
-func (a account) wrongful() float64 {
+func (a evaluation) wrongfulRefusalRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
 	var within, refused float64
@@ -235,7 +235,7 @@
 	return refused / within
 }
 
-func (a account) urgent() float64 {
+func (a evaluation) urgentServedRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
 	var sent, served float64
@@ -257,23 +257,23 @@
 const (
 	recoveryWindow = time.Second
 	recoveryStep   = 100 * time.Millisecond
-	recovered      = 0.95
+	recoveredRatio      = 0.95
 )
 
-// recovery is the time from the trigger's end until a second in which the answered part of the requests is 95% of
+// recoveryMs is the time from the trigger's end until a second in which the answered part of the requests is 95% of
 // what it was before.
-func (a account) recovery() int64 {
-	before := a.answeredPart(0, a.times.before)
-	end := a.times.before + a.times.trigger
-	for d := time.Duration(0); end+d+recoveryWindow <= a.times.total(); d += recoveryStep {
-		if a.answeredPart(end+d, end+d+recoveryWindow) >= recovered*before {
+func (a evaluation) recoveryMs() int64 {
+	before := a.answeredRatio(0, a.phases.before)
+	end := a.phases.before + a.phases.trigger
+	for d := time.Duration(0); end+d+recoveryWindow <= a.phases.total(); d += recoveryStep {
+		if a.answeredRatio(end+d, end+d+recoveryWindow) >= recoveredRatio*before {
 			return d.Milliseconds()
 		}
 	}
 	return neverRecovered
 }
 
-func (a account) answeredPart(from, to time.Duration) float64 {
+func (a evaluation) answeredRatio(from, to time.Duration) float64 {
 	var all, answered float64
 	for _, r := range a.results {
 		if r.arrival.at < from || r.arrival.at >= to {
--- a/internal/overloader/load.go
+++ b/internal/overloader/load.go
@@ -31,10 +31,10 @@
 	reason string
 }
 
-// send makes one request and returns what came back; status 0 means that nothing did.
-type send func(ctx context.Context, a arrival, try int) reply
+// sendFunc makes one request and returns what came back; status 0 means that nothing did.
+type sendFunc func(ctx context.Context, a arrival, attempt int) reply
 
-func run(ctx context.Context, list []arrival, hardRetries int, s send) []result {
+func offerLoad(ctx context.Context, list []arrival, immediateRetries int, s sendFunc) []result {
 	results := make([]result, len(list))
 	var group sync.WaitGroup
 	start := time.Now()
@@ -42,19 +42,19 @@
 		if !clock.SleepUntil(ctx, start.Add(a.at)) {
 			break
 		}
-		group.Go(func() { results[i] = pursue(ctx, a, hardRetries, start, s) })
+		group.Go(func() { results[i] = sendWithRetries(ctx, a, immediateRetries, start, s) })
 	}
 	group.Wait()
 	return results
 }
 
-// pursue is one caller: it asks, and where it is of the impatient sort asks again at once.
-func pursue(ctx context.Context, a arrival, retries int, start time.Time, s send) result {
+// sendWithRetries is one caller: it asks, and where it is of the impatient sort asks again at once.
+func sendWithRetries(ctx context.Context, a arrival, retries int, start time.Time, s sendFunc) result {
 	r := result{arrival: a}
-	began := time.Now()
-	for try := range retries + 1 {
-		attempt, cancel := context.WithTimeout(ctx, deadline)
-		p := s(attempt, a, try)
+	startedAt := time.Now()
+	for attempt := range retries + 1 {
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		p := s(attemptCtx, a, attempt)
 		cancel()
 		r.status = p.status
 		r.reason = p.reason
@@ -63,7 +63,7 @@
 			break
 		}
 	}
-	r.latency = time.Since(began)
+	r.latency = time.Since(startedAt)
 	r.doneAt = time.Since(start)
 	return r
 }
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -17,7 +17,7 @@
 
 // The policies of one's own and of the ideal, beside the baselines.
 const (
-	OwnPolicy   = "jackdawtide"
+	ProductPolicy   = "jackdawtide"
 	IdealPolicy = "ideal"
 )
 
@@ -37,7 +37,7 @@
 	for _, s := range scenarios {
 		scenarioNames = append(scenarioNames, s.name)
 	}
-	policyNames = append(policyNames, OwnPolicy)
+	policyNames = append(policyNames, ProductPolicy)
 	for _, p := range protections {
 		policyNames = append(policyNames, p.name)
 	}
@@ -50,32 +50,32 @@
 	if err != nil {
 		return err
 	}
-	one, err := calibrate(ctx, o.Seed)
+	endpointCapacity, err := measureEndpointCapacity(ctx, o.Seed)
 	if err != nil {
 		return fmt.Errorf("measure the capacity: %w", err)
 	}
-	s.measured = one * deepEndpoints
+	s.measuredCapacity = endpointCapacity * deepEndpoints
 	for _, sc := range scenarios {
-		if !wanted(o.Scenarios, sc.name) {
+		if !isSelected(o.Scenarios, sc.name) {
 			continue
 		}
-		if err := runScenario(ctx, o, s, sc.fill(), report); err != nil {
+		if err := runScenario(ctx, o, s, sc.withDefaults(), report); err != nil {
 			return fmt.Errorf("scenario %s: %w", sc.name, err)
 		}
 	}
 	return nil
 }
 
-func wanted(list []string, name string) bool {
+func isSelected(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
 
 func runScenario(ctx context.Context, o Options, s shape, sc scenario, report func(Figures) error) error {
-	t := times{before: beforeTime, trigger: triggerTime, after: afterTime}
+	t := phases{before: beforeTime, trigger: triggerTime, after: afterTime}
 	list := s.arrivals(sc, t, o.Seed)
 	curves := make(map[string][]result)
 	for _, p := range policies() {
-		if !wanted(o.Policies, p.name) {
+		if !isSelected(o.Policies, p.name) {
 			continue
 		}
 		results, attempts, err := runPolicy(ctx, p, s, sc, t, list, o.Seed)
@@ -83,12 +83,12 @@
 			return fmt.Errorf("policy %s: %w", p.name, err)
 		}
 		curves[p.name] = results
-		a := account{scenario: sc, shape: s, times: t, results: results, attempts: attempts}
+		a := evaluation{scenario: sc, shape: s, phases: t, results: results, attempts: attempts}
 		if err := report(a.figures(p.name, o.Seed)); err != nil {
 			return err
 		}
 	}
-	if wanted(o.Policies, IdealPolicy) {
+	if isSelected(o.Policies, IdealPolicy) {
 		if err := report(idealFigures(s, sc, t, list, o.Seed)); err != nil {
 			return err
 		}
@@ -102,21 +102,21 @@
 // policy makes a system for one scenario.
 type policy struct {
 	name string
-	make func(ctx context.Context, s shape, sc scenario, seed uint64) (system, error)
+	newSystem func(ctx context.Context, s shape, sc scenario, seed uint64) (system, error)
 }
 
 func policies() []policy {
-	list := []policy{{name: OwnPolicy, make: newControlled}}
+	list := []policy{{name: ProductPolicy, newSystem: newNodeFleet}}
 	for _, p := range protections {
-		list = append(list, policy{name: p.name, make: func(_ context.Context, s shape, _ scenario, seed uint64) (system, error) {
-			return newMesh(s, p, seed)
+		list = append(list, policy{name: p.name, newSystem: func(_ context.Context, s shape, _ scenario, seed uint64) (system, error) {
+			return newBaseline(s, p, seed)
 		}})
 	}
 	return list
 }
 
-func runPolicy(ctx context.Context, p policy, s shape, sc scenario, t times, list []arrival, seed uint64) ([]result, float64, error) {
-	sys, err := p.make(ctx, s, sc, seed)
+func runPolicy(ctx context.Context, p policy, s shape, sc scenario, t phases, list []arrival, seed uint64) ([]result, float64, error) {
+	sys, err := p.newSystem(ctx, s, sc, seed)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -124,43 +124,43 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		disturb(ctx, sys, sc, t)
+		injectFault(ctx, sys, sc, t)
 	}()
-	results := run(ctx, list, sc.hardRetries, sys.send)
+	results := offerLoad(ctx, list, sc.immediateRetries, sys.send)
 	<-done
 	return results, sys.attemptsPerRequest(), ctx.Err()
 }
 
-// disturb makes the scenario's fault begin and end.
-func disturb(ctx context.Context, sys system, sc scenario, t times) {
+// injectFault makes the scenario's fault begin and end.
+func injectFault(ctx context.Context, sys system, sc scenario, t phases) {
 	start := time.Now()
 	if !clock.SleepUntil(ctx, start.Add(t.before)) {
 		return
 	}
-	if sc.restart {
+	if sc.rollingRestart {
 		sys.restart(ctx)
 		return
 	}
-	deep := sys.deep()
-	slowDown(deep, sc.slow)
-	if sc.slowOne > 1 {
-		slowDown(deep[:1], sc.slowOne)
-		deep[0].Lie(0)
+	servers := sys.deepServers()
+	scaleServiceTime(servers, sc.slowFactor)
+	if sc.slowEndpointFactor > 1 {
+		scaleServiceTime(servers[:1], sc.slowEndpointFactor)
+		servers[0].Lie(0)
 	}
 	clock.SleepUntil(ctx, start.Add(t.before+t.trigger))
-	slowDown(deep, 1)
-	deep[0].Lie(-1)
+	scaleServiceTime(servers, 1)
+	servers[0].Lie(-1)
 }
 
-func slowDown(list []*responder.Server, factor float64) {
+func scaleServiceTime(list []*responder.Server, factor float64) {
 	for _, s := range list {
 		s.SetServiceTime(time.Duration(factor * float64(deepServiceTime)))
 	}
 }
 
 // idealFigures are what a policy with perfect knowledge would reach: each team its entitlement, nothing wasted.
-func idealFigures(s shape, sc scenario, t times, list []arrival, seed uint64) Figures {
-	a := account{scenario: sc, shape: s, times: t}
+func idealFigures(s shape, sc scenario, t phases, list []arrival, seed uint64) Figures {
+	a := evaluation{scenario: sc, shape: s, phases: t}
 	for _, v := range list {
 		a.results = append(a.results, result{arrival: v, answered: true})
 	}
@@ -170,10 +170,10 @@
 		Deployment:         s.deployment,
 		Seed:               seed,
 		Capacity:           s.capacity(),
-		UrgentFits:         sum(a.offered(&urgentClass)) <= sc.capacity(s.capacity()),
+		UrgentFits:         sum(a.offered(&urgentPriority)) <= sc.capacity(s.capacity()),
 		WithinRateFits:     sum(a.demands()) <= sc.capacity(s.capacity()),
 		Offered:            len(a.inTrigger()),
-		Answered:           int(a.ideal()),
+		Answered:           int(a.idealAnswered()),
 		GoodputRatio:       1,
 		WorstTeamRatio:     1,
 		UrgentServedRatio:  1,
--- a/internal/overloader/plot.go
+++ b/internal/overloader/plot.go
@@ -20,12 +20,12 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-func plotScenario(dir string, s shape, sc scenario, t times, list []arrival, curves map[string][]result) error {
-	p := plot.New()
-	p.Title.Text = s.deployment + ": " + sc.name
-	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "whole requests a second"
-	p.Legend.Top = true
+func plotScenario(dir string, s shape, sc scenario, t phases, list []arrival, curves map[string][]result) error {
+	picture := plot.New()
+	picture.Title.Text = s.deployment + ": " + sc.name
+	picture.X.Label.Text = "seconds"
+	picture.Y.Label.Text = "whole requests a second"
+	picture.Legend.Top = true
 	lines := []any{"offered", offeredCurve(list, t)}
 	names := make([]string, 0, len(curves))
 	for name := range curves {
@@ -35,25 +35,25 @@
 	for _, name := range names {
 		lines = append(lines, name, goodputCurve(curves[name], t))
 	}
-	if err := plotutil.AddLines(p, lines...); err != nil {
+	if err := plotutil.AddLines(picture, lines...); err != nil {
 		return err
 	}
-	return p.Save(plotWidth, plotHeight, filepath.Join(dir, s.deployment+"-"+sc.name+".svg"))
+	return picture.Save(plotWidth, plotHeight, filepath.Join(dir, s.deployment+"-"+sc.name+".svg"))
 }
 
-func offeredCurve(list []arrival, t times) plotter.XYs {
+func offeredCurve(list []arrival, t phases) plotter.XYs {
 	points := emptyCurve(t)
 	for _, a := range list {
-		points.count(a.at)
+		points.countAt(a.at)
 	}
 	return plotter.XYs(points)
 }
 
-func goodputCurve(list []result, t times) plotter.XYs {
+func goodputCurve(list []result, t phases) plotter.XYs {
 	points := emptyCurve(t)
 	for _, r := range list {
 		if r.answered {
-			points.count(r.doneAt)
+			points.countAt(r.doneAt)
 		}
 	}
 	return plotter.XYs(points)
@@ -61,7 +61,7 @@
 
 type curve plotter.XYs
 
-func emptyCurve(t times) curve {
+func emptyCurve(t phases) curve {
 	points := make(curve, int(t.total()/plotStep)+1)
 	for i := range points {
 		points[i].X = (time.Duration(i) * plotStep).Seconds()
@@ -69,7 +69,7 @@
 	return points
 }
 
-func (c curve) count(at time.Duration) {
+func (c curve) countAt(at time.Duration) {
 	i := int(at / plotStep)
 	if i < len(c) {
 		c[i].Y += 1 / plotStep.Seconds()
--- a/internal/overloader/policy.go
+++ b/internal/overloader/policy.go
@@ -21,36 +21,36 @@
 
 // system is one policy at work on a deployment.
 type system interface {
-	send(ctx context.Context, a arrival, try int) reply
-	// deep returns the backend servers of the deep service.
-	deep() []*responder.Server
-	// restart replaces the deep service's backend servers one after the other, each with a cold start.
+	send(ctx context.Context, a arrival, attempt int) reply
+	// deepService returns the backend servers of the deep service.
+	deepServers() []*responder.Server
+	// rollingRestart replaces the deep service's backend servers one after the other, each with a cold start.
 	restart(ctx context.Context)
 	// attemptsPerRequest is how many attempts were made for each call that had to be made.
 	attemptsPerRequest() float64
 	close()
 }
 
-// connectionsPerServer is what a backend server or node takes; without a bound a baseline under hard retries would use up
+// maxConnectionsPerServer is what a backend server or node takes; without a bound a baseline under hard retries would use up
 // the process's file descriptors and stop the measurement itself.
-const connectionsPerServer = 700
+const maxConnectionsPerServer = 700
 
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		MaxConnsPerHost:     connectionsPerServer,
-		MaxIdleConnsPerHost: connectionsPerServer,
+		MaxConnsPerHost:     maxConnectionsPerServer,
+		MaxIdleConnsPerHost: maxConnectionsPerServer,
 		IdleConnTimeout:     time.Minute,
 	}}
 }
 
-// controlled is a fleet of real nodes.
-type controlled struct {
+// nodeFleet is a fleet of real nodes.
+type nodeFleet struct {
 	shape  shape
 	fleet  *launcher.Fleet
 	client *http.Client
 }
 
-func newControlled(ctx context.Context, s shape, sc scenario, seed uint64) (system, error) {
+func newNodeFleet(ctx context.Context, s shape, sc scenario, seed uint64) (system, error) {
 	plan := s.plan
 	plan.Presets = []definer.Preset{s.preset(sc)}
 	f, err := launcher.Start(ctx, launcher.Options{Plan: plan, Seed: seed})
@@ -59,23 +59,23 @@
 	}
 	// The buckets start empty and fill within a moment.
 	time.Sleep(time.Second)
-	return &controlled{shape: s, fleet: f, client: newClient()}, nil
+	return &nodeFleet{shape: s, fleet: f, client: newClient()}, nil
 }
 
 // preset is the example preset with rates to suit the scaled-down load.
 func (s shape) preset(sc scenario) definer.Preset {
 	p := s.plan.Presets[0]
 	p.Teams = append([]definer.Team(nil), p.Teams...)
-	loads := s.loads()
+	loads := s.teamLoads()
 	for i := range p.Teams {
-		p.Teams[i].Rate = identifier.Tokens(loads[i].rate * sc.sold * float64(identifier.TokensPerCall))
+		p.Teams[i].Rate = identifier.Tokens(loads[i].rate * sc.rateFactor * float64(identifier.TokensPerCall))
 		p.Teams[i].Burst = max(p.Teams[i].Rate, 8*identifier.TokensPerCall)
 	}
 	return p
 }
 
-func (c *controlled) send(ctx context.Context, a arrival, try int) reply {
-	m := c.fleet.Members[(a.seed+uint64(try))%uint64(len(c.fleet.Members))]
+func (c *nodeFleet) send(ctx context.Context, a arrival, attempt int) reply {
+	m := c.fleet.Members[(a.seed+uint64(attempt))%uint64(len(c.fleet.Members))]
 	req, err := newRequest(ctx, m.CallerURL(), c.shape.kinds[a.kind], a)
 	if err != nil {
 		return reply{}
@@ -84,7 +84,7 @@
 	return do(c.client, req)
 }
 
-func newRequest(ctx context.Context, base string, k kind, a arrival) (*http.Request, error) {
+func newRequest(ctx context.Context, base string, k requestKind, a arrival) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, k.method, base+k.path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return r
 }
 
-func (c *controlled) deep() []*responder.Server {
+func (c *nodeFleet) deepServers() []*responder.Server {
 	var list []*responder.Server
 	for _, m := range c.deepMembers() {
 		list = append(list, m.Backend)
@@ -136,10 +136,10 @@
 	return list
 }
 
-func (c *controlled) deepMembers() []*launcher.Member {
+func (c *nodeFleet) deepMembers() []*launcher.Member {
 	var list []*launcher.Member
 	for _, m := range c.fleet.Members {
-		if m.Service.Name == c.shape.deep {
+		if m.Service.Name == c.shape.deepService {
 			list = append(list, m)
 		}
 	}
@@ -151,7 +151,7 @@
 	restartPause = 500 * time.Millisecond
 )
 
-func (c *controlled) restart(ctx context.Context) {
+func (c *nodeFleet) restart(ctx context.Context) {
 	for _, m := range c.deepMembers() {
 		if err := m.Backend.Leave(ctx); err != nil {
 			return
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *controlled) attemptsPerRequest() float64 {
+func (c *nodeFleet) attemptsPerRequest() float64 {
 	var forwarded, retried float64
 	for _, m := range c.fleet.Members {
 		n := m.Node.Dump().Counters
@@ -177,7 +177,7 @@
 	return forwarded / (forwarded - retried)
 }
 
-func (c *controlled) close() {
+func (c *nodeFleet) close() {
 	c.fleet.Close()
 	c.client.CloseIdleConnections()
 }
--- a/internal/overloader/scenario.go
+++ b/internal/overloader/scenario.go
@@ -25,15 +25,15 @@
 	deepEndpoints   = 2
 	deepSlots       = 6
 	deepServiceTime = 25 * time.Millisecond
-	// usualLoad is the part of the deep service's capacity that is offered on an ordinary day.
-	usualLoad = 0.7
-	// soldLoad is a team's rate as a multiple of what it usually sends.
-	soldLoad = 1.4
-	deadline = time.Second
+	// usualLoadRatio is the part of the deep service's capacity that is offered on an ordinary day.
+	usualLoadRatio = 0.7
+	// usualRateFactor is a team's rate as a multiple of what it usually sends.
+	usualRateFactor = 1.4
+	attemptTimeout = time.Second
 )
 
-// kind is one sort of request; weight is its part of the mix.
-type kind struct {
+// requestKind is one sort of request; weight is its part of the mix.
+type requestKind struct {
 	method   string
 	path     string
 	urgent   bool
@@ -46,10 +46,10 @@
 type shape struct {
 	deployment string
 	plan       launcher.Plan
-	deep       string
-	kinds      []kind
-	// measured is the deep service's capacity in calls a second (see calibrate).
-	measured float64
+	deepService       string
+	kinds      []requestKind
+	// measuredCapacity is the deep service's capacity in calls a second (see calibrate).
+	measuredCapacity float64
 }
 
 func shapeOf(deployment string) (shape, error) {
@@ -57,23 +57,23 @@
 	if err != nil {
 		return shape{}, err
 	}
-	s := shape{deployment: deployment, plan: plan, deep: "ice", kinds: kitakazeKinds}
+	s := shape{deployment: deployment, plan: plan, deepService: "ice", kinds: kitakazeKinds}
 	if deployment == "concordia" {
-		s.deep = "prayerTimes"
+		s.deepService = "prayerTimes"
 		s.kinds = concordiaKinds
 	}
 	s.plan.Services = s.services()
 	return s, nil
 }
 
-var kitakazeKinds = []kind{
+var kitakazeKinds = []requestKind{
 	{method: "GET", path: "/ice/bulletins", urgent: true, weight: 0.2, priority: identifier.Urgent},
 	{method: "GET", path: "/slotBoard/slots", weight: 0.4, priority: identifier.Low},
 	{method: "GET", path: "/bookings/mine", weight: 0.25, priority: identifier.Normal},
 	{method: "POST", path: "/bookings/escorts", withID: true, weight: 0.15, priority: identifier.High},
 }
 
-var concordiaKinds = []kind{
+var concordiaKinds = []requestKind{
 	{method: "GET", path: "/prayerTimes/fastTimes", urgent: true, weight: 0.2, priority: identifier.Urgent},
 	{method: "GET", path: "/portal/search", weight: 0.4, priority: identifier.Low},
 	{method: "GET", path: "/orders/mine", weight: 0.25, priority: identifier.Normal},
@@ -85,7 +85,7 @@
 	var list []launcher.Service
 	for _, v := range s.plan.Services {
 		switch {
-		case v.Name == s.deep:
+		case v.Name == s.deepService:
 			v.Endpoints = deepEndpoints
 			v.Slots = deepSlots
 			v.ServiceTime = deepServiceTime
@@ -102,48 +102,48 @@
 	return list
 }
 
-// nominal is the deep service's capacity on paper; the load is drawn by it, so that a seed gives the same requests
+// nominalCapacity is the deep service's capacity on paper; the load is drawn by it, so that a seed gives the same requests
 // on every machine.
-func (s shape) nominal() float64 {
+func (s shape) nominalCapacity() float64 {
 	return float64(deepEndpoints*deepSlots) / deepServiceTime.Seconds()
 }
 
 // capacity is what the deep service was measured to answer a second.
-func (s shape) capacity() float64 { return s.measured }
+func (s shape) capacity() float64 { return s.measuredCapacity }
 
 // scenario is a load and a fault.
 type scenario struct {
 	name string
-	// surge multiplies the load of all teams during the trigger.
-	surge float64
-	// greedy multiplies the load of the first team during the trigger.
-	greedy float64
-	// slow multiplies the service time of the deep service during the trigger.
-	slow float64
-	// slowOne multiplies that of one endpoint alone, which reports no load meanwhile.
-	slowOne float64
-	// hardRetries is how often a caller asks again at once.
-	hardRetries int
-	// restart replaces the deep service's endpoints one after the other, each with a cold start.
-	restart bool
-	// sold is the teams' rates as a multiple of what they usually send.
-	sold float64
+	// surgeFactor multiplies the load of all teams during the trigger.
+	surgeFactor float64
+	// greedyFactor multiplies the load of the first team during the trigger.
+	greedyFactor float64
+	// slowFactor multiplies the service time of the deep service during the trigger.
+	slowFactor float64
+	// slowEndpointFactor multiplies that of one endpoint alone, which reports no load meanwhile.
+	slowEndpointFactor float64
+	// immediateRetries is how often a caller asks again at once.
+	immediateRetries int
+	// rollingRestart replaces the deep service's endpoints one after the other, each with a cold start.
+	rollingRestart bool
+	// rateFactor is the teams' rates as a multiple of what they usually send.
+	rateFactor float64
 }
 
 var scenarios = []scenario{
-	{name: "surge3x", surge: 3, sold: 5},
-	{name: "slowDeepHardRetries", surge: 2, slow: 5, hardRetries: 3, sold: 10},
-	{name: "greedyTeam", greedy: 10, sold: soldLoad},
-	{name: "lyingLoad", slowOne: 10, sold: soldLoad},
-	{name: "coldRollingRestart", restart: true, sold: soldLoad},
-	{name: "slowDeepAndGreedyTeam", greedy: 10, slow: 3, hardRetries: 3, sold: soldLoad},
-}
-
-func (s scenario) fill() scenario {
-	s.surge = orOne(s.surge)
-	s.greedy = orOne(s.greedy)
-	s.slow = orOne(s.slow)
-	s.slowOne = orOne(s.slowOne)
+	{name: "surge3x", surgeFactor: 3, rateFactor: 5},
+	{name: "slowDeepHardRetries", surgeFactor: 2, slowFactor: 5, immediateRetries: 3, rateFactor: 10},
+	{name: "greedyTeam", greedyFactor: 10, rateFactor: usualRateFactor},
+	{name: "lyingLoad", slowEndpointFactor: 10, rateFactor: usualRateFactor},
+	{name: "coldRollingRestart", rollingRestart: true, rateFactor: usualRateFactor},
+	{name: "slowDeepAndGreedyTeam", greedyFactor: 10, slowFactor: 3, immediateRetries: 3, rateFactor: usualRateFactor},
+}
+
+func (s scenario) withDefaults() scenario {
+	s.surgeFactor = orOne(s.surgeFactor)
+	s.greedyFactor = orOne(s.greedyFactor)
+	s.slowFactor = orOne(s.slowFactor)
+	s.slowEndpointFactor = orOne(s.slowEndpointFactor)
 	return s
 }
 
@@ -156,9 +156,9 @@
 
 // capacity is what the deep service can do in whole requests a second while the trigger lasts.
 func (s scenario) capacity(ordinary float64) float64 {
-	slowed := ordinary / s.slow
-	if s.slowOne > 1 {
-		slowed = ordinary/deepEndpoints*(deepEndpoints-1) + ordinary/deepEndpoints/s.slowOne
+	slowed := ordinary / s.slowFactor
+	if s.slowEndpointFactor > 1 {
+		slowed = ordinary/deepEndpoints*(deepEndpoints-1) + ordinary/deepEndpoints/s.slowEndpointFactor
 	}
 	return slowed
 }
@@ -171,13 +171,13 @@
 	seed uint64
 }
 
-type times struct {
+type phases struct {
 	before, trigger, after time.Duration
 }
 
-func (t times) total() time.Duration { return t.before + t.trigger + t.after }
+func (t phases) total() time.Duration { return t.before + t.trigger + t.after }
 
-func (t times) inTrigger(at time.Duration) bool {
+func (t phases) inTrigger(at time.Duration) bool {
 	return at >= t.before && at < t.before+t.trigger
 }
 
@@ -187,8 +187,8 @@
 	rate float64
 }
 
-// loads splits the usual load over the teams in proportion to the rates of the example preset.
-func (s shape) loads() []teamLoad {
+// teamLoads splits the usual load over the teams in proportion to the rates of the example preset.
+func (s shape) teamLoads() []teamLoad {
 	teams := s.plan.Presets[0].Teams
 	var sum float64
 	for _, t := range teams {
@@ -196,26 +196,26 @@
 	}
 	loads := make([]teamLoad, 0, len(teams))
 	for _, t := range teams {
-		loads = append(loads, teamLoad{team: t.Name, rate: float64(t.Rate) / sum * s.nominal() * usualLoad})
+		loads = append(loads, teamLoad{team: t.Name, rate: float64(t.Rate) / sum * s.nominalCapacity() * usualLoadRatio})
 	}
 	return loads
 }
 
 // arrivals draws the requests of a scenario: a Poisson stream for each team.
-func (s shape) arrivals(sc scenario, t times, seed uint64) []arrival {
+func (s shape) arrivals(sc scenario, t phases, seed uint64) []arrival {
 	var list []arrival
-	for i, l := range s.loads() {
+	for i, l := range s.teamLoads() {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		factor := sc.surge
+		factor := sc.surgeFactor
 		if i == 0 {
-			factor *= sc.greedy
+			factor *= sc.greedyFactor
 		}
-		list = append(list, s.stream(l, factor, t, r)...)
+		list = append(list, s.teamArrivals(l, factor, t, r)...)
 	}
 	return list
 }
 
-func (s shape) stream(l teamLoad, factor float64, t times, r *rand.Rand) []arrival {
+func (s shape) teamArrivals(l teamLoad, factor float64, t phases, r *rand.Rand) []arrival {
 	var list []arrival
 	peak := l.rate * max(factor, 1)
 	var at time.Duration
--- a/internal/runner/node.go
+++ b/internal/runner/node.go
@@ -20,8 +20,8 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// stopMargin is what a stop needs besides waiting for calls.
-const stopMargin = 15 * time.Second
+// stopSlack is what a stop needs besides waiting for calls.
+const stopSlack = 15 * time.Second
 
 // NewLogger returns a logger that writes JSON lines.
 func NewLogger(w io.Writer) *log.Logger {
@@ -47,7 +47,7 @@
 		"caller", a.Caller, "local", a.Local, "peer", a.Peer, "admin", a.Admin)
 	<-ctx.Done()
 	logger.Info("node stopping", "drainTimeout", s.Limits.DrainTimeout.Std().String())
-	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Limits.DrainTimeout.Std()+stopMargin)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Limits.DrainTimeout.Std()+stopSlack)
 	defer cancel()
 	return n.Stop(stopCtx)
 }
