--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -1,5 +1,6 @@
-// The backend server stand-in as a process of its own. It starts at the same time as its node, so that the first
-// announcements may find nobody; and it leaves as a real one should: no new work, last calls finished, then the end.
+// Runs the stand-in for a backend server as a separate process. It may start before its node listens, so its announcement
+// is retried. At a planned stop it leaves as a real backend server should: it takes no new calls, finishes those in flight,
+// and then exits.
 //
 // Example: Backend(ctx, p, BackendOptions{Node: "http://127.0.0.1:8081", Service: "ice", Slots: 40}).
 
@@ -18,18 +19,20 @@
 )
 
 const (
-	announceTimeout = 30 * time.Second
+	announceTimeout       = 30 * time.Second
 	announceRetryInterval = 200 * time.Millisecond
-	leaveTimeout    = 10 * time.Minute
+	leaveTimeout          = 10 * time.Minute
 )
 
-// PathError reports a nested call that is not given as /service/path.
+// PathError reports a nested call that does not have the form /service/path.
 type PathError struct{ Path string }
 
-// Error names the path.
-func (e PathError) Error() string { return fmt.Sprintf("call: %q: want /service/path", e.Path) }
+// Error returns the path and the expected form.
+func (e PathError) Error() string {
+	return fmt.Sprintf("nested call: got %q, expected /service/path", e.Path)
+}
 
-// Backend runs a backend server stand-in until ctx is done, and then lets it leave.
+// Backend runs a stand-in for a backend server until ctx is done, and then stops it as planned.
 func Backend(ctx context.Context, p commander.Process, o commander.BackendOptions) error {
 	calls, err := parseCalls(o.Calls)
 	if err != nil {
@@ -84,7 +87,7 @@
 	}
 }
 
-// Two VMs may run the same service at the same address, so the name is drawn.
+// newEndpoint returns a random id, since two VMs may run the same service at the same address.
 func newEndpoint(service string) string {
 	var b [4]byte
 	_, _ = rand.Read(b[:])
--- a/internal/runner/demo.go
+++ b/internal/runner/demo.go
@@ -1,4 +1,4 @@
-// The demo's exit code is its verdict: a broken promise makes the verb fail after the tables are printed.
+// The demo reports its result by its exit code: if a guarantee was broken, the verb fails after the tables are printed.
 
 package runner
 
--- a/internal/runner/doc.go
+++ b/internal/runner/doc.go
@@ -1,2 +1,3 @@
-// Package runner runs the long-lived programs behind the verbs `node` and `backend`, from their start to their planned stop.
+// Package runner implements the programs behind the verbs `node` and `backend`, from start to planned stop, the demo, and
+// the measurements of the verb `measure`.
 package runner
--- a/internal/runner/fleet.go
+++ b/internal/runner/fleet.go
@@ -1,5 +1,5 @@
-// `measure fleet` prints the figures of each scenario as one JSON object a line, so that a change can be compared with
-// the state before it by a script.
+// `measure fleet --format json` prints the figures of each scenario as one JSON object a line, so that a script can compare
+// the results from before and after a change.
 //
 // Example: jackdawtide measure fleet --scenario logOutage --scenario domainCut --format json
 
@@ -18,7 +18,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/faulter"
 )
 
-// fleetLine is the wire form of faulter.Figures.
+// fleetLine is the JSON form of faulter.Figures.
 type fleetLine struct {
 	Scenario                  string         `json:"scenario"`
 	Scale                     string         `json:"scale"`
@@ -40,10 +40,10 @@
 	ControlBytesPerNodeSecond float64        `json:"controlBytesPerNodeSecond"`
 }
 
-// fleetScale is told with every line, so that no figure is taken for one of the users' full size.
+// fleetScale is printed with every line, so that no figure is mistaken for one of a full-size deployment.
 const fleetScale = "6 VMs in 3 failure domains; loopback, one process"
 
-// Fleet is the measurement of the fleet's joint promises under faults.
+// Fleet returns the measurement of the fleet's guarantees under faults.
 func Fleet() commander.Measure {
 	var o faulter.Options
 	names := faulter.Names()
--- a/internal/runner/node.go
+++ b/internal/runner/node.go
@@ -1,5 +1,5 @@
-// A process's end is where a planned stop is won or lost: SIGTERM must lead into the node's graceful stop, and the
-// program may not return before it is over, or uploads under way are cut.
+// SIGTERM must start the node's planned stop, and the program must not return before that stop has ended; otherwise
+// uploads in flight would be interrupted.
 //
 // Example: Node(ctx, p, settings) returns nil some minutes after ctx was done, once the last upload has ended.
 
@@ -20,7 +20,7 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// stopSlack is what a stop needs besides waiting for calls.
+// stopSlack is how long a planned stop may take in addition to the drain timeout for calls in flight.
 const stopSlack = 15 * time.Second
 
 // NewLogger returns a logger that writes JSON lines.
@@ -32,7 +32,7 @@
 	})
 }
 
-// Node runs the node of this VM until ctx is done, and then stops it as planned.
+// Node runs this VM's node until ctx is done, and then stops it as planned.
 func Node(ctx context.Context, p commander.Process, s loader.Settings) error {
 	logger := NewLogger(p.Err).With("node", string(s.Name))
 	n, err := newNode(s, logger)
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The client bounds each request by its context; a timeout here would cut waiting reads.
+	// Each request is bounded by its context; a timeout of the client would abort long-polling reads.
 	logClient, err := appender.NewClient(s.Log.URL, &http.Client{})
 	if err != nil {
 		return nil, err
--- a/internal/runner/overload.go
+++ b/internal/runner/overload.go
@@ -1,5 +1,5 @@
-// `measure overload` prints the figures of each scenario and policy as one JSON object a line, so that a round of
-// changes can be compared with the one before by a script.
+// `measure overload --format json` prints the figures of each scenario and policy as one JSON object a line, so that a
+// script can compare the results from before and after a change.
 //
 // Example: jackdawtide measure overload --deployment kitakaze --scenario surge3x --format json
 
@@ -20,7 +20,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/overloader"
 )
 
-// overloadLine is the wire form of overloader.Figures.
+// overloadLine is the JSON form of overloader.Figures.
 type overloadLine struct {
 	Scenario             string         `json:"scenario"`
 	Policy               string         `json:"policy"`
@@ -44,10 +44,10 @@
 	Reasons              map[string]int `json:"reasons"`
 }
 
-// overloadScale is told with every line, so that no figure is taken for one of the users' full size.
+// overloadScale is printed with every line, so that no figure is mistaken for one of a full-size deployment.
 const overloadScale = "2 endpoints a service, 6 slots each at the deep one, 25 ms; loopback, one process"
 
-// Overload is the measurement of the decisions under overload.
+// Overload returns the measurement of what callers get under overload, compared with baselines.
 func Overload() commander.Measure {
 	var o overloader.Options
 	scenarios, policies := overloader.Names()
@@ -70,7 +70,7 @@
 		Run: func(ctx context.Context, p commander.Process, f commander.Format) error {
 			if o.Plot != "" {
 				if err := os.MkdirAll(o.Plot, 0o755); err != nil {
-					return fmt.Errorf("plot: %w", err)
+					return fmt.Errorf("create the folder for plots: %w", err)
 				}
 			}
 			return overloader.Run(ctx, o, func(v overloader.Figures) error { return printOverload(p.Out, f, v) })
--- a/internal/runner/path.go
+++ b/internal/runner/path.go
@@ -1,4 +1,5 @@
-// `measure path` prints what the nodes add to a call, against the same backend servers called directly in the same run.
+// `measure path` prints the latency that the nodes add to a call, compared with direct calls to the same backend servers in
+// the same run.
 //
 // Example: jackdawtide measure path --depth 1 --depth 5 --format json
 
@@ -16,7 +17,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/prober"
 )
 
-// pathLine is the wire form of prober.Line.
+// pathLine is the JSON form of prober.Line.
 type pathLine struct {
 	Depth       int     `json:"depth"`
 	Load        string  `json:"load"`
@@ -34,7 +35,7 @@
 	Highest     float64 `json:"highestCallsPerSecond,omitempty"`
 }
 
-// Path is the measurement of the added latency.
+// Path returns the measurement of the latency that the nodes add.
 func Path() commander.Measure {
 	var o prober.Options
 	return commander.Measure{
--- a/internal/runner/slopes.go
+++ b/internal/runner/slopes.go
@@ -1,4 +1,4 @@
-// `measure slopes` prints the slopes from which docs/CAPACITY.md is worked out, one JSON object a line.
+// `measure slopes` prints the slopes from which the tables of docs/CAPACITY.md are calculated, one JSON object a line.
 //
 // Example: jackdawtide measure slopes --format json > docs/results/slopes.jsonl
 
@@ -13,7 +13,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/measurer"
 )
 
-// Slopes is the measurement of what one node costs, by each thing that it grows with.
+// Slopes returns the measurement of a node's cost as a linear function of each variable that it grows with.
 func Slopes() commander.Measure {
 	var seed uint64
 	return commander.Measure{
