--- a/internal/overloader/baseline.go
+++ b/internal/overloader/baseline.go
@@ -55,10 +55,10 @@
 }
 
 type latencyLimit struct {
-	mu     sync.Mutex
-	limit  float64
-	minLatency  float64
-	inFlight int
+	mu         sync.Mutex
+	limit      float64
+	minLatency float64
+	inFlight   int
 }
 
 func (l *latencyLimit) admit() (func(), bool) {
@@ -92,10 +92,10 @@
 	client     *http.Client
 	seed       uint64
 
-	mu       sync.Mutex
-	servers  map[string][]*responder.Server
-	firstAttempts    atomic.Int64
-	attempts atomic.Int64
+	mu            sync.Mutex
+	servers       map[string][]*responder.Server
+	firstAttempts atomic.Int64
+	attempts      atomic.Int64
 }
 
 func newBaseline(s shape, p protection, seed uint64) (system, error) {
--- a/internal/overloader/figures.go
+++ b/internal/overloader/figures.go
@@ -46,7 +46,7 @@
 type evaluation struct {
 	scenario scenario
 	shape    shape
-	phases    phases
+	phases   phases
 	results  []result
 	attempts float64
 }
@@ -257,7 +257,7 @@
 const (
 	recoveryWindow = time.Second
 	recoveryStep   = 100 * time.Millisecond
-	recoveredRatio      = 0.95
+	recoveredRatio = 0.95
 )
 
 // recoveryMs is the time from the trigger's end until a second in which the answered part of the requests is 95% of
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -17,8 +17,8 @@
 
 // The policies of one's own and of the ideal, beside the baselines.
 const (
-	ProductPolicy   = "jackdawtide"
-	IdealPolicy = "ideal"
+	ProductPolicy = "jackdawtide"
+	IdealPolicy   = "ideal"
 )
 
 // Options say what to measure.
@@ -101,7 +101,7 @@
 
 // policy makes a system for one scenario.
 type policy struct {
-	name string
+	name      string
 	newSystem func(ctx context.Context, s shape, sc scenario, seed uint64) (system, error)
 }
 
--- a/internal/overloader/scenario.go
+++ b/internal/overloader/scenario.go
@@ -29,7 +29,7 @@
 	usualLoadRatio = 0.7
 	// usualRateFactor is a team's rate as a multiple of what it usually sends.
 	usualRateFactor = 1.4
-	attemptTimeout = time.Second
+	attemptTimeout  = time.Second
 )
 
 // requestKind is one sort of request; weight is its part of the mix.
@@ -44,10 +44,10 @@
 
 // shape is a deployment as the measurement needs it.
 type shape struct {
-	deployment string
-	plan       launcher.Plan
-	deepService       string
-	kinds      []requestKind
+	deployment  string
+	plan        launcher.Plan
+	deepService string
+	kinds       []requestKind
 	// measuredCapacity is the deep service's capacity in calls a second (see calibrate).
 	measuredCapacity float64
 }
