--- a/internal/overloader/baseline.go
+++ b/internal/overloader/baseline.go
@@ -1,7 +1,7 @@
-// The baselines are what a team without this product may have: calls go straight from service to service, with
-// retries at each hop, and each backend server protects itself or does not.
+// The baselines are what a deployment without this product may have: services call each other directly, each hop retries,
+// and each backend server has a simple concurrency limit or none.
 //
-// Example: baseline "noControl" lets every call queue for a slot and works on for callers that have gone.
+// Example: with the baseline "noControl" every call waits for a slot and runs even if its caller has disconnected.
 
 package overloader
 
@@ -18,14 +18,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// protection is how a baseline's backend servers protect themselves, and how its callers retry.
+// protection is how a baseline's backend servers limit their load, and how often its hops retry.
 type protection struct {
 	name string
-	// retries is how many more attempts a hop makes.
+	// retries is how many attempts a hop makes after the first one.
 	retries int
-	// ignoreCancel makes backend servers work on for callers that have gone.
+	// ignoreCancel makes backend servers continue calls whose callers have disconnected.
 	ignoreCancel bool
-	admit        func(slots int) func() (func(), bool)
+	// admit returns the admission function for a backend server with that many slots; nil admits all calls.
+	admit func(slots int) func() (func(), bool)
 }
 
 var protections = []protection{
@@ -34,7 +35,7 @@
 	{name: "adaptiveLimit", retries: 1, admit: adaptiveLimit},
 }
 
-// fixedLimit lets four times the slots in, which wait in order of arrival.
+// fixedLimit admits as many calls as there are slots, and four times as many that wait for a slot in order of arrival.
 func fixedLimit(slots int) func() (func(), bool) {
 	const queueFactor = 4
 	var inFlight atomic.Int64
@@ -48,7 +49,9 @@
 	}
 }
 
-// adaptiveLimit lowers its limit while latency is above twice the lowest seen, and raises it by one otherwise.
+// adaptiveLimit multiplies its concurrency limit by 0.98 for each call whose latency is above twice the lowest one, and
+// raises it by 1/limit for each other call, which is about one in each round of calls. The lowest latency ages by 0.05% a
+// call.
 func adaptiveLimit(slots int) func() (func(), bool) {
 	l := &latencyLimit{limit: float64(slots), minLatency: math.MaxFloat64}
 	return l.admit
@@ -85,7 +88,7 @@
 	l.limit += 1 / l.limit
 }
 
-// baseline is a baseline at work.
+// baseline is a running deployment without this product, whose backend servers call each other directly.
 type baseline struct {
 	shape      shape
 	protection protection
@@ -136,7 +139,7 @@
 	return m.callWithRetries(r.Context(), n.Service, n.Method, "/"+n.Service+n.Path, "")
 }
 
-// callWithRetries makes one call with the retries that every hop allows itself.
+// callWithRetries makes one call with the retries of a hop; it stops when the parent context has ended.
 func (m *baseline) callWithRetries(parent context.Context, service, method, path, id string) (string, int) {
 	m.firstAttempts.Add(1)
 	status := 0
@@ -211,7 +214,7 @@
 	return append([]*responder.Server(nil), m.servers[m.shape.deepService]...)
 }
 
-// rollingRestart takes each endpoint out of the list before it stops, as a careful operator would by hand.
+// restart removes each endpoint from the list before it stops, as a careful operator would do by hand.
 func (m *baseline) restart(context.Context) {
 	for i, old := range m.deepServers() {
 		m.mu.Lock()
--- a/internal/overloader/calibrate.go
+++ b/internal/overloader/calibrate.go
@@ -1,8 +1,8 @@
-// A stand-in's timer and its HTTP cost something, so it answers fewer calls than slots and service time say. The ideal
-// must not promise what no policy could reach; so the capacity is measured first, with more callers than slots and
-// nothing in between.
+// A stand-in for a backend server answers fewer calls than its slots and service time allow, since its timer and HTTP
+// take time too. With the nominal capacity the ideal would be more than any policy could reach, so the capacity is measured
+// first, by direct calls from more callers than slots.
 //
-// Example: 6 slots of 25 ms are 240 calls a second on paper, and 228 when measured on a busy machine.
+// Example: 6 slots of 25 ms have a nominal capacity of 240 calls a second, and a measured one of 228 on a busy machine.
 
 package overloader
 
@@ -22,7 +22,8 @@
 	callersPerSlot    = 2
 )
 
-// measureEndpointCapacity returns what one endpoint of the deep service answers a second at its ordinary service time.
+// measureEndpointCapacity returns how many calls a second one endpoint of the deep service answers at its usual
+// service time.
 func measureEndpointCapacity(ctx context.Context, seed uint64) (float64, error) {
 	s, err := responder.Listen(responder.Options{
 		Endpoint:    "calibration",
--- a/internal/overloader/doc.go
+++ b/internal/overloader/doc.go
@@ -1,2 +1,2 @@
-// Package overloader measures what callers get under overload, by this product's policy and by simple baselines.
+// Package overloader measures what callers get under overload with this product and with simple baselines.
 package overloader
--- a/internal/overloader/figures.go
+++ b/internal/overloader/figures.go
@@ -1,7 +1,7 @@
-// The figures are taken from what callers saw alone. A policy that looks good in its own metrics and leaves callers
-// without answers must look bad here.
+// The figures are calculated only from what callers saw, so that a policy that leaves callers without answers gets bad
+// figures even if its own metrics are good.
 //
-// Example: 900 of 1,000 requests answered while the ideal could have answered 950 gives goodputRatio 0.947.
+// Example: if 900 of 1,000 requests are answered and the ideal would answer 950, goodputRatio is 0.947.
 
 package overloader
 
@@ -22,8 +22,8 @@
 	Seed       uint64
 	Offered    int
 	Answered   int
-	// UrgentFits tells that the urgent requests alone are within the capacity, WithinRateFits that all requests within
-	// the teams' rates are.
+	// UrgentFits is set if the capacity suffices for all urgent requests, WithinRateFits if it suffices for all requests
+	// within the teams' rates.
 	UrgentFits     bool
 	WithinRateFits bool
 	// Capacity is the deep service's measured capacity, in whole requests a second.
@@ -40,9 +40,10 @@
 	Reasons              map[string]int
 }
 
-// neverRecovered stands in RecoveryMs where the goodput did not come back within the run.
+// neverRecovered is the value of RecoveryMs if the goodput did not recover before the end of the run.
 const neverRecovered = -1
 
+// evaluation calculates the figures of one scenario under one policy from the results of all its requests.
 type evaluation struct {
 	scenario scenario
 	shape    shape
@@ -102,14 +103,14 @@
 	return list
 }
 
-// idealAnswered is the most whole requests that could be answered in the trigger: what is offered within the teams' rates, or
-// the capacity.
+// idealAnswered is the upper bound of whole requests answered during the trigger: the requests offered within the teams'
+// rates or the capacity, whichever is less.
 func (a evaluation) idealAnswered() float64 {
 	seconds := a.phases.trigger.Seconds()
 	return min(sum(a.demands())*seconds, a.scenario.capacity(a.shape.capacity())*seconds)
 }
 
-// demands are the teams' requests a second in the trigger, each at most at its rate.
+// demands returns the teams' requests a second during the trigger, each capped at the team's rate.
 func (a evaluation) demands() map[identifier.Team]float64 {
 	offered := a.offered(nil)
 	demands := make(map[identifier.Team]float64)
@@ -129,7 +130,7 @@
 	return all
 }
 
-// offered counts the teams' requests a second in the trigger, of one class or of all.
+// offered returns the teams' requests a second during the trigger, of one priority or, if class is nil, of all.
 func (a evaluation) offered(class *identifier.Priority) map[identifier.Team]float64 {
 	offered := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
@@ -140,8 +141,8 @@
 	return offered
 }
 
-// entitlements share the capacity out in the order that the product states: class by class, and within a class by
-// max-min fairness over the teams' weights. A team over its rate counts with the part of its requests that it bought.
+// entitlements divides the capacity as the product promises: priority by priority, and within a priority by weighted
+// max-min fairness among the teams. The requests of a team over its rate are scaled down to its rate.
 func (a evaluation) entitlements() map[identifier.Team]float64 {
 	left := a.scenario.capacity(a.shape.capacity())
 	all := a.offered(nil)
@@ -160,8 +161,8 @@
 	return entitled
 }
 
-// maxMinFairShares shares capacity out so that no team gets more than it wants, and nobody's want is met at the cost of a team
-// that has less for its weight.
+// maxMinFairShares divides the capacity by weighted max-min fairness: no team gets more than it wants, and no team gets
+// more at the cost of a team that has less in proportion to its weight. It empties wanted.
 func (s shape) maxMinFairShares(capacity float64, wanted map[identifier.Team]float64) map[identifier.Team]float64 {
 	weights := make(map[identifier.Team]float64)
 	for _, t := range s.plan.Presets[0].Teams {
@@ -194,6 +195,7 @@
 	return got
 }
 
+// worstTeam returns the team with the lowest ratio of answered requests to its entitlement, and that ratio.
 func (a evaluation) worstTeam() (string, float64) {
 	served := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
@@ -213,8 +215,8 @@
 	return name, worst
 }
 
-// wrongfulRefusalRatio is the part of the requests of teams within their rate that were not answered. It says something of the
-// policy only where the capacity suffices.
+// wrongfulRefusalRatio is the share of the requests of teams within their rates that were not answered. It is a measure
+// of the policy only if the capacity suffices for these requests.
 func (a evaluation) wrongfulRefusalRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
@@ -235,6 +237,7 @@
 	return refused / within
 }
 
+// urgentServedRatio is the share of the urgent requests of teams within their rates that were answered.
 func (a evaluation) urgentServedRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
@@ -260,8 +263,8 @@
 	recoveredRatio = 0.95
 )
 
-// recoveryMs is the time from the trigger's end until a second in which the answered part of the requests is 95% of
-// what it was before.
+// recoveryMs is the time from the end of the trigger to the first window of one second in which the share of answered
+// requests is at least 95% of that before the trigger.
 func (a evaluation) recoveryMs() int64 {
 	before := a.answeredRatio(0, a.phases.before)
 	end := a.phases.before + a.phases.trigger
@@ -294,7 +297,7 @@
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for _, r := range list {
 		if r.answered {
-			// Values beyond the histogram's range are longer than any run.
+			// A run is shorter than the histogram's range of one minute, so no value is rejected.
 			_ = h.RecordValue(max(1, r.latency.Microseconds()))
 		}
 	}
--- a/internal/overloader/load.go
+++ b/internal/overloader/load.go
@@ -1,7 +1,7 @@
-// The load is open-loop: a caller sends when its time has come, however slow the system is, as real callers do. A
-// closed loop would slow down with the system and hide the overload.
+// The load is open-loop, as that of real callers: each request is sent at its time, however slow the system is. A closed
+// loop would slow down with the system and hide the overload.
 //
-// Example: run(ctx, arrivals, 1, send) calls send once for each arrival, at its time.
+// Example: offerLoad(ctx, arrivals, 0, send) calls send once for each arrival, at its time.
 
 package overloader
 
@@ -14,24 +14,24 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// result is what became of one arrival, as its caller saw it.
+// result is the outcome of one arrival, as seen by its caller.
 type result struct {
 	arrival  arrival
 	answered bool
-	// refused tells that the last answer was a refusal rather than silence.
+	// status and reason are those of the last attempt; status 0 means that no answer arrived.
 	status  int
 	reason  string
 	latency time.Duration
 	doneAt  time.Duration
 }
 
-// reply is one answer to one sending.
+// reply is the answer to one attempt.
 type reply struct {
 	status int
 	reason string
 }
 
-// sendFunc makes one request and returns what came back; status 0 means that nothing did.
+// sendFunc makes one attempt and returns its answer; status 0 means that no answer arrived.
 type sendFunc func(ctx context.Context, a arrival, attempt int) reply
 
 func offerLoad(ctx context.Context, list []arrival, immediateRetries int, s sendFunc) []result {
@@ -48,7 +48,7 @@
 	return results
 }
 
-// sendWithRetries is one caller: it asks, and where it is of the impatient sort asks again at once.
+// sendWithRetries acts as one caller, who retries a failed request immediately, up to the given number of retries.
 func sendWithRetries(ctx context.Context, a arrival, retries int, start time.Time, s sendFunc) result {
 	r := result{arrival: a}
 	startedAt := time.Now()
@@ -68,5 +68,4 @@
 	return r
 }
 
-// teamOf is what the accounts are kept by.
 func teamOf(r result) identifier.Team { return r.arrival.team }
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -1,5 +1,5 @@
-// One run takes a scenario through every policy with the same arrivals. The policies run one after the other, so that
-// none takes processor time from another.
+// A run plays each scenario with every policy and the same arrivals. The policies run one after the other, so that they
+// don't compete for processor time.
 //
 // Example: Run(ctx, Options{Deployment: "kitakaze", Seed: 1}, report) reports one Figures for each scenario and policy.
 
@@ -15,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// The policies of one's own and of the ideal, beside the baselines.
+// ProductPolicy is this product and IdealPolicy a calculated upper bound; all other policies are baselines.
 const (
 	ProductPolicy = "jackdawtide"
 	IdealPolicy   = "ideal"
@@ -28,7 +28,7 @@
 	// Scenarios and Policies limit the run; empty means all.
 	Scenarios []string
 	Policies  []string
-	// Plot is a folder for one picture a scenario; empty draws none.
+	// Plot is the folder for one plot of each scenario; empty means no plots.
 	Plot string
 }
 
@@ -44,7 +44,7 @@
 	return scenarioNames, append(policyNames, IdealPolicy)
 }
 
-// Run measures and reports each set of figures as it is known.
+// Run measures the selected scenarios with the selected policies and reports the figures of each pair when it has ended.
 func Run(ctx context.Context, o Options, report func(Figures) error) error {
 	s, err := shapeOf(o.Deployment)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	endpointCapacity, err := measureEndpointCapacity(ctx, o.Seed)
 	if err != nil {
-		return fmt.Errorf("measure the capacity: %w", err)
+		return fmt.Errorf("measure the capacity of the deep service: %w", err)
 	}
 	s.measuredCapacity = endpointCapacity * deepEndpoints
 	for _, sc := range scenarios {
@@ -99,7 +99,7 @@
 	return plotScenario(o.Plot, s, sc, t, list, curves)
 }
 
-// policy makes a system for one scenario.
+// policy is a named way to build the system that a scenario runs against.
 type policy struct {
 	name      string
 	newSystem func(ctx context.Context, s shape, sc scenario, seed uint64) (system, error)
@@ -131,7 +131,7 @@
 	return results, sys.attemptsPerRequest(), ctx.Err()
 }
 
-// injectFault makes the scenario's fault begin and end.
+// injectFault starts the scenario's fault at the beginning of the trigger and ends it with the trigger.
 func injectFault(ctx context.Context, sys system, sc scenario, t phases) {
 	start := time.Now()
 	if !clock.SleepUntil(ctx, start.Add(t.before)) {
@@ -158,7 +158,8 @@
 	}
 }
 
-// idealFigures are what a policy with perfect knowledge would reach: each team its entitlement, nothing wasted.
+// idealFigures returns what a policy with perfect knowledge would reach: each team gets its entitlement, and no capacity
+// is wasted.
 func idealFigures(s shape, sc scenario, t phases, list []arrival, seed uint64) Figures {
 	a := evaluation{scenario: sc, shape: s, phases: t}
 	for _, v := range list {
--- a/internal/overloader/plot.go
+++ b/internal/overloader/plot.go
@@ -1,5 +1,5 @@
-// A picture of the goodput over time shows at a glance what a ratio hides: whether a policy holds its level, sinks
-// slowly, or stays down after the trigger has gone.
+// A plot of the goodput over time shows what a single ratio can't: whether the goodput stays level, falls slowly, or
+// doesn't recover after the trigger.
 
 package overloader
 
--- a/internal/overloader/policy.go
+++ b/internal/overloader/policy.go
@@ -1,5 +1,5 @@
-// Every policy stands behind the same three things: a way to send a request, a set of backend servers whose service
-// time can be changed, and a count of attempts.
+// All policies implement one interface: send a request, change the service time of backend servers or restart them, and
+// count attempts.
 
 package overloader
 
@@ -19,20 +19,20 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// system is one policy at work on a deployment.
+// system is a running deployment under one policy.
 type system interface {
 	send(ctx context.Context, a arrival, attempt int) reply
 	// deepService returns the backend servers of the deep service.
 	deepServers() []*responder.Server
 	// rollingRestart replaces the deep service's backend servers one after the other, each with a cold start.
 	restart(ctx context.Context)
-	// attemptsPerRequest is how many attempts were made for each call that had to be made.
+	// attemptsPerRequest returns the ratio of attempts to first attempts, over all calls between services.
 	attemptsPerRequest() float64
 	close()
 }
 
-// maxConnectionsPerServer is what a backend server or node takes; without a bound a baseline under hard retries would use up
-// the process's file descriptors and stop the measurement itself.
+// maxConnectionsPerServer bounds a client's connections to one backend server or node; without a bound, a baseline under
+// immediate retries would exhaust the process's file descriptors and the measurement would fail.
 const maxConnectionsPerServer = 700
 
 func newClient() *http.Client {
@@ -43,7 +43,7 @@
 	}}
 }
 
-// nodeFleet is a fleet of real nodes.
+// nodeFleet is the system of ProductPolicy: a fleet of real nodes in this process.
 type nodeFleet struct {
 	shape  shape
 	fleet  *launcher.Fleet
@@ -57,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	// The buckets start empty and fill within a moment.
+	// The token buckets start empty; wait until they have filled.
 	time.Sleep(time.Second)
 	return &nodeFleet{shape: s, fleet: f, client: newClient()}, nil
 }
 
-// preset is the example preset with rates to suit the scaled-down load.
+// preset returns the example preset with the teams' rates scaled down to the load of the measurement.
 func (s shape) preset(sc scenario) definer.Preset {
 	p := s.plan.Presets[0]
 	p.Teams = append([]definer.Team(nil), p.Teams...)
@@ -95,7 +95,7 @@
 	return req, nil
 }
 
-// uuidFor gives all tries of one arrival the same id, with the time of its making.
+// uuidFor returns an idempotency id with the current time and the arrival's seed as its random part.
 func uuidFor(a arrival) string {
 	var b [8]byte
 	for i := range b {
--- a/internal/overloader/scenario.go
+++ b/internal/overloader/scenario.go
@@ -1,7 +1,7 @@
-// A scenario is a load and a fault over time, the same for every policy. It has three phases: before, the trigger, and
-// after, so that recovery can be told from mere survival.
+// A scenario is a load and a fault over time, the same for every policy. It has three phases, before, trigger and after,
+// so that the figures show whether goodput recovers after the trigger and not only how much is left during it.
 //
-// Example: surge3x offers three times the ordinary load for the length of the trigger, from all teams alike.
+// Example: surge3x offers three times the usual load during the trigger, with the same factor for all teams.
 
 package overloader
 
@@ -13,26 +13,28 @@
 	"github.com/jackdawtide/jackdawtide/internal/launcher"
 )
 
-// The lengths of the phases, unless the command line says otherwise.
+// The lengths of the phases.
 const (
 	beforeTime  = 4 * time.Second
 	triggerTime = 8 * time.Second
 	afterTime   = 5 * time.Second
 )
 
-// The deep service is what every request needs once, so that its capacity is the capacity for whole requests.
+// The deep service is the last service of the call chain. Every request calls it once, so its capacity is the capacity
+// for whole requests.
 const (
 	deepEndpoints   = 2
 	deepSlots       = 6
 	deepServiceTime = 25 * time.Millisecond
-	// usualLoadRatio is the part of the deep service's capacity that is offered on an ordinary day.
+	// usualLoadRatio is the share of the deep service's nominal capacity that is offered outside of the trigger.
 	usualLoadRatio = 0.7
-	// usualRateFactor is a team's rate as a multiple of what it usually sends.
+	// usualRateFactor is the configured rate of a team as a multiple of its usual load.
 	usualRateFactor = 1.4
-	attemptTimeout  = time.Second
+	// attemptTimeout is how long callers, and the hops of a baseline, wait for an answer to one attempt.
+	attemptTimeout = time.Second
 )
 
-// requestKind is one sort of request; weight is its part of the mix.
+// requestKind is one type of request; weight is its share of all requests.
 type requestKind struct {
 	method   string
 	path     string
@@ -42,13 +44,13 @@
 	priority identifier.Priority
 }
 
-// shape is a deployment as the measurement needs it.
+// shape is a deployment reduced to what the measurement needs: the services of the call chain and the types of requests.
 type shape struct {
 	deployment  string
 	plan        launcher.Plan
 	deepService string
 	kinds       []requestKind
-	// measuredCapacity is the deep service's capacity in calls a second (see calibrate).
+	// measuredCapacity is the deep service's capacity in calls a second (see measureEndpointCapacity).
 	measuredCapacity float64
 }
 
@@ -80,7 +82,8 @@
 	{method: "POST", path: "/orders/orders", withID: true, weight: 0.15, priority: identifier.High},
 }
 
-// services are the plan's first three, a chain, of which only the deep one can run out.
+// services returns the plan's services that call others, and the deep service. Together they are a call chain, in which
+// only the deep service has few enough slots to be overloaded.
 func (s shape) services() []launcher.Service {
 	var list []launcher.Service
 	for _, v := range s.plan.Services {
@@ -102,13 +105,13 @@
 	return list
 }
 
-// nominalCapacity is the deep service's capacity on paper; the load is drawn by it, so that a seed gives the same requests
-// on every machine.
+// nominalCapacity is the deep service's capacity by slots and service time. The load is derived from it and not from the
+// measured capacity, so that a seed gives the same requests on every machine.
 func (s shape) nominalCapacity() float64 {
 	return float64(deepEndpoints*deepSlots) / deepServiceTime.Seconds()
 }
 
-// capacity is what the deep service was measured to answer a second.
+// capacity is the measured number of calls that the deep service answers a second.
 func (s shape) capacity() float64 { return s.measuredCapacity }
 
 // scenario is a load and a fault.
@@ -120,13 +123,14 @@
 	greedyFactor float64
 	// slowFactor multiplies the service time of the deep service during the trigger.
 	slowFactor float64
-	// slowEndpointFactor multiplies that of one endpoint alone, which reports no load meanwhile.
+	// slowEndpointFactor multiplies the service time of one endpoint of the deep service during the trigger, while that
+	// endpoint falsely reports a load of zero.
 	slowEndpointFactor float64
-	// immediateRetries is how often a caller asks again at once.
+	// immediateRetries is how many times a caller retries a failed request without backoff.
 	immediateRetries int
 	// rollingRestart replaces the deep service's endpoints one after the other, each with a cold start.
 	rollingRestart bool
-	// rateFactor is the teams' rates as a multiple of what they usually send.
+	// rateFactor is the teams' configured rates as a multiple of their usual load.
 	rateFactor float64
 }
 
@@ -154,7 +158,7 @@
 	return v
 }
 
-// capacity is what the deep service can do in whole requests a second while the trigger lasts.
+// capacity returns the deep service's capacity during the trigger, in whole requests a second, from its ordinary one.
 func (s scenario) capacity(ordinary float64) float64 {
 	slowed := ordinary / s.slowFactor
 	if s.slowEndpointFactor > 1 {
@@ -163,7 +167,7 @@
 	return slowed
 }
 
-// arrival is one request that a caller wants answered.
+// arrival is one request and the time at which its caller first sends it.
 type arrival struct {
 	at   time.Duration
 	team identifier.Team
@@ -181,13 +185,13 @@
 	return at >= t.before && at < t.before+t.trigger
 }
 
-// teamLoad is one team's usual requests a second.
+// teamLoad is a team's usual load, in requests a second.
 type teamLoad struct {
 	team identifier.Team
 	rate float64
 }
 
-// teamLoads splits the usual load over the teams in proportion to the rates of the example preset.
+// teamLoads divides the usual load among the teams in proportion to their rates in the example preset.
 func (s shape) teamLoads() []teamLoad {
 	teams := s.plan.Presets[0].Teams
 	var sum float64
@@ -201,7 +205,7 @@
 	return loads
 }
 
-// arrivals draws the requests of a scenario: a Poisson stream for each team.
+// arrivals returns the random requests of a scenario, a Poisson process for each team.
 func (s shape) arrivals(sc scenario, t phases, seed uint64) []arrival {
 	var list []arrival
 	for i, l := range s.teamLoads() {
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -1,6 +1,6 @@
-// Runs the stand-in for a backend server as a separate process. It may start before its node listens, so its announcement
-// is retried. At a planned stop it leaves as a real backend server should: it takes no new calls, finishes those in flight,
-// and then exits.
+// Runs the stand-in for a backend server as a separate process. It may start before its node listens, so its
+// announcement is retried. At a planned stop it leaves as a real backend server should: it takes no new calls,
+// finishes those in flight, and then exits.
 //
 // Example: Backend(ctx, p, BackendOptions{Node: "http://127.0.0.1:8081", Service: "ice", Slots: 40}).
 
@@ -28,9 +28,7 @@
 type PathError struct{ Path string }
 
 // Error returns the path and the expected form.
-func (e PathError) Error() string {
-	return fmt.Sprintf("nested call: got %q, expected /service/path", e.Path)
-}
+func (e PathError) Error() string { return fmt.Sprintf("call: %q: want /service/path", e.Path) }
 
 // Backend runs a stand-in for a backend server until ctx is done, and then stops it as planned.
 func Backend(ctx context.Context, p commander.Process, o commander.BackendOptions) error {
--- a/internal/runner/fleet.go
+++ b/internal/runner/fleet.go
@@ -1,5 +1,5 @@
-// `measure fleet --format json` prints the figures of each scenario as one JSON object a line, so that a script can compare
-// the results from before and after a change.
+// `measure fleet --format json` prints the figures of each scenario as one JSON object a line, so that a script can
+// compare the results from before and after a change.
 //
 // Example: jackdawtide measure fleet --scenario logOutage --scenario domainCut --format json
 
--- a/internal/runner/path.go
+++ b/internal/runner/path.go
@@ -1,5 +1,5 @@
-// `measure path` prints the latency that the nodes add to a call, compared with direct calls to the same backend servers in
-// the same run.
+// `measure path` prints the latency that the nodes add to a call, compared with direct calls to the same backend servers
+// in the same run.
 //
 // Example: jackdawtide measure path --depth 1 --depth 5 --format json
 
