--- a/internal/overloader/baseline.go
+++ b/internal/overloader/baseline.go
@@ -1,5 +1,5 @@
-// The baselines are what a deployment without this product may have: services call each other directly, each hop retries,
-// and each backend server has a simple concurrency limit or none.
+// The baselines are what a deployment without this product may have: services call each other directly, each hop
+// retries, and each backend server has a simple concurrency limit or none.
 //
 // Example: with the baseline "noControl" every call waits for a slot and runs even if its caller has disconnected.
 
@@ -49,9 +49,9 @@
 	}
 }
 
-// adaptiveLimit multiplies its concurrency limit by 0.98 for each call whose latency is above twice the lowest one, and
-// raises it by 1/limit for each other call, which is about one in each round of calls. The lowest latency ages by 0.05% a
-// call.
+// adaptiveLimit multiplies its concurrency limit by 0.98 for each call whose latency is above twice the lowest one,
+// and raises it by 1/limit for each other call, which is about one in each round of calls. The lowest latency ages by
+// 0.05% a call.
 func adaptiveLimit(slots int) func() (func(), bool) {
 	l := &latencyLimit{limit: float64(slots), minLatency: math.MaxFloat64}
 	return l.admit
--- a/internal/overloader/calibrate.go
+++ b/internal/overloader/calibrate.go
@@ -1,6 +1,6 @@
 // A stand-in for a backend server answers fewer calls than its slots and service time allow, since its timer and HTTP
-// take time too. With the nominal capacity the ideal would be more than any policy could reach, so the capacity is measured
-// first, by direct calls from more callers than slots.
+// take time too. With the nominal capacity the ideal would be more than any policy could reach, so the capacity is
+// measured first, by direct calls from more callers than slots.
 //
 // Example: 6 slots of 25 ms have a nominal capacity of 240 calls a second, and a measured one of 228 on a busy machine.
 
