--- a/internal/measurer/burst.go
+++ b/internal/measurer/burst.go
@@ -16,25 +16,25 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// burstBound ends a measurement whose fleet never gets there.
-const burstBound = 5 * clock.Minute
+// burstTimeout ends a measurement whose fleet never gets there.
+const burstTimeout = 5 * clock.Minute
 
-// burstNodes is the size of each of the 3 domains that a burst reaches.
-const burstNodes = 20
+// burstNodesPerDomain is the size of each of the 3 domains that a burst reaches.
+const burstNodesPerDomain = 20
 
-var errNotThere = errors.New("the fleet did not get there in time")
+var errBurstTimeout = errors.New("the fleet did not get there in time")
 
-func burstPlans(seed uint64) []plan {
-	return []plan{
+func burstPlans(seed uint64) []measurement {
+	return []measurement{
 		{
 			variable: "changes at once, 3 domains of 20", xs: []int{10, 100, 300, 1000},
 			series:  [][2]string{{"burst.time", "ms"}, {"burst.bytes", "B a node"}},
-			measure: func(_ context.Context, x int) ([]float64, error) { return burst(x, burstNodes, seed) },
+			measure: func(_ context.Context, x int) ([]float64, error) { return burst(x, burstNodesPerDomain, seed) },
 		},
 		{
 			variable: "nodes of one of 3 domains that return at once", xs: []int{10, 20, 40, 80},
 			series:  [][2]string{{"storm.time", "ms"}, {"storm.bytes", "B a node"}, {"storm.appends", "1"}},
-			measure: func(_ context.Context, x int) ([]float64, error) { return storm(x, seed) },
+			measure: func(_ context.Context, x int) ([]float64, error) { return domainReturn(x, seed) },
 		},
 	}
 }
@@ -47,15 +47,15 @@
 		if f.err != nil {
 			return 0, f.err
 		}
-		if f.now.Sub(start) > burstBound {
-			return 0, errNotThere
+		if f.now.Sub(start) > burstTimeout {
+			return 0, errBurstTimeout
 		}
 	}
 	return f.now.Sub(start), nil
 }
 
-// all tells whether every node goes by the version.
-func (f *fleet) all(v identifier.Version) bool {
+// allInForce tells whether every node goes by the version.
+func (f *fleet) allInForce(v identifier.Version) bool {
 	for _, m := range f.members {
 		if m.state.Status(f.now).Version < v {
 			return false
@@ -67,36 +67,36 @@
 func burst(changes, nodes int, seed uint64) ([]float64, error) {
 	f := newFleet(3, nodes, seed)
 	f.publish(1)
-	f.run(warmUp)
+	f.run(warmUpTime)
 	f.startCounting()
-	want := f.members[0].state.Status(f.now).Version + identifier.Version(changes)
+	target := f.members[0].state.Status(f.now).Version + identifier.Version(changes)
 	for i := range changes {
 		f.issueKey(fmt.Sprintf("%064x", 1<<20+i))
 	}
-	took, err := f.runUntil(func() bool { return f.all(want) })
+	took, err := f.runUntil(func() bool { return f.allInForce(target) })
 	bytes := f.outcome(0).mean.bytes * float64(took) / float64(clock.Second)
 	return []float64{float64(took), bytes}, err
 }
 
-func storm(nodes int, seed uint64) ([]float64, error) {
+func domainReturn(nodes int, seed uint64) ([]float64, error) {
 	f := newFleet(3, nodes, seed)
 	f.publish(8)
-	f.run(warmUp)
-	gone := domainName(2)
+	f.run(warmUpTime)
+	domain := domainName(2)
 	for i := len(f.members) - 1; i >= 0; i-- {
-		if f.members[i].domain == gone {
-			f.kill(i)
+		if f.members[i].domain == domain {
+			f.crash(i)
 		}
 	}
 	f.run(clock.Minute)
 	f.startCounting()
 	var returned []*member
 	for i := range nodes {
-		m := f.join(gone, false)
+		m := f.join(domain, false)
 		f.announce(m, i)
 		returned = append(returned, m)
 	}
-	took, err := f.runUntil(func() bool { return allKnow(f, returned) })
+	took, err := f.runUntil(func() bool { return allRejoined(f, returned) })
 	bytes := 0
 	for _, m := range returned {
 		bytes += m.sentBytes + m.receivedBytes
@@ -106,18 +106,18 @@
 
 var joinedType = fmt.Sprintf("%T", gossiper.Joined{})
 
-// allKnow tells whether the returned nodes know each other, their preset, and who keeps their claims.
-func allKnow(f *fleet, returned []*member) bool {
+// allRejoined tells whether the returned nodes know each other, their preset, and who keeps their claims.
+func allRejoined(f *fleet, returned []*member) bool {
 	for _, m := range returned {
 		d := m.state.Dump(f.now)
-		if d.Status.Preset == "" || len(d.Members) < len(returned) || !knowsBanks(d) {
+		if d.Status.Preset == "" || len(d.Members) < len(returned) || !knowsAllBankHolders(d) {
 			return false
 		}
 	}
 	return true
 }
 
-func knowsBanks(d reducer.Dump) bool {
+func knowsAllBankHolders(d reducer.Dump) bool {
 	known := 0
 	for _, h := range d.Rates.Holders {
 		if h.Domain == d.Domain && !h.Silent {
--- a/internal/measurer/bytes.go
+++ b/internal/measurer/bytes.go
@@ -16,13 +16,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// size returns the encoded bytes of a message or record.
-func size(v any) (float64, error) {
+// encodedSize returns the encoded bytes of a message or record.
+func encodedSize(v any) (float64, error) {
 	raw, err := encoder.Encode(v)
 	return float64(len(raw)), err
 }
 
-func news() gossiper.Status {
+func exampleStatus() gossiper.Status {
 	return gossiper.Status{
 		Offset: 120_000, Version: 48_000, InForce: presetName, Reader: "01-9e3779b1", Stamp: 86_400_000, Age: 250,
 	}
@@ -37,15 +37,15 @@
 }
 
 func pingBytes(updates int) (float64, error) {
-	return size(gossiper.Ping{Sequence: 70_000, Status: news(), Hash: 1 << 60, Updates: members(updates)})
+	return encodedSize(gossiper.Ping{Sequence: 70_000, Status: exampleStatus(), Hash: 1 << 60, Updates: members(updates)})
 }
 
 func subscriptionBytes(n int) (float64, error) {
-	return size(gossiper.Subscription{Members: members(n)})
+	return encodedSize(gossiper.Subscription{Members: members(n)})
 }
 
 func joinAnswerBytes(n int) (float64, error) {
-	return size(gossiper.JoinAnswer{Members: members(n)})
+	return encodedSize(gossiper.JoinAnswer{Members: members(n)})
 }
 
 func presetRecord(f *fleet, services, teams int) configurer.PublishPreset {
@@ -57,11 +57,11 @@
 }
 
 func presetBytes(services int) (float64, error) {
-	return size(presetRecord(newFleet(4, 1, 1), services, 8))
+	return encodedSize(presetRecord(newFleet(4, 1, 1), services, 8))
 }
 
 func presetTeamBytes(teams int) (float64, error) {
-	return size(presetRecord(newFleet(4, 1, 1), 10, teams))
+	return encodedSize(presetRecord(newFleet(4, 1, 1), 10, teams))
 }
 
 func tailBytes(records int) (float64, error) {
@@ -73,7 +73,7 @@
 	for _, r := range f.log {
 		t.Records = append(t.Records, configurer.Record{Offset: 120_000 + r.Offset, Raw: r.Data})
 	}
-	return size(t)
+	return encodedSize(t)
 }
 
 func askBytes(returned int) (float64, error) {
@@ -84,11 +84,11 @@
 	for i := range a.Returned {
 		a.Returned[i] = granter.Returned{Number: uint64(69_990 + i), Unspent: 1500}
 	}
-	return size(a)
+	return encodedSize(a)
 }
 
 func reportBytes(body int) (float64, error) {
-	return size(deduplicator.FinishReport{
+	return encodedSize(deduplicator.FinishReport{
 		Claim: "ids/17", Team: teamName(1), ID: "0192f0c1-7c1e-7d5b-9b8e-3f6a5d1c2b3a", Fingerprint: 1 << 60,
 		Attempt: deduplicator.Attempt{Node: "01-9e3779b1", Number: 70_000},
 		Outcome: deduplicator.Outcome{
--- a/internal/measurer/capacity.go
+++ b/internal/measurer/capacity.go
@@ -10,57 +10,57 @@
 
 // deployment is one size of the fleet; the rates are for each node.
 type deployment struct {
-	name                                  string
-	domains, nodes, services              float64
-	teams, keys                           float64
-	changes, churn                        float64
-	calls, bookings, callingTeams, called float64
+	name                                                            string
+	domains, nodes, services                                        float64
+	teams, keys                                                     float64
+	changesPerMinute, replacementsPerMinute                         float64
+	callsPerSecond, bookingsPerSecond, callingTeams, servicesCalled float64
 }
 
-// own is the number of nodes in one failure domain.
-func (d deployment) own() float64 {
+// ownMembers is the number of nodes in one failure domain.
+func (d deployment) ownMembers() float64 {
 	return math.Round(d.nodes / d.domains)
 }
 
-// followed is the number of endpoints of the services that a node calls.
-func (d deployment) followed() float64 {
-	return d.called * d.nodes / d.services
+// endpointsCalled is the number of endpoints of the services that a node calls.
+func (d deployment) endpointsCalled() float64 {
+	return d.servicesCalled * d.nodes / d.services
 }
 
 // What the letters leave open is assumed: teams, keys, calls of today, calls with an idempotency id, teams calling
 // at one node, services called by one node. The page says so.
 var deployments = []deployment{
 	{
-		name: "Concordia", domains: 4, nodes: 18, services: 4, teams: 8, keys: 100, changes: 0.1, churn: 0.01,
-		calls: 100, bookings: 1, callingTeams: 8, called: 2,
+		name: "Concordia", domains: 4, nodes: 18, services: 4, teams: 8, keys: 100, changesPerMinute: 0.1, replacementsPerMinute: 0.01,
+		callsPerSecond: 100, bookingsPerSecond: 1, callingTeams: 8, servicesCalled: 2,
 	},
 	{
-		name: "Kitakaze", domains: 3, nodes: 14, services: 4, teams: 8, keys: 100, changes: 0.1, churn: 0.01,
-		calls: 100, bookings: 1, callingTeams: 8, called: 2,
+		name: "Kitakaze", domains: 3, nodes: 14, services: 4, teams: 8, keys: 100, changesPerMinute: 0.1, replacementsPerMinute: 0.01,
+		callsPerSecond: 100, bookingsPerSecond: 1, callingTeams: 8, servicesCalled: 2,
 	},
 	{
 		name: "target", domains: targetDomains, nodes: targetEndpoints, services: targetServices, teams: targetTeams,
-		keys: targetKeys, changes: 12_000.0 / minutesADay, churn: 1_900.0 / minutesADay, calls: 360, bookings: 4,
-		callingTeams: 20, called: 5,
+		keys: targetKeys, changesPerMinute: 12_000.0 / minutesPerDay, replacementsPerMinute: 1_900.0 / minutesPerDay, callsPerSecond: 360, bookingsPerSecond: 4,
+		callingTeams: 20, servicesCalled: 5,
 	},
 }
 
 const (
-	minutesADay = 24 * 60
-	secondsADay = 60 * minutesADay
+	minutesPerDay = 24 * 60
+	secondsPerDay = 60 * minutesPerDay
 	// The control budget of one node.
-	budgetCore   = 0.011
-	budgetMemory = 64e6
-	budgetBytes  = 24e3
-	// pings is how many pings and answers to pings a node exchanges a second, each maybe over a new connection.
-	pings = 4
-	// linkLife is how long an unused connection is kept, in seconds.
-	linkLife = 30
+	budgetCoreRatio      = 0.011
+	budgetMemoryBytes    = 64e6
+	budgetBytesPerSecond = 24e3
+	// pingsPerSecond is how many pings and answers to pings a node exchanges a second, each maybe over a new connection.
+	pingsPerSecond = 4
+	// connectionIdleSeconds is how long an unused connection is kept, in seconds.
+	connectionIdleSeconds = 30
 	// idWindow is how long an idempotency id is remembered, in seconds; idSlots how many claims share them.
-	idWindow = 600
-	idSlots  = 32
-	// heapToMemory is what the collector needs beside the live heap at its default setting.
-	heapToMemory = 2
+	idWindow    = 600
+	claimsOfIDs = 32
+	// memoryPerHeap is what the collector needs beside the live heap at its default setting.
+	memoryPerHeap = 2
 	// Sizes at which the slopes were taken.
 	fittedDomainNodes, fittedChurnNodes, fittedTeams = 8, 20, 4
 )
@@ -109,21 +109,21 @@
 	}
 }
 
-// links is how many connections a node has open: those of pings of the last half minute, and to endpoints called.
-func (m model) links() float64 {
-	return m.own()*(1-math.Exp(-pings*linkLife/m.own())) + math.Min(m.followed(), m.calls)
+// openConnections is how many connections a node has open: those of pings of the last half minute, and to endpoints called.
+func (m model) openConnections() float64 {
+	return m.ownMembers()*(1-math.Exp(-pingsPerSecond*connectionIdleSeconds/m.ownMembers())) + math.Min(m.endpointsCalled(), m.callsPerSecond)
 }
 
-// dials is how many connections a second a node makes or takes, as the peers of its pings are random.
-func (m model) dials() float64 {
-	return pings * math.Exp(-pings*linkLife/m.own())
+// dialsPerSecond is how many connections a second a node makes or takes, as the peers of its pings are random.
+func (m model) dialsPerSecond() float64 {
+	return pingsPerSecond * math.Exp(-pingsPerSecond*connectionIdleSeconds/m.ownMembers())
 }
 
 const (
-	everyNode = "every node"
-	relayNode = "relay, 3 a domain"
-	bankNode  = "bank holder, up to 4 a domain"
-	ownerNode = "owner of ids, up to 32 a home"
+	everyNode  = "every node"
+	relayNode  = "relay, 3 a domain"
+	bankHolder = "bank holder, up to 4 a domain"
+	idOwner    = "owner of ids, up to 32 a home"
 )
 
 var rows = []row{
@@ -131,10 +131,10 @@
 		return usage{state: m.at("memory.ownMembers", 0)}
 	}},
 	{everyNode, "members of the own domain", "memory.ownMembers × own", func(m model) usage {
-		return usage{state: m.slope("memory.ownMembers") * m.own()}
+		return usage{state: m.slope("memory.ownMembers") * m.ownMembers()}
 	}},
 	{everyNode, "endpoints of services called", "memory.followed × followed", func(m model) usage {
-		return usage{state: m.slope("memory.followed") * m.followed()}
+		return usage{state: m.slope("memory.followed") * m.endpointsCalled()}
 	}},
 	{everyNode, "preset and teams", "memory.services × services + memory.purses × teams", func(m model) usage {
 		return usage{state: m.slope("memory.services")*m.services + m.slope("memory.purses")*m.teams}
@@ -149,29 +149,29 @@
 		return usage{core: m.at("cpu.domains", m.domains) / 1e9}
 	}},
 	{everyNode, "reducers, by members", "cpu.nodes × (own − 8)", func(m model) usage {
-		return usage{core: m.slope("cpu.nodes") / 1e9 * math.Max(m.own()-fittedDomainNodes, 0)}
+		return usage{core: m.slope("cpu.nodes") / 1e9 * math.Max(m.ownMembers()-fittedDomainNodes, 0)}
 	}},
 	{everyNode, "changes", "traffic.changes × changes", func(m model) usage {
-		return m.traffic(m.slope("traffic.changes.messages")*m.changes, m.slope("traffic.changes.bytes")*m.changes)
+		return m.traffic(m.slope("traffic.changes.messages")*m.changesPerMinute, m.slope("traffic.changes.bytes")*m.changesPerMinute)
 	}},
 	{everyNode, "replacements", "traffic.churn × churn × ln(own) / ln 20", func(m model) usage {
-		n := m.churn * math.Log(math.Max(m.own(), 2)) / math.Log(fittedChurnNodes)
+		n := m.replacementsPerMinute * math.Log(math.Max(m.ownMembers(), 2)) / math.Log(fittedChurnNodes)
 		return m.traffic(m.slope("traffic.churn.messages")*n, m.slope("traffic.churn.bytes")*n)
 	}},
 	{everyNode, "connections", "memory.links ÷ 2, wire.links × links", func(m model) usage {
-		return usage{state: m.slope("memory.links") / 2 * m.links(), bytes: m.slope("wire.links") * m.links()}
+		return usage{state: m.slope("memory.links") / 2 * m.openConnections(), bytes: m.slope("wire.links") * m.openConnections()}
 	}},
 	{everyNode, "handshakes for pings", "(wire.dials, cpu.dials ÷ 2) × dials", func(m model) usage {
-		return usage{bytes: m.slope("wire.dials") * m.dials(), core: m.slope("cpu.dials") / 2 / 1e9 * m.dials()}
+		return usage{bytes: m.slope("wire.dials") * m.dialsPerSecond(), core: m.slope("cpu.dials") / 2 / 1e9 * m.dialsPerSecond()}
 	}},
 	{everyNode, "team slices", "traffic.teams × teams calling", func(m model) usage {
 		return m.traffic(m.slope("traffic.teams.messages")*m.callingTeams, m.slope("traffic.teams.bytes")*m.callingTeams)
 	}},
 	{everyNode, "idempotency ids, asking", "traffic.bookings × bookings", func(m model) usage {
-		return m.traffic(m.slope("traffic.bookings.messages")*m.bookings, m.slope("traffic.bookings.bytes")*m.bookings)
+		return m.traffic(m.slope("traffic.bookings.messages")*m.bookingsPerSecond, m.slope("traffic.bookings.bytes")*m.bookingsPerSecond)
 	}},
 	{relayNode, "members of other domains", "memory.remoteMembers × (nodes − own)", func(m model) usage {
-		return usage{state: m.slope("memory.remoteMembers") * (m.nodes - m.own())}
+		return usage{state: m.slope("memory.remoteMembers") * (m.nodes - m.ownMembers())}
 	}},
 	{relayNode, "probes between domains", "traffic.domains busiest − mean", func(m model) usage {
 		return m.traffic(
@@ -179,22 +179,22 @@
 			m.at("traffic.domains.busiest", m.domains)-m.at("traffic.domains.bytes", m.domains))
 	}},
 	{relayNode, "subscriptions", "traffic.nodes.busiest × (own − 8)", func(m model) usage {
-		more := math.Max(m.own()-fittedDomainNodes, 0)
+		more := math.Max(m.ownMembers()-fittedDomainNodes, 0)
 		// Two relays are asked each 3 s by every node, and answer.
 		return m.traffic(4*more/9, m.slope("traffic.nodes.busiest")*more)
 	}},
-	{bankNode, "banks", "memory.banks × teams ÷ 4", func(m model) usage {
+	{bankHolder, "banks", "memory.banks × teams ÷ 4", func(m model) usage {
 		return usage{state: m.slope("memory.banks") * m.teams / 4}
 	}},
-	{bankNode, "asks for slices", "traffic.holders busiest × own × teams calling ÷ 4", func(m model) usage {
-		n := m.own() * m.callingTeams / fittedTeams
+	{bankHolder, "asks for slices", "traffic.holders busiest × own × teams calling ÷ 4", func(m model) usage {
+		n := m.ownMembers() * m.callingTeams / fittedTeams
 		return m.traffic(m.slope("traffic.holders.busiestMessages")*n, m.slope("traffic.holders.busiest")*n)
 	}},
-	{ownerNode, "records", "memory.ids × bookings × own × 600 s ÷ 32", func(m model) usage {
-		return usage{state: m.slope("memory.ids") * m.bookings * m.own() * idWindow / idSlots}
+	{idOwner, "records", "memory.ids × bookings × own × 600 s ÷ 32", func(m model) usage {
+		return usage{state: m.slope("memory.ids") * m.bookingsPerSecond * m.ownMembers() * idWindow / claimsOfIDs}
 	}},
-	{ownerNode, "answers", "traffic.bookings × bookings × own ÷ 32", func(m model) usage {
-		n := m.bookings * m.own() / idSlots
+	{idOwner, "answers", "traffic.bookings × bookings × own ÷ 32", func(m model) usage {
+		n := m.bookingsPerSecond * m.ownMembers() / claimsOfIDs
 		return m.traffic(m.slope("traffic.bookings.messages")*n, m.slope("traffic.bookings.bytes")*n)
 	}},
 }
@@ -206,25 +206,25 @@
 }
 
 const (
-	// claimRenewals is how often a day each claim is renewed: ten times in each term of an hour.
-	claimRenewals = 10 * 24
-	// claimsOfDomain are the rate slots and homed id slots of one domain.
-	claimsOfDomain = 4 + idSlots
-	// snapshotsADay is one each half of the log's retention of a day.
-	snapshotsADay = 2
+	// claimRenewalsPerDay is how often a day each claim is renewed: ten times in each term of an hour.
+	claimRenewalsPerDay = 10 * 24
+	// claimsPerDomain are the rate slots and homed id slots of one domain.
+	claimsPerDomain = 4 + claimsOfIDs
+	// snapshotsPerDay is one each half of the log's retention of a day.
+	snapshotsPerDay = 2
 )
 
 func claims(d deployment) float64 {
-	return d.domains*claimsOfDomain + idSlots
+	return d.domains*claimsPerDomain + claimsOfIDs
 }
 
 var appendCauses = []appendCause{
-	{"changes by operators", "changes", func(d deployment) float64 { return d.changes * minutesADay }},
-	{"nodes that start", "replacements", func(d deployment) float64 { return d.churn * minutesADay }},
-	{"nodes that leave in order", "replacements, at most", func(d deployment) float64 { return d.churn * minutesADay }},
-	{"claims renewed", "240 × (36 × domains + 32)", func(d deployment) float64 { return claims(d) * claimRenewals }},
+	{"changes by operators", "changes", func(d deployment) float64 { return d.changesPerMinute * minutesPerDay }},
+	{"nodes that start", "replacements", func(d deployment) float64 { return d.replacementsPerMinute * minutesPerDay }},
+	{"nodes that leave in order", "replacements, at most", func(d deployment) float64 { return d.replacementsPerMinute * minutesPerDay }},
+	{"claims renewed", "240 × (36 × domains + 32)", func(d deployment) float64 { return claims(d) * claimRenewalsPerDay }},
 	{"claims taken over or renewed with a new witness", "2 × replacements × claims ÷ nodes", func(d deployment) float64 {
-		return 2 * d.churn * minutesADay * claims(d) / d.nodes
+		return 2 * d.replacementsPerMinute * minutesPerDay * claims(d) / d.nodes
 	}},
-	{"snapshots", "2, doubled ones ignored", func(deployment) float64 { return snapshotsADay }},
+	{"snapshots", "2, doubled ones ignored", func(deployment) float64 { return snapshotsPerDay }},
 }
--- a/internal/measurer/fleet.go
+++ b/internal/measurer/fleet.go
@@ -23,9 +23,9 @@
 const wallStart clock.Wall = 1_790_000_000_000
 
 const (
-	logRead = 500
-	// answerBody is the size of the answers that are kept for repeated requests.
-	answerBody = 300
+	maxRecordsPerRead = 500
+	// answerBodyBytes is the size of the answers that are kept for repeated requests.
+	answerBodyBytes = 300
 )
 
 type envelope struct {
@@ -52,19 +52,19 @@
 }
 
 type fleet struct {
-	now       clock.Time
-	random    *rand.Rand
-	members   []*member
-	byAddress map[string]*member
-	log       []reducer.LogRecord
-	appends   map[string]int
-	made      int
-	calls     reducer.CallID
-	// withheld keeps back the answers to calls.
-	withheld bool
-	// since is when the counts began.
-	since clock.Time
-	err   error
+	now          clock.Time
+	random       *rand.Rand
+	members      []*member
+	byAddress    map[string]*member
+	log          []reducer.LogRecord
+	appends      map[string]int
+	nodesCreated int
+	calls        reducer.CallID
+	// withholdAnswers keeps back the answers to calls.
+	withholdAnswers bool
+	// countingSince is when the counts began.
+	countingSince clock.Time
+	err           error
 }
 
 func newFleet(domains, perDomain int, seed uint64) *fleet {
@@ -83,11 +83,11 @@
 
 // join adds a node that knows one other by its address.
 func (f *fleet) join(domain identifier.FailureDomain, first bool) *member {
-	f.made++
-	id := identifier.Node(fmt.Sprintf("%s-%08x", domain[len(domain)-2:], f.made*2654435761))
-	address := fmt.Sprintf("10.%d.%d.%d:7400", f.made>>16&255, f.made>>8&255, f.made&255)
+	f.nodesCreated++
+	id := identifier.Node(fmt.Sprintf("%s-%08x", domain[len(domain)-2:], f.nodesCreated*2654435761))
+	address := fmt.Sprintf("10.%d.%d.%d:7400", f.nodesCreated>>16&255, f.nodesCreated>>8&255, f.nodesCreated&255)
 	o := reducer.Options{
-		Self: id, Domain: domain, Address: address, Seed: uint64(f.made), Decode: encoder.Decode,
+		Self: id, Domain: domain, Address: address, Seed: uint64(f.nodesCreated), Decode: encoder.Decode,
 		Retention: 24 * clock.Hour,
 	}
 	if !first {
@@ -114,8 +114,8 @@
 	m.bytesByType, m.messagesByType = map[string]int{}, map[string]int{}
 }
 
-// kill takes a node away without a word.
-func (f *fleet) kill(i int) {
+// crash takes a node away without a word.
+func (f *fleet) crash(i int) {
 	delete(f.byAddress, f.members[i].addressOf(f))
 	f.members = append(f.members[:i], f.members[i+1:]...)
 }
@@ -128,12 +128,12 @@
 	for end := f.now.Add(d); f.now < end && f.err == nil; {
 		f.now = f.now.Add(step)
 		for _, m := range f.members {
-			f.stepOne(m)
+			f.stepMember(m)
 		}
 	}
 }
 
-func (f *fleet) stepOne(m *member) {
+func (f *fleet) stepMember(m *member) {
 	inbox, reads, answers := m.inbox, m.reads, m.answers
 	m.inbox, m.reads = nil, nil
 	for _, e := range inbox {
@@ -149,7 +149,7 @@
 	for _, r := range reads {
 		f.apply(m, f.readLog(r))
 	}
-	if f.withheld {
+	if f.withholdAnswers {
 		answers = nil
 	} else {
 		m.answers = nil
@@ -158,7 +158,7 @@
 		m.answered++
 		f.apply(m, &reducer.AnswerEnded{
 			Call: call, Phase: reducer.Answered, Relayed: true, Whole: true, Tail: &reducer.Tail{Threshold: identifier.MaxRank, Headroom: 200},
-			Outcome: &reducer.RecordedOutcome{Status: 200, Body: make([]byte, answerBody), Kept: true}, Wall: f.wall(),
+			Outcome: &reducer.RecordedOutcome{Status: 200, Body: make([]byte, answerBodyBytes), Kept: true}, Wall: f.wall(),
 		})
 	}
 	f.apply(m, &reducer.Tick{Wall: f.wall()})
@@ -166,7 +166,7 @@
 
 func (f *fleet) readLog(r reducer.ReadLog) *reducer.RecordsRead {
 	start := min(max(int(r.From)-1, 0), len(f.log))
-	end := min(start+logRead, len(f.log))
+	end := min(start+maxRecordsPerRead, len(f.log))
 	return &reducer.RecordsRead{
 		Records: f.log[start:end], Earliest: 1, Next: identifier.Offset(len(f.log) + 1), Asked: r.Asked,
 		Wall: f.wall(),
@@ -219,7 +219,7 @@
 
 // startCounting forgets the traffic of the fleet's beginning.
 func (f *fleet) startCounting() {
-	f.since = f.now
+	f.countingSince = f.now
 	clear(f.appends)
 	for _, m := range f.members {
 		m.resetCounts()
@@ -233,7 +233,7 @@
 
 // loads returns the mean node's load and that of the node with the most bytes.
 func (f *fleet) loads() (mean, busiest load) {
-	seconds := float64(f.now.Sub(f.since)) / float64(clock.Second)
+	seconds := float64(f.now.Sub(f.countingSince)) / float64(clock.Second)
 	for _, m := range f.members {
 		l := load{
 			messages: float64(m.sent+m.received) / seconds,
--- a/internal/measurer/measurer_test.go
+++ b/internal/measurer/measurer_test.go
@@ -38,9 +38,9 @@
 	assert.Equal(t, string(page), want)
 }
 
-func TestPageNamesWhatIsWrong(t *testing.T) {
+func TestPageReportsInvalidTablesAndMissingSeries(t *testing.T) {
 	complete := Results{Fits: map[string]Fit{}}
-	for _, s := range usedSeries {
+	for _, s := range requiredSeries {
 		complete.Fits[s] = Fit{}
 	}
 	cases := map[string]struct {
@@ -76,39 +76,39 @@
 	})
 }
 
-func TestResultsComeBackTheSame(t *testing.T) {
+func TestResultsRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	s := Series{Name: "memory.x", Variable: "x", Unit: "B", Points: []Point{{X: 0, Y: 10}, {X: 1, Y: 13}, {X: 4, Y: 22}}}
 	assert.NilError(t, writeSeries(&b, s))
-	assert.NilError(t, writeCheck(&b, Check{Name: "c", Unit: "B", Foretold: 5, Measured: 6}))
+	assert.NilError(t, writeCheck(&b, Check{Name: "c", Unit: "B", Predicted: 5, Measured: 6}))
 	got, err := ReadResults(&b)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got.Points["memory.x"], s.Points)
 	f := got.Fits["memory.x"]
 	assert.Assert(t, f.Slope == 3 && f.Intercept == 10 && f.From == 0 && f.To == 4 && f.Count == 3, "%v", f)
-	assert.DeepEqual(t, got.Checks, []Check{{Name: "c", Unit: "B", Foretold: 5, Measured: 6}})
+	assert.DeepEqual(t, got.Checks, []Check{{Name: "c", Unit: "B", Predicted: 5, Measured: 6}})
 }
 
 // The network of these measurements must do what it claims: the same seed gives the same traffic, changes reach
 // every node within the four seconds that operators count on, and a domain that returns finds its fleet.
-func TestFleetIsRepeatableAndWorks(t *testing.T) {
-	s := scene{domains: 2, nodes: 2, changes: 60, services: 2, teams: 2, calls: 10}
-	first, err := s.play(context.Background(), 3)
+func TestFleetIsDeterministicAndConverges(t *testing.T) {
+	s := workload{domains: 2, nodes: 2, changesPerMinute: 60, services: 2, teams: 2, callsPerSecond: 10}
+	first, err := s.measure(context.Background(), 3)
 	assert.NilError(t, err)
-	second, err := s.play(context.Background(), 3)
+	second, err := s.measure(context.Background(), 3)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, first.messages, second.messages)
 	assert.DeepEqual(t, first.bytes, second.bytes)
 	took, err := burst(50, 3, 3)
 	assert.NilError(t, err)
 	assert.Assert(t, took[0] > 0 && took[0] < float64(4*clock.Second), "%v", took)
-	took, err = storm(3, 3)
+	took, err = domainReturn(3, 3)
 	assert.NilError(t, err)
 	assert.Assert(t, took[0] > 0, "%v", took)
 	assert.Equal(t, took[2], 3.0)
 }
 
-func TestRealSocketsCountTheirBytes(t *testing.T) {
+func TestLoopbackFleetCountsBytes(t *testing.T) {
 	wire, cpu, err := messageCost(context.Background(), 100)
 	assert.NilError(t, err)
 	assert.Assert(t, wire > 100+packetOverhead && wire < 400, "%v bytes on the wire", wire)
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -23,16 +23,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// heapOf returns the bytes that what fill returns keeps alive.
-func heapOf(fill func() any) float64 {
-	before := heapNow()
-	kept := fill()
-	after := heapNow()
-	runtime.KeepAlive(kept)
+// heapUsedBy returns the bytes that what fill returns keeps alive.
+func heapUsedBy(fill func() any) float64 {
+	before := liveHeap()
+	retained := fill()
+	after := liveHeap()
+	runtime.KeepAlive(retained)
 	return float64(after) - float64(before)
 }
 
-func heapNow() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -40,8 +40,8 @@
 	return m.HeapAlloc
 }
 
-// alone returns one of two nodes, which reads the log itself and is its domain's relay.
-func alone() (*fleet, *member) {
+// newRelay returns one of two nodes, which reads the log itself and is its domain's relay.
+func newRelay() (*fleet, *member) {
 	f := newFleet(1, 2, 1)
 	f.run(5 * clock.Second)
 	return f, f.members[0]
@@ -58,13 +58,13 @@
 	}
 }
 
-// tellMembers lets the node hear of n members of a domain.
-func (f *fleet) tellMembers(m *member, domain identifier.FailureDomain, from, n int) {
+// announceMembers lets the node hear of n members of a domain.
+func (f *fleet) announceMembers(m *member, domain identifier.FailureDomain, from, n int) {
 	const batch = 64
 	var list []gossiper.Member
 	for j := from; n > 0; j++ {
 		other := memberOf(j, domain, serviceName(j%targetServices))
-		if domain == m.domain && outranks(other.Node, m.id) {
+		if domain == m.domain && precedesAsRelay(other.Node, m.id) {
 			continue
 		}
 		n--
@@ -81,36 +81,36 @@
 	}
 }
 
-// outranks tells which of two nodes is sooner a relay. A node that hears of three that outrank it stops being one and
+// precedesAsRelay tells which of two nodes is sooner a relay. A node that hears of three that outrank it stops being one and
 // forgets all other domains, and its memory would be measured without them.
-func outranks(a, b identifier.Node) bool {
+func precedesAsRelay(a, b identifier.Node) bool {
 	return xxh3.HashString(string(a)) > xxh3.HashString(string(b))
 }
 
 func fillOwnMembers(n int) any {
-	f, m := alone()
-	f.tellMembers(m, m.domain, 0, n)
+	f, m := newRelay()
+	f.announceMembers(m, m.domain, 0, n)
 	return m.state
 }
 
 func fillRemoteMembers(n int) any {
-	f, m := alone()
+	f, m := newRelay()
 	const domains = 10
 	for d := range domains {
-		f.tellMembers(m, domainName(d+1), d*n/domains, n/domains)
+		f.announceMembers(m, domainName(d+1), d*n/domains, n/domains)
 	}
 	return m.state
 }
 
-type followed struct {
+type endpointState struct {
 	gossiper *gossiper.Gossiper
 	router   *router.Router
 }
 
-// fillFollowed holds n endpoints of other domains whose services the node calls.
-func fillFollowed(n int) any {
+// fillEndpointsCalled holds n endpoints of other domains whose services the node calls.
+func fillEndpointsCalled(n int) any {
 	self := memberOf(1<<20, domainName(0), serviceName(0))
-	k := followed{
+	k := endpointState{
 		gossiper: gossiper.New(gossiper.Options{Self: self, Rand: rand.New(rand.NewPCG(1, 1))}),
 		router:   router.New(router.Options{Domain: self.Domain, Rand: rand.New(rand.NewPCG(1, 2))}),
 	}
@@ -136,23 +136,23 @@
 	fairness *admitter.Fairness
 }
 
-type noAuthority struct{}
+type noClaims struct{}
 
 // Holds tells that this node holds no claim.
-func (noAuthority) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
+func (noClaims) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
 	return 0, false
 }
 
-type fullAuthority struct{}
+type allClaims struct{}
 
 // Holds tells that this node holds every claim.
-func (fullAuthority) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
+func (allClaims) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
 	return 1, true
 }
 
 // fillPurses is an ordinary node through which n teams call.
 func fillPurses(n int) any {
-	k := teamsWith(n, noAuthority{})
+	k := teamsWith(n, noClaims{})
 	for i := range n {
 		k.granter.Spend(teamName(i), granter.Call(i), 1)
 		k.fairness.CountCall(teamName(i), 1)
@@ -162,7 +162,7 @@
 
 // fillBanks is a node that keeps the banks of n teams, with 20 nodes asking each.
 func fillBanks(n int) any {
-	k := teamsWith(n, fullAuthority{})
+	k := teamsWith(n, allClaims{})
 	for slot := range reducer.RateSlots {
 		k.granter.OpenBank(slot, 1, 1)
 	}
@@ -196,17 +196,17 @@
 }
 
 func fillKeys(n int) any {
-	f, m := alone()
+	f, m := newRelay()
 	for i := range n {
 		f.issueTeamKey(keyOf(i), teamName(i%8))
 	}
-	f.run(clock.Duration(n/logRead+5) * clock.Second / 4)
+	f.run(clock.Duration(n/maxRecordsPerRead+5) * clock.Second / 4)
 	f.log = nil
 	return m.state
 }
 
 func fillPreset(services int) any {
-	f, m := alone()
+	f, m := newRelay()
 	f.append(presetRecord(f, services, 8))
 	f.append(switchRecord(f))
 	f.run(2 * clock.Second)
@@ -215,7 +215,7 @@
 }
 
 func fillPresetTeams(teams int) any {
-	f, m := alone()
+	f, m := newRelay()
 	f.append(presetRecord(f, 10, teams))
 	f.append(switchRecord(f))
 	f.run(2 * clock.Second)
@@ -223,7 +223,7 @@
 	return m.state
 }
 
-type owned struct {
+type idState struct {
 	owner *deduplicator.Owner
 }
 
@@ -250,12 +250,12 @@
 			Claim: claim, Team: teamName(0), ID: id, Fingerprint: begin.Fingerprint, Attempt: a,
 			Outcome: deduplicator.Outcome{
 				Status: 201, Headers: []deduplicator.Header{{Name: "Content-Type", Value: "application/json"}},
-				Body: make([]byte, answerBody),
+				Body: make([]byte, answerBodyBytes),
 			},
 		}
 		o.Receive(a.Node, report, hold, true, 2, wall)
 	}
-	return owned{owner: o}
+	return idState{owner: o}
 }
 
 // fillCalls has n calls under way, forwarded and not answered.
@@ -276,12 +276,12 @@
 func readyNode() (*fleet, *member) {
 	f := newFleet(1, 3, 1)
 	f.publish(1)
-	f.run(warmUp)
+	f.run(warmUpTime)
 	m := f.members[0]
 	f.apply(m, &reducer.BackendAnnounced{
-		Endpoint: endpointOf(m), Service: serviceName(0), Slots: 10_000, ConnectionLimit: 10_000,
+		Endpoint: endpointID(m), Service: serviceName(0), Slots: 10_000, ConnectionLimit: 10_000,
 	})
 	f.run(clock.Second)
-	f.withheld = true
+	f.withholdAnswers = true
 	return f, m
 }
--- a/internal/measurer/page.go
+++ b/internal/measurer/page.go
@@ -30,7 +30,7 @@
 
 // Page returns the page with its tables made anew from the results.
 func Page(page string, r Results) (string, error) {
-	if err := r.complete(); err != nil {
+	if err := r.checkComplete(); err != nil {
 		return "", err
 	}
 	tables := map[string]func(Results) string{
@@ -55,9 +55,9 @@
 	}
 }
 
-// complete tells whether the results hold every series that the rows name.
-func (r Results) complete() error {
-	for _, s := range usedSeries {
+// checkComplete tells whether the results hold every series that the rows name.
+func (r Results) checkComplete() error {
+	for _, s := range requiredSeries {
 		if _, ok := r.Fits[s]; !ok {
 			return MissingError{Series: s}
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// usedSeries are those that the formulas use.
-var usedSeries = []string{
+// requiredSeries are those that the formulas use.
+var requiredSeries = []string{
 	"memory.ownMembers", "memory.remoteMembers", "memory.followed", "memory.services", "memory.purses",
 	"memory.keys", "memory.banks", "memory.ids", "memory.links", "wire.message", "cpu.message", "wire.links",
 	"wire.dials", "cpu.dials", "cpu.domains", "cpu.nodes", "traffic.domains.messages", "traffic.domains.bytes",
@@ -82,8 +82,8 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Fits)) {
 		f := r.Fits[name]
 		fmt.Fprintf(&b, "| %s | %s | %s to %s, %d | %s ± %s %s | %s | %.2f |\n", name, f.Variable,
-			number(f.From), number(f.To), f.Count, number(f.Slope), number(f.SlopeError), f.Unit,
-			number(f.Intercept), f.RSquared)
+			formatNumber(f.From), formatNumber(f.To), f.Count, formatNumber(f.Slope), formatNumber(f.SlopeError), f.Unit,
+			formatNumber(f.Intercept), f.RSquared)
 	}
 	return b.String()
 }
@@ -99,18 +99,18 @@
 		}
 		target := costs[len(costs)-1]
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", line.role, line.mechanism, line.formula,
-			brief(costs[0]), brief(costs[1]), megabytes(target.state), number(target.messages),
-			number(target.bytes/1e3), percent(target.core))
+			todayCell(costs[0]), todayCell(costs[1]), formatMegabytes(target.state), formatNumber(target.messages),
+			formatNumber(target.bytes/1e3), formatPercent(target.core))
 	}
 	return b.String()
 }
 
-// brief writes a cost at today's sizes in one cell.
-func brief(u usage) string {
+// todayCell writes a cost at today's sizes in one cell.
+func todayCell(u usage) string {
 	if u.state > 0 && u.bytes == 0 {
-		return megabytes(u.state)
+		return formatMegabytes(u.state)
 	}
-	return fmt.Sprintf("%s KB/s, %s", number(u.bytes/1e3), percent(u.core))
+	return fmt.Sprintf("%s KB/s, %s", formatNumber(u.bytes/1e3), formatPercent(u.core))
 }
 
 // sumTable adds up what one node of each role costs, and how much of the budget that is.
@@ -119,12 +119,12 @@
 	b.WriteString("| deployment | role | memory | of 64 MB | KB/s | of 24 KB/s | core | of 1.1% |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, d := range deployments {
-		for _, role := range []string{everyNode, relayNode, bankNode, ownerNode} {
+		for _, role := range []string{everyNode, relayNode, bankHolder, idOwner} {
 			u := sumOf(model{d, r}, role)
-			memory := u.state * heapToMemory
-			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", d.name, role, megabytes(memory),
-				times(memory/budgetMemory), number(u.bytes/1e3), times(u.bytes/budgetBytes), percent(u.core),
-				times(u.core/budgetCore))
+			memory := u.state * memoryPerHeap
+			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", d.name, role, formatMegabytes(memory),
+				formatMultiple(memory/budgetMemoryBytes), formatNumber(u.bytes/1e3), formatMultiple(u.bytes/budgetBytesPerSecond), formatPercent(u.core),
+				formatMultiple(u.core/budgetCoreRatio))
 		}
 	}
 	return b.String()
@@ -144,7 +144,7 @@
 	var b strings.Builder
 	b.WriteString("| check | foretold by the slopes | measured |\n| --- | --- | --- |\n")
 	for _, c := range r.Checks {
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", c.Name, megabytes(c.Foretold), megabytes(c.Measured))
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", c.Name, formatMegabytes(c.Predicted), formatMegabytes(c.Measured))
 	}
 	return b.String()
 }
@@ -159,7 +159,7 @@
 	} {
 		var cells []string
 		for _, p := range r.Points[name] {
-			cells = append(cells, fmt.Sprintf("%s: %s", number(p.X), number(p.Y)))
+			cells = append(cells, fmt.Sprintf("%s: %s", formatNumber(p.X), formatNumber(p.Y)))
 		}
 		f := r.Fits[name]
 		fmt.Fprintf(&b, "| %s (%s, by %s) | %s |\n", name, f.Unit, f.Variable, strings.Join(cells, "; "))
@@ -176,9 +176,9 @@
 	line := func(cause, formula string, values []float64) {
 		fmt.Fprintf(&b, "| %s | %s |", cause, formula)
 		for _, v := range values {
-			fmt.Fprintf(&b, " %s |", number(v))
+			fmt.Fprintf(&b, " %s |", formatNumber(v))
 		}
-		fmt.Fprintf(&b, " %s |\n", number(values[len(values)-1]/secondsADay))
+		fmt.Fprintf(&b, " %s |\n", formatNumber(values[len(values)-1]/secondsPerDay))
 	}
 	for _, c := range appendCauses {
 		values := make([]float64, len(deployments))
@@ -195,8 +195,8 @@
 // negligible is what a table shows as nothing.
 const negligible = 0.0005
 
-// number writes three significant digits, and no exponent.
-func number(v float64) string {
+// formatNumber writes three significant digits, and no exponent.
+func formatNumber(v float64) string {
 	if math.Abs(v) < negligible {
 		return "0"
 	}
@@ -208,17 +208,17 @@
 	return fmt.Sprintf("%.*f", digits, v)
 }
 
-func megabytes(v float64) string {
+func formatMegabytes(v float64) string {
 	if v == 0 {
 		return "0"
 	}
-	return number(v/1e6) + " MB"
+	return formatNumber(v/1e6) + " MB"
 }
 
-func percent(v float64) string {
-	return number(v*100) + "%"
+func formatPercent(v float64) string {
+	return formatNumber(v*100) + "%"
 }
 
-func times(v float64) string {
-	return number(v) + " ×"
+func formatMultiple(v float64) string {
+	return formatNumber(v) + " ×"
 }
--- a/internal/measurer/results.go
+++ b/internal/measurer/results.go
@@ -85,13 +85,13 @@
 
 // Check compares what a fit foretells with what was measured outside its range.
 type Check struct {
-	Name     string
-	Unit     string
-	Foretold float64
-	Measured float64
+	Name      string
+	Unit      string
+	Predicted float64
+	Measured  float64
 }
 
-type resultWire struct {
+type resultLine struct {
 	Kind       string  `json:"kind"`
 	Series     string  `json:"series"`
 	Variable   string  `json:"variable,omitempty"`
@@ -105,12 +105,12 @@
 	Slope      float64 `json:"slope,omitempty"`
 	SlopeError float64 `json:"slopeError,omitempty"`
 	RSquared   float64 `json:"rSquared,omitempty"`
-	Foretold   float64 `json:"foretold,omitempty"`
+	Predicted  float64 `json:"foretold,omitempty"`
 	Measured   float64 `json:"measured,omitempty"`
 }
 
-// rounded keeps four digits more than the error can carry, and the file readable.
-func rounded(v float64) float64 {
+// roundSignificant keeps four digits more than the error can carry, and the file readable.
+func roundSignificant(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return 0
 	}
@@ -121,28 +121,28 @@
 
 func writeSeries(out io.Writer, s Series) error {
 	for _, p := range s.Points {
-		w := resultWire{
-			Kind: kindPoint, Series: s.Name, Variable: s.Variable, Unit: s.Unit, X: rounded(p.X), Y: rounded(p.Y),
+		w := resultLine{
+			Kind: kindPoint, Series: s.Name, Variable: s.Variable, Unit: s.Unit, X: roundSignificant(p.X), Y: roundSignificant(p.Y),
 		}
 		if err := writeLine(out, w); err != nil {
 			return err
 		}
 	}
 	f := FitOf(s)
-	return writeLine(out, resultWire{
-		Kind: kindFit, Series: f.Series, Variable: f.Variable, Unit: f.Unit, From: rounded(f.From), To: rounded(f.To),
-		Count: f.Count, Intercept: rounded(f.Intercept), Slope: rounded(f.Slope),
-		SlopeError: rounded(f.SlopeError), RSquared: rounded(f.RSquared),
+	return writeLine(out, resultLine{
+		Kind: kindFit, Series: f.Series, Variable: f.Variable, Unit: f.Unit, From: roundSignificant(f.From), To: roundSignificant(f.To),
+		Count: f.Count, Intercept: roundSignificant(f.Intercept), Slope: roundSignificant(f.Slope),
+		SlopeError: roundSignificant(f.SlopeError), RSquared: roundSignificant(f.RSquared),
 	})
 }
 
 func writeCheck(out io.Writer, c Check) error {
-	return writeLine(out, resultWire{
-		Kind: kindCheck, Series: c.Name, Unit: c.Unit, Foretold: rounded(c.Foretold), Measured: rounded(c.Measured),
+	return writeLine(out, resultLine{
+		Kind: kindCheck, Series: c.Name, Unit: c.Unit, Predicted: roundSignificant(c.Predicted), Measured: roundSignificant(c.Measured),
 	})
 }
 
-func writeLine(out io.Writer, w resultWire) error {
+func writeLine(out io.Writer, w resultLine) error {
 	b, err := json.Marshal(w)
 	if err != nil {
 		return fmt.Errorf("result %s: %w", w.Series, err)
@@ -173,16 +173,16 @@
 	out := Results{Fits: map[string]Fit{}, Points: map[string][]Point{}}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
-		var w resultWire
+		var w resultLine
 		if err := json.Unmarshal(lines.Bytes(), &w); err != nil {
 			return Results{}, fmt.Errorf("results: %w", err)
 		}
-		out.take(w)
+		out.add(w)
 	}
 	return out, lines.Err()
 }
 
-func (r *Results) take(w resultWire) {
+func (r *Results) add(w resultLine) {
 	switch w.Kind {
 	case kindPoint:
 		r.Points[w.Series] = append(r.Points[w.Series], Point{X: w.X, Y: w.Y})
@@ -192,6 +192,6 @@
 			Intercept: w.Intercept, Slope: w.Slope, SlopeError: w.SlopeError, RSquared: w.RSquared,
 		}
 	case kindCheck:
-		r.Checks = append(r.Checks, Check{Name: w.Series, Unit: w.Unit, Foretold: w.Foretold, Measured: w.Measured})
+		r.Checks = append(r.Checks, Check{Name: w.Series, Unit: w.Unit, Predicted: w.Predicted, Measured: w.Measured})
 	}
 }
--- a/internal/measurer/traffic.go
+++ b/internal/measurer/traffic.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	warmUp  = 45 * clock.Second
-	settle  = 8 * clock.Second
-	counted = 20 * clock.Second
-	// sceneServices is how many services a fleet in these measurements has.
-	sceneServices = 20
-	presetName    = "ordinary"
+	warmUpTime = 45 * clock.Second
+	settleTime = 8 * clock.Second
+	countTime  = 20 * clock.Second
+	// workloadServices is how many services a fleet in these measurements has.
+	workloadServices = 20
+	presetName       = "ordinary"
 )
 
-// scene says what goes on in a fleet; the rates are for each node and second unless they say otherwise.
-type scene struct {
+// workload says what goes on in a fleet; the rates are for each node and second unless they say otherwise.
+type workload struct {
 	domains, nodes int
-	// changes and churn are a minute, over the whole fleet.
-	changes, churn int
+	// changesPerMinute and churn are a minute, over the whole fleet.
+	changesPerMinute, replacementsPerMinute int
 	// services is how many services each node calls; teams how many teams send each node's calls.
 	services, teams int
-	// calls and bookings are calls a second and node, without and with an idempotency id.
-	calls, bookings int
+	// callsPerSecond and bookings are calls a second and node, without and with an idempotency id.
+	callsPerSecond, bookingsPerSecond int
 }
 
 // outcome is what a scene cost.
@@ -51,17 +51,17 @@
 	bytes, messages map[string]int
 }
 
-func (s scene) play(ctx context.Context, seed uint64) (outcome, error) {
+func (s workload) measure(ctx context.Context, seed uint64) (outcome, error) {
 	f := newFleet(s.domains, s.nodes, seed)
 	f.publish(max(s.teams, 1))
-	f.run(warmUp)
+	f.run(warmUpTime)
 	for i, m := range f.members {
 		f.announce(m, i)
 	}
-	s.playFor(ctx, f, settle)
+	s.runFor(ctx, f, settleTime)
 	f.startCounting()
 	start := processorTime()
-	s.playFor(ctx, f, counted)
+	s.runFor(ctx, f, countTime)
 	if f.err == nil {
 		f.err = ctx.Err()
 	}
@@ -70,7 +70,7 @@
 
 func (f *fleet) outcome(spent time.Duration) outcome {
 	o := outcome{
-		appends: f.appends, nodes: len(f.members), seconds: float64(f.now.Sub(f.since)) / float64(clock.Second),
+		appends: f.appends, nodes: len(f.members), seconds: float64(f.now.Sub(f.countingSince)) / float64(clock.Second),
 		bytes: map[string]int{}, messages: map[string]int{},
 	}
 	o.mean, o.busiest = f.loads()
@@ -86,42 +86,42 @@
 	return o
 }
 
-// playFor goes on by tenths of a second, and does in each what falls due.
-func (s scene) playFor(ctx context.Context, f *fleet, d clock.Duration) {
+// runFor goes on by tenths of a second, and does in each what falls due.
+func (s workload) runFor(ctx context.Context, f *fleet, d clock.Duration) {
 	const tenth = 100 * clock.Millisecond
 	for n := 0; n < int(d/tenth) && f.err == nil && ctx.Err() == nil; n++ {
-		for range due(n, s.changes, 600) {
+		for range dueEvents(n, s.changesPerMinute, 600) {
 			f.issueKey(fmt.Sprintf("%064x", len(f.log)))
 		}
-		for range due(n, s.churn, 600) {
-			f.replace()
+		for range dueEvents(n, s.replacementsPerMinute, 600) {
+			f.replaceNode()
 		}
 		if n%10 == 0 {
 			f.heartbeats()
 		}
 		for i, m := range f.members {
-			s.callFrom(f, m, i, n)
+			s.sendDueCalls(f, m, i, n)
 		}
 		f.run(tenth)
 	}
 }
 
-// due returns how many of a rate's events fall into the n-th part of a span.
-func due(n, rate, parts int) int {
+// dueEvents returns how many of a rate's events fall into the n-th part of a span.
+func dueEvents(n, rate, parts int) int {
 	return (n+1)*rate/parts - n*rate/parts
 }
 
-func (s scene) callFrom(f *fleet, m *member, i, n int) {
-	for j := range due(n, s.calls, 10) {
+func (s workload) sendDueCalls(f *fleet, m *member, i, n int) {
+	for j := range dueEvents(n, s.callsPerSecond, 10) {
 		f.call(m, (i+j)%max(s.teams, 1), (i+n+j)%max(s.services, 1), false)
 	}
-	for j := range due(n, s.bookings, 10) {
+	for j := range dueEvents(n, s.bookingsPerSecond, 10) {
 		f.call(m, (i+j)%max(s.teams, 1), (i+n+j)%max(s.services, 1), true)
 	}
 }
 
 func (f *fleet) publish(teams int) {
-	p := presetOf(sceneServices, teams, f.domains())
+	p := presetOf(workloadServices, teams, f.domains())
 	f.append(configurer.PublishPreset{Change: f.change(), Preset: p})
 	f.append(configurer.SwitchPreset{Change: f.change(), Preset: p.Name})
 	for i := range teams {
@@ -189,26 +189,26 @@
 
 func (f *fleet) announce(m *member, i int) {
 	f.apply(m, &reducer.BackendAnnounced{
-		Endpoint: endpointOf(m), Service: serviceName(i % sceneServices), Slots: 20,
+		Endpoint: endpointID(m), Service: serviceName(i % workloadServices), Slots: 20,
 		ConnectionLimit: 230,
 	})
 }
 
-func endpointOf(m *member) identifier.Endpoint {
+func endpointID(m *member) identifier.Endpoint {
 	return identifier.Endpoint("server-" + m.id)
 }
 
 func (f *fleet) heartbeats() {
 	for _, m := range f.members {
-		f.apply(m, &reducer.BackendReported{Endpoint: endpointOf(m), Load: 300})
+		f.apply(m, &reducer.BackendReported{Endpoint: endpointID(m), Load: 300})
 	}
 }
 
-// replace kills one node and starts another in its domain.
-func (f *fleet) replace() {
+// replaceNode kills one node and starts another in its domain.
+func (f *fleet) replaceNode() {
 	i := 1 + f.random.IntN(len(f.members)-1)
 	domain := f.members[i].domain
-	f.kill(i)
+	f.crash(i)
 	f.announce(f.join(domain, false), i)
 }
 
--- a/internal/measurer/wire.go
+++ b/internal/measurer/wire.go
@@ -24,15 +24,15 @@
 // packetOverhead is what IPv4 and UDP add to each datagram, in bytes.
 const packetOverhead = 28
 
-// relay answers a call by the answer of the next node, or itself when the call is deep enough.
-type relay struct {
+// chainNode answers a call by the answer of the next node, or itself when the call is deep enough.
+type chainNode struct {
 	self *transporter.Transporter
 	// next is set when all relays listen, while the links that a call comes by may be open already.
 	next atomic.Pointer[transporter.Peer]
 }
 
 // ServeCall passes the call on while its depth allows.
-func (r *relay) ServeCall(
+func (r *chainNode) ServeCall(
 	ctx context.Context, _ identifier.Node, head transporter.CallHead, _ io.Reader, w transporter.AnswerWriter,
 ) {
 	if head.Depth > 1 {
@@ -51,33 +51,33 @@
 }
 
 // ServeControl drops the message.
-func (r *relay) ServeControl(identifier.Node, []byte) {}
+func (r *chainNode) ServeControl(identifier.Node, []byte) {}
 
-// sockets are a few nodes' transports on loopback.
-type sockets struct {
-	relays []*relay
-	peers  []transporter.Peer
+// loopbackFleet are a few nodes' transports on loopback.
+type loopbackFleet struct {
+	nodes []*chainNode
+	peers []transporter.Peer
 }
 
-func openSockets(ctx context.Context, n int) (*sockets, error) {
+func newLoopbackFleet(ctx context.Context, n int) (*loopbackFleet, error) {
 	now := time.Now()
 	authority, err := certifier.NewAuthority(now, time.Hour)
 	if err != nil {
 		return nil, err
 	}
-	s := &sockets{}
+	s := &loopbackFleet{}
 	for i := range n {
 		if err := s.open(ctx, authority, i); err != nil {
 			return nil, errors.Join(err, s.close())
 		}
 	}
-	for i, r := range s.relays {
+	for i, r := range s.nodes {
 		r.next.Store(&s.peers[(i+1)%n])
 	}
 	return s, nil
 }
 
-func (s *sockets) open(ctx context.Context, authority certifier.Authority, i int) error {
+func (s *loopbackFleet) open(ctx context.Context, authority certifier.Authority, i int) error {
 	id := identifier.Node(fmt.Sprintf("01-%08x", i))
 	pair, err := authority.Issue(certifier.Identity{Role: certifier.Node, Name: string(id)}, time.Now(), time.Hour)
 	if err != nil {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	r := &relay{}
+	r := &chainNode{}
 	r.self = transporter.New(transporter.Options{
 		Listen: "127.0.0.1:0", ServerTLS: trust.Server(nil, certifier.Node), ClientTLS: trust.Client(nil), Self: id, Domain: domainName(0),
 		IdleAfter: clock.Hour,
@@ -95,37 +95,37 @@
 	if err := r.self.Start(ctx); err != nil {
 		return err
 	}
-	s.relays = append(s.relays, r)
+	s.nodes = append(s.nodes, r)
 	s.peers = append(s.peers, transporter.Peer{Node: id, Address: r.self.Address()})
 	return nil
 }
 
-func (s *sockets) close() error {
+func (s *loopbackFleet) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	var all error
-	for _, r := range s.relays {
+	for _, r := range s.nodes {
 		all = errors.Join(all, r.self.Close(ctx))
 	}
 	return all
 }
 
 // wireBytes is what a node has sent and received so far, headers of all layers included.
-func (s *sockets) wireBytes(i int) float64 {
-	c := s.relays[i].self.Stats()
+func (s *loopbackFleet) wireBytes(i int) float64 {
+	c := s.nodes[i].self.Stats()
 	return float64(c.BytesSent + c.BytesReceived + packetOverhead*(c.PacketsSent+c.PacketsReceived))
 }
 
 // messageCost returns the bytes on the wire and the processor time, of both ends, for one control message of a size.
 func messageCost(ctx context.Context, bytes int) (wire, cpu float64, _ error) {
 	const count = 400
-	s, err := openSockets(ctx, 2)
+	s, err := newLoopbackFleet(ctx, 2)
 	if err != nil {
 		return 0, 0, err
 	}
 	send := func(n int) error {
 		for range n {
-			if err := s.relays[0].self.SendControl(s.peers[1], make([]byte, bytes)); err != nil {
+			if err := s.nodes[0].self.SendControl(s.peers[1], make([]byte, bytes)); err != nil {
 				return err
 			}
 			time.Sleep(4 * time.Millisecond)
@@ -142,8 +142,8 @@
 	return wire, cpu, errors.Join(err, s.close())
 }
 
-// linkCost is what connections of one node cost, both ends.
-type linkCost struct {
+// connectionCost is what connections of one node cost, both ends.
+type connectionCost struct {
 	// dialBytes and dialTime are for making them all.
 	dialBytes, dialTime float64
 	heap                float64
@@ -151,13 +151,13 @@
 	idleBytes float64
 }
 
-// linksCost makes n connections from one node and leaves them idle.
-func linksCost(ctx context.Context, n int) (c linkCost, _ error) {
-	s, err := openSockets(ctx, n+1)
+// connectionsCost makes n connections from one node and leaves them idle.
+func connectionsCost(ctx context.Context, n int) (c connectionCost, _ error) {
+	s, err := newLoopbackFleet(ctx, n+1)
 	if err != nil {
 		return c, err
 	}
-	before, start := heapNow(), processorTime()
+	before, start := liveHeap(), processorTime()
 	for i := range n {
 		if err := s.firstCall(ctx, i+1); err != nil {
 			return c, errors.Join(err, s.close())
@@ -166,15 +166,15 @@
 	c.dialTime = float64(processorTime() - start)
 	c.dialBytes = s.wireBytes(0)
 	time.Sleep(4 * time.Second)
-	c.heap = float64(heapNow()) - float64(before)
+	c.heap = float64(liveHeap()) - float64(before)
 	began, from := time.Now(), s.wireBytes(0)
 	time.Sleep(8 * time.Second)
 	c.idleBytes = (s.wireBytes(0) - from) / time.Since(began).Seconds()
 	return c, s.close()
 }
 
-func (s *sockets) firstCall(ctx context.Context, to int) error {
-	answer, _, err := s.relays[0].self.Call(ctx, s.peers[to], transporter.CallHead{}, nil)
+func (s *loopbackFleet) firstCall(ctx context.Context, to int) error {
+	answer, _, err := s.nodes[0].self.Call(ctx, s.peers[to], transporter.CallHead{}, nil)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 // microseconds, and the processor time of the whole chain.
 func chainCost(ctx context.Context, depth int) (p50, p99, cpu float64, _ error) {
 	const calls = 2000
-	s, err := openSockets(ctx, 4)
+	s, err := newLoopbackFleet(ctx, 4)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -205,10 +205,10 @@
 	return p50, p99, cpu, errors.Join(err, s.close())
 }
 
-func (s *sockets) timeCall(ctx context.Context, depth int, h *hdrhistogram.Histogram) error {
+func (s *loopbackFleet) timeCall(ctx context.Context, depth int, h *hdrhistogram.Histogram) error {
 	start := time.Now()
 	head := transporter.CallHead{Service: serviceName(0), Method: "GET", Path: "/tonight", Depth: uint8(depth)}
-	answer, _, err := s.relays[0].self.Call(ctx, s.peers[1], head, nil)
+	answer, _, err := s.nodes[0].self.Call(ctx, s.peers[1], head, nil)
 	if err != nil {
 		return err
 	}
