--- a/internal/measurer/burst.go
+++ b/internal/measurer/burst.go
@@ -1,7 +1,7 @@
-// Two events come all at once: operators publish a batch of changes, and a whole failure domain comes back. What
-// counts is how long until every node is there, and what that costs the log.
+// Two events cause bursts of traffic: operators publish a batch of changes, and all nodes of a failure domain return at
+// once. Measured are the time until the fleet has converged, the traffic, and the appends to the log.
 //
-// Example: burst of 100 changes over 3 domains of 20: every node goes by the last one some hundreds of ms later.
+// Example: after a burst of 100 changes in 3 domains of 20, all are in force at every node some hundreds of ms later.
 
 package measurer
 
@@ -16,13 +16,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// burstTimeout ends a measurement whose fleet never gets there.
+// burstTimeout bounds a measurement whose fleet doesn't converge.
 const burstTimeout = 5 * clock.Minute
 
-// burstNodesPerDomain is the size of each of the 3 domains that a burst reaches.
+// burstNodesPerDomain is the number of nodes in each of the 3 domains to which a burst of changes is published.
 const burstNodesPerDomain = 20
 
-var errBurstTimeout = errors.New("the fleet did not get there in time")
+var errBurstTimeout = errors.New("the fleet did not converge within the burst timeout")
 
 func burstPlans(seed uint64) []measurement {
 	return []measurement{
@@ -39,7 +39,7 @@
 	}
 }
 
-// runUntil runs the fleet until done, and returns how long that took.
+// runUntil runs the fleet until done returns true, and returns the simulated time that this took.
 func (f *fleet) runUntil(done func() bool) (clock.Duration, error) {
 	start := f.now
 	for !done() {
@@ -54,7 +54,7 @@
 	return f.now.Sub(start), nil
 }
 
-// allInForce tells whether every node goes by the version.
+// allInForce returns whether the configuration of every node includes the version.
 func (f *fleet) allInForce(v identifier.Version) bool {
 	for _, m := range f.members {
 		if m.state.Status(f.now).Version < v {
@@ -64,6 +64,7 @@
 	return true
 }
 
+// burst publishes changes at once, and returns the time until all are in force everywhere and the bytes per node.
 func burst(changes, nodes int, seed uint64) ([]float64, error) {
 	f := newFleet(3, nodes, seed)
 	f.publish(1)
@@ -78,6 +79,9 @@
 	return []float64{float64(took), bytes}, err
 }
 
+// domainReturn crashes one of three failure domains and starts all its nodes a minute later. It returns the time
+// until they have rejoined, the bytes per returned node, and the number of Joined records that were appended to the
+// log.
 func domainReturn(nodes int, seed uint64) ([]float64, error) {
 	f := newFleet(3, nodes, seed)
 	f.publish(8)
@@ -106,7 +110,7 @@
 
 var joinedType = fmt.Sprintf("%T", gossiper.Joined{})
 
-// allRejoined tells whether the returned nodes know each other, their preset, and who keeps their claims.
+// allRejoined returns whether all returned nodes know each other, their preset and all bank holders of their domain.
 func allRejoined(f *fleet, returned []*member) bool {
 	for _, m := range returned {
 		d := m.state.Dump(f.now)
--- a/internal/measurer/bytes.go
+++ b/internal/measurer/bytes.go
@@ -1,5 +1,5 @@
-// Messages are measured as they are encoded, with contents as long as real ones. What QUIC adds is measured apart,
-// on real sockets.
+// The encoded size of messages is measured with contents of realistic length. The overhead of QUIC is measured
+// separately, on real sockets.
 //
 // Example: the series bytes.ping grows by some 90 B for each member record that a ping carries.
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// encodedSize returns the encoded bytes of a message or record.
+// encodedSize returns the size of a message or record as encoded, in bytes.
 func encodedSize(v any) (float64, error) {
 	raw, err := encoder.Encode(v)
 	return float64(len(raw)), err
--- a/internal/measurer/capacity.go
+++ b/internal/measurer/capacity.go
@@ -1,14 +1,14 @@
-// docs/CAPACITY.md states what a node costs at a size that nobody has here. Its tables are made from the committed
-// results by the formulas below, and a test compares the two, so that no figure on the page can drift from its
-// measurement.
+// docs/CAPACITY.md states what a node costs in fleets that are too large to be measured here. Its tables are
+// calculated from the committed results by the formulas below, and a test compares the two, so that no figure on the
+// page can differ from the measurements.
 //
-// Example: the row "team slices" multiplies the slope of traffic.teams by the teams that call at a node.
+// Example: the row "team slices" multiplies the slope of traffic.teams by the number of teams that call at a node.
 
 package measurer
 
 import "math"
 
-// deployment is one size of the fleet; the rates are for each node.
+// deployment is one size of a fleet; calls and bookings are per node, changes and replacements for the whole fleet.
 type deployment struct {
 	name                                                            string
 	domains, nodes, services                                        float64
@@ -17,7 +17,7 @@
 	callsPerSecond, bookingsPerSecond, callingTeams, servicesCalled float64
 }
 
-// ownMembers is the number of nodes in one failure domain.
+// ownMembers is the number of nodes in a node's own failure domain.
 func (d deployment) ownMembers() float64 {
 	return math.Round(d.nodes / d.domains)
 }
@@ -27,8 +27,8 @@
 	return d.servicesCalled * d.nodes / d.services
 }
 
-// What the letters leave open is assumed: teams, keys, calls of today, calls with an idempotency id, teams calling
-// at one node, services called by one node. The page says so.
+// The users' letters don't state some of these values, which are assumed here and marked so on the page: teams, keys,
+// today's calls, calls with an idempotency id, teams that call at one node, services called by one node.
 var deployments = []deployment{
 	{
 		name: "Concordia", domains: 4, nodes: 18, services: 4, teams: 8, keys: 100, changesPerMinute: 0.1, replacementsPerMinute: 0.01,
@@ -48,26 +48,26 @@
 const (
 	minutesPerDay = 24 * 60
 	secondsPerDay = 60 * minutesPerDay
-	// The control budget of one node.
+	// The budget of one node for control, in cores, bytes and bytes a second.
 	budgetCoreRatio      = 0.011
 	budgetMemoryBytes    = 64e6
 	budgetBytesPerSecond = 24e3
-	// pingsPerSecond is how many pings and answers to pings a node exchanges a second, each maybe over a new connection.
+	// pingsPerSecond is how many pings and answers to pings a node exchanges a second; each may need a new connection.
 	pingsPerSecond = 4
-	// connectionIdleSeconds is how long an unused connection is kept, in seconds.
+	// connectionIdleSeconds is how long an idle connection is kept.
 	connectionIdleSeconds = 30
 	// idWindow is how long an idempotency id is remembered, in seconds; idSlots how many claims share them.
 	idWindow    = 600
 	claimsOfIDs = 32
-	// memoryPerHeap is what the collector needs beside the live heap at its default setting.
+	// memoryPerHeap is the ratio of memory to live heap with the garbage collector's default setting.
 	memoryPerHeap = 2
-	// Sizes at which the slopes were taken.
+	// The sizes of the measured fleets, by which the formulas scale their slopes.
 	fittedDomainNodes, fittedChurnNodes, fittedTeams = 8, 20, 4
 )
 
-// usage is what one row costs a node.
+// usage is the cost of one row for a node.
 type usage struct {
-	// state is in bytes, messages and bytes a second on the wire, core as a part of one.
+	// state is in bytes; messages and bytes are a second, on the wire; core is a share of one processor core.
 	state, messages, bytes, core float64
 }
 
@@ -75,13 +75,14 @@
 	return usage{u.state + v.state, u.messages + v.messages, u.bytes + v.bytes, u.core + v.core}
 }
 
-// row is one mechanism in one role.
+// row is the cost of one mechanism for nodes in one role. formula is the text on the page, where own, followed, links
+// and dials stand for ownMembers, endpointsCalled, openConnections and dialsPerSecond.
 type row struct {
 	role, mechanism, formula string
 	cost                     func(m model) usage
 }
 
-// model gives rows the fits and the size.
+// model gives the rows access to the fits and the size of the deployment.
 type model struct {
 	deployment
 	results Results
@@ -95,7 +96,7 @@
 	return m.results.Fits[series].At(x)
 }
 
-// traffic turns messages and their encoded bytes a second into what they cost on the wire and in processor time.
+// traffic converts messages and encoded bytes a second to bytes on the wire and processor time.
 func (m model) traffic(messages, bytes float64) usage {
 	if messages <= 0 {
 		return usage{}
@@ -109,12 +110,14 @@
 	}
 }
 
-// openConnections is how many connections a node has open: those of pings of the last half minute, and to endpoints called.
+// openConnections is how many connections a node has open: those used by pings of the last half minute, and those to the
+// endpoints that it calls.
 func (m model) openConnections() float64 {
 	return m.ownMembers()*(1-math.Exp(-pingsPerSecond*connectionIdleSeconds/m.ownMembers())) + math.Min(m.endpointsCalled(), m.callsPerSecond)
 }
 
-// dialsPerSecond is how many connections a second a node makes or takes, as the peers of its pings are random.
+// dialsPerSecond is how many connections a second a node opens or accepts. Pings go to random peers; the exponential
+// is the probability that there was no ping with this peer within connectionIdleSeconds.
 func (m model) dialsPerSecond() float64 {
 	return pingsPerSecond * math.Exp(-pingsPerSecond*connectionIdleSeconds/m.ownMembers())
 }
@@ -180,7 +183,7 @@
 	}},
 	{relayNode, "subscriptions", "traffic.nodes.busiest × (own − 8)", func(m model) usage {
 		more := math.Max(m.ownMembers()-fittedDomainNodes, 0)
-		// Two relays are asked each 3 s by every node, and answer.
+		// Every node sends requests to two relays each 3 s, and they answer.
 		return m.traffic(4*more/9, m.slope("traffic.nodes.busiest")*more)
 	}},
 	{bankHolder, "banks", "memory.banks × teams ÷ 4", func(m model) usage {
@@ -199,18 +202,18 @@
 	}},
 }
 
-// appendCause is one reason for appends to the log.
+// appendCause is one cause of appends to the log; daily is their number a day in the whole fleet.
 type appendCause struct {
 	cause, formula string
 	daily          func(d deployment) float64
 }
 
 const (
-	// claimRenewalsPerDay is how often a day each claim is renewed: ten times in each term of an hour.
+	// claimRenewalsPerDay is how many times a day each claim is renewed: ten times in each term of an hour.
 	claimRenewalsPerDay = 10 * 24
-	// claimsPerDomain are the rate slots and homed id slots of one domain.
+	// claimsPerDomain is the number of claims of one domain: its rate slots and the id slots with this home.
 	claimsPerDomain = 4 + claimsOfIDs
-	// snapshotsPerDay is one each half of the log's retention of a day.
+	// snapshotsPerDay is two, as a snapshot is taken each half of the log's retention, which is a day.
 	snapshotsPerDay = 2
 )
 
--- a/internal/measurer/doc.go
+++ b/internal/measurer/doc.go
@@ -1,2 +1,3 @@
-// Package measurer measures what a node's state, messages and processor time cost, as slopes over one variable each.
+// Package measurer measures a node's memory, traffic and processor time as linear functions of one variable each, and
+// makes the tables of the capacity page from the results.
 package measurer
--- a/internal/measurer/fleet.go
+++ b/internal/measurer/fleet.go
@@ -1,8 +1,8 @@
-// A few dozen nodes' reducers in one process, joined by a network that only counts: it shows what control messages
-// cost as the fleet grows, without sockets whose noise would hide it. It loses nothing and delays each message by one
-// step; what faults do is the matter of the packages' own tests.
+// Runs the reducers of some dozen nodes in one process, with a simulated network that counts messages. This shows how
+// the cost of control messages grows with the fleet, without the noise of real sockets. The network loses nothing and
+// delays each message by one step; faults are covered by the tests of other packages.
 //
-// Example: newFleet(3, 20, 1).run(60*clock.Second) and then traffic() gives messages and bytes a node and second.
+// Example: newFleet(3, 20, 1).run(60*clock.Second) and then loads() gives messages and bytes per node and second.
 
 package measurer
 
@@ -16,15 +16,15 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// step is how far time goes on between two deliveries, and the tick of the nodes.
+// step is the simulated time between two deliveries of messages, and between two ticks of the nodes.
 const step = 10 * clock.Millisecond
 
-// wallStart is any plausible wall time.
+// wallStart is the wall time at the start of a simulation; any plausible value would do.
 const wallStart clock.Wall = 1_790_000_000_000
 
 const (
 	maxRecordsPerRead = 500
-	// answerBodyBytes is the size of the answers that are kept for repeated requests.
+	// answerBodyBytes is the body size of the answers that are stored for retried requests.
 	answerBodyBytes = 300
 )
 
@@ -60,9 +60,9 @@
 	appends      map[string]int
 	nodesCreated int
 	calls        reducer.CallID
-	// withholdAnswers keeps back the answers to calls.
+	// withholdAnswers keeps calls in flight by not delivering their answers.
 	withholdAnswers bool
-	// countingSince is when the counts began.
+	// countingSince is when the traffic counters were last reset.
 	countingSince clock.Time
 	err           error
 }
@@ -81,7 +81,7 @@
 	return identifier.FailureDomain(fmt.Sprintf("region-%d-domain-%02d", d%4, d))
 }
 
-// join adds a node that knows one other by its address.
+// join adds a node; unless it is the first one, its seeds are the first member and a random one.
 func (f *fleet) join(domain identifier.FailureDomain, first bool) *member {
 	f.nodesCreated++
 	id := identifier.Node(fmt.Sprintf("%s-%08x", domain[len(domain)-2:], f.nodesCreated*2654435761))
@@ -114,7 +114,7 @@
 	m.bytesByType, m.messagesByType = map[string]int{}, map[string]int{}
 }
 
-// crash takes a node away without a word.
+// crash removes a node without a planned stop.
 func (f *fleet) crash(i int) {
 	delete(f.byAddress, f.members[i].addressOf(f))
 	f.members = append(f.members[:i], f.members[i+1:]...)
@@ -217,7 +217,7 @@
 	f.log = append(f.log, reducer.LogRecord{Offset: offset, Data: raw})
 }
 
-// startCounting forgets the traffic of the fleet's beginning.
+// startCounting resets the traffic counters, so that the traffic of the fleet's start isn't measured.
 func (f *fleet) startCounting() {
 	f.countingSince = f.now
 	clear(f.appends)
@@ -226,12 +226,12 @@
 	}
 }
 
-// load is what one node sends and receives a second.
+// load is the number of messages and bytes that one node sends and receives a second.
 type load struct {
 	messages, bytes float64
 }
 
-// loads returns the mean node's load and that of the node with the most bytes.
+// loads returns the mean load of the nodes and the load of the node with the most bytes.
 func (f *fleet) loads() (mean, busiest load) {
 	seconds := float64(f.now.Sub(f.countingSince)) / float64(clock.Second)
 	for _, m := range f.members {
--- a/internal/measurer/measurer_test.go
+++ b/internal/measurer/measurer_test.go
@@ -19,8 +19,8 @@
 	resultsPath = "../../docs/results/slopes.jsonl"
 )
 
-// Somebody changes a formula, a figure on the page or the results file alone. A reader would then plan a fleet by
-// figures that nothing measured. Run with -update to make the tables anew.
+// If only a formula, the page or the results file changes, readers would plan a fleet by figures that were not measured.
+// Run with -update to regenerate the tables.
 func TestPageMatchesItsResults(t *testing.T) {
 	file, err := os.Open(resultsPath)
 	assert.NilError(t, err)
@@ -89,8 +89,8 @@
 	assert.DeepEqual(t, got.Checks, []Check{{Name: "c", Unit: "B", Predicted: 5, Measured: 6}})
 }
 
-// The network of these measurements must do what it claims: the same seed gives the same traffic, changes reach
-// every node within the four seconds that operators count on, and a domain that returns finds its fleet.
+// The simulated fleet must behave like a real one: the same seed gives the same traffic, changes are in force at every
+// node within the four seconds guaranteed to operators, and the nodes of a returning domain rejoin the fleet.
 func TestFleetIsDeterministicAndConverges(t *testing.T) {
 	s := workload{domains: 2, nodes: 2, changesPerMinute: 60, services: 2, teams: 2, callsPerSecond: 10}
 	first, err := s.measure(context.Background(), 3)
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -1,7 +1,7 @@
-// A node's memory is read from the heap before and after its state was filled through its own events, so that maps,
-// indexes and slack count too. Each filling stands alone, for the slope of one variable.
+// A node's memory is the difference of the live heap before and after its state was filled by ordinary events, so that
+// maps, indexes and unused capacity count too. Each fill function varies one variable, for one slope.
 //
-// Example: fillKeys(4000) gives a reducer that has read 4,000 keys from the log.
+// Example: fillKeys(4000) returns the state of a reducer that has read 4,000 keys from the log.
 
 package measurer
 
@@ -23,7 +23,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/router"
 )
 
-// heapUsedBy returns the bytes that what fill returns keeps alive.
+// heapUsedBy returns the bytes of live heap that the value returned by fill retains.
 func heapUsedBy(fill func() any) float64 {
 	before := liveHeap()
 	retained := fill()
@@ -40,7 +40,7 @@
 	return m.HeapAlloc
 }
 
-// newRelay returns one of two nodes, which reads the log itself and is its domain's relay.
+// newRelay returns a fleet of two nodes and the first of them, which is a relay of its domain and reads the log itself.
 func newRelay() (*fleet, *member) {
 	f := newFleet(1, 2, 1)
 	f.run(5 * clock.Second)
@@ -58,7 +58,7 @@
 	}
 }
 
-// announceMembers lets the node hear of n members of a domain.
+// announceMembers delivers messages to m that announce n members of a domain.
 func (f *fleet) announceMembers(m *member, domain identifier.FailureDomain, from, n int) {
 	const batch = 64
 	var list []gossiper.Member
@@ -81,8 +81,8 @@
 	}
 }
 
-// precedesAsRelay tells which of two nodes is sooner a relay. A node that hears of three that outrank it stops being one and
-// forgets all other domains, and its memory would be measured without them.
+// precedesAsRelay returns whether a is chosen as a relay before b. A node that knows of three members that precede it
+// stops being a relay and evicts the members of all other domains, so its memory would be measured without them.
 func precedesAsRelay(a, b identifier.Node) bool {
 	return xxh3.HashString(string(a)) > xxh3.HashString(string(b))
 }
@@ -107,7 +107,7 @@
 	router   *router.Router
 }
 
-// fillEndpointsCalled holds n endpoints of other domains whose services the node calls.
+// fillEndpointsCalled returns the state for n endpoints in other domains of a service that the node calls.
 func fillEndpointsCalled(n int) any {
 	self := memberOf(1<<20, domainName(0), serviceName(0))
 	k := endpointState{
@@ -138,19 +138,19 @@
 
 type noClaims struct{}
 
-// Holds tells that this node holds no claim.
+// Holds reports that this node holds no claim.
 func (noClaims) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
 	return 0, false
 }
 
 type allClaims struct{}
 
-// Holds tells that this node holds every claim.
+// Holds reports that this node holds every claim.
 func (allClaims) Holds(claimer.Name, clock.Time) (identifier.Epoch, bool) {
 	return 1, true
 }
 
-// fillPurses is an ordinary node through which n teams call.
+// fillPurses returns the state of a node without banks, through which n teams call.
 func fillPurses(n int) any {
 	k := teamsWith(n, noClaims{})
 	for i := range n {
@@ -160,7 +160,7 @@
 	return k
 }
 
-// fillBanks is a node that keeps the banks of n teams, with 20 nodes asking each.
+// fillBanks returns the state of a node that holds the banks of n teams, of which 20 nodes each request slices.
 func fillBanks(n int) any {
 	k := teamsWith(n, allClaims{})
 	for slot := range reducer.RateSlots {
@@ -227,7 +227,7 @@
 	owner *deduplicator.Owner
 }
 
-// fillIDs remembers n idempotency ids with their answers.
+// fillIDs returns the state of an owner that stores n idempotency ids with their answers.
 func fillIDs(n int) any {
 	o := deduplicator.NewOwner(deduplicator.OwnerOptions{})
 	random := rand.New(rand.NewPCG(1, 3))
@@ -258,10 +258,11 @@
 	return idState{owner: o}
 }
 
-// fillCalls has n calls under way, forwarded and not answered.
+// fillCalls returns the state of a node with n calls in flight that were forwarded and not answered.
 func fillCalls(n int) any {
 	f, m := readyNode()
-	// Slices follow demand, so calls must come over some time; the bound is far above what that needs.
+	// Slices grow with demand, so the calls must be spread over some time; the bound of 1000 rounds is far above what is
+	// needed.
 	for round := 0; len(m.answers) < n && round < 1000; round++ {
 		f.heartbeats()
 		for range min(20, n-len(m.answers)) {
@@ -272,7 +273,7 @@
 	return m.state
 }
 
-// readyNode is a node that serves calls itself, and whose own answers are held back.
+// readyNode returns a node with a ready local endpoint in a fleet that doesn't deliver answers any more.
 func readyNode() (*fleet, *member) {
 	f := newFleet(1, 3, 1)
 	f.publish(1)
--- a/internal/measurer/page.go
+++ b/internal/measurer/page.go
@@ -1,6 +1,6 @@
-// The page's tables stand between marks in docs/CAPACITY.md; everything outside of them is written by hand.
+// The generated tables are placed between marks in docs/CAPACITY.md; everything outside of the marks is written by hand.
 //
-// Example: between "<!-- table: slopes -->" and "<!-- end -->" stands the table of all fits.
+// Example: between "<!-- table: slopes -->" and "<!-- end -->" is the table of all fits.
 
 package measurer
 
@@ -18,17 +18,17 @@
 	endMark   = "<!-- end -->"
 )
 
-// PageError reports marks of a page that do not fit together.
+// PageError reports a page with an unknown or unterminated table mark.
 type PageError struct {
 	Problem string
 }
 
-// Error says what is wrong.
+// Error returns the problem.
 func (e PageError) Error() string {
 	return "capacity page: " + e.Problem
 }
 
-// Page returns the page with its tables made anew from the results.
+// Page returns the page with its tables regenerated from the results.
 func Page(page string, r Results) (string, error) {
 	if err := r.checkComplete(); err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkComplete tells whether the results hold every series that the rows name.
+// checkComplete returns a MissingError if the results lack a series that the formulas use.
 func (r Results) checkComplete() error {
 	for _, s := range requiredSeries {
 		if _, ok := r.Fits[s]; !ok {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// requiredSeries are those that the formulas use.
+// requiredSeries are the series that the formulas use.
 var requiredSeries = []string{
 	"memory.ownMembers", "memory.remoteMembers", "memory.followed", "memory.services", "memory.purses",
 	"memory.keys", "memory.banks", "memory.ids", "memory.links", "wire.message", "cpu.message", "wire.links",
@@ -105,7 +105,7 @@
 	return b.String()
 }
 
-// todayCell writes a cost at today's sizes in one cell.
+// todayCell formats a cost at today's fleet sizes for one cell.
 func todayCell(u usage) string {
 	if u.state > 0 && u.bytes == 0 {
 		return formatMegabytes(u.state)
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("%s KB/s, %s", formatNumber(u.bytes/1e3), formatPercent(u.core))
 }
 
-// sumTable adds up what one node of each role costs, and how much of the budget that is.
+// sumTable returns the total cost of one node in each role, and its ratio to the budget.
 func sumTable(r Results) string {
 	var b strings.Builder
 	b.WriteString("| deployment | role | memory | of 64 MB | KB/s | of 24 KB/s | core | of 1.1% |\n")
@@ -149,7 +149,7 @@
 	return b.String()
 }
 
-// pointTable shows the single measurements where a line alone would mislead.
+// pointTable returns the single measurements of series for which a fitted line alone would be misleading.
 func pointTable(r Results) string {
 	var b strings.Builder
 	b.WriteString("| series | measurements |\n| --- | --- |\n")
@@ -167,7 +167,7 @@
 	return b.String()
 }
 
-// appendTable counts what a fleet puts on the log.
+// appendTable returns the number of records that a fleet appends to the log, by cause.
 func appendTable(Results) string {
 	var b strings.Builder
 	b.WriteString("| cause | formula | Concordia, a day | Kitakaze, a day | target, a day | target, a second |\n")
@@ -192,10 +192,10 @@
 	return b.String()
 }
 
-// negligible is what a table shows as nothing.
+// negligible is the bound below which a table shows 0.
 const negligible = 0.0005
 
-// formatNumber writes three significant digits, and no exponent.
+// formatNumber formats with three significant digits and no exponent.
 func formatNumber(v float64) string {
 	if math.Abs(v) < negligible {
 		return "0"
--- a/internal/measurer/results.go
+++ b/internal/measurer/results.go
@@ -1,5 +1,5 @@
-// Figures leave this package as JSON lines, one object each, so that a results file can be committed, compared and
-// turned into the capacity page's tables without a hand in between.
+// Results are written as JSON lines, so that a results file can be committed and compared, and the tables of the
+// capacity page can be generated from it.
 //
 // Example: {"kind":"fit","series":"memory.keys","variable":"keys","unit":"B","slope":410.2,"slopeError":3.1,…}
 
@@ -27,7 +27,7 @@
 	X, Y float64
 }
 
-// Series is what was measured of one matter while one variable was varied.
+// Series holds the measurements of one quantity while one variable was varied.
 type Series struct {
 	Name     string
 	Variable string
@@ -35,7 +35,7 @@
 	Points   []Point
 }
 
-// Fit is the straight line through a series.
+// Fit is the linear regression of a series.
 type Fit struct {
 	Series    string
 	Variable  string
@@ -54,7 +54,7 @@
 	return f.Intercept + f.Slope*x
 }
 
-// FitOf fits a line through the points.
+// FitOf returns the linear regression of the series' points.
 func FitOf(s Series) Fit {
 	f := Fit{Series: s.Name, Variable: s.Variable, Unit: s.Unit, Count: len(s.Points)}
 	var xs, ys []float64
@@ -83,7 +83,7 @@
 	return math.Sqrt(residuals / float64(len(xs)-2) / spread)
 }
 
-// Check compares what a fit foretells with what was measured outside its range.
+// Check compares the value that fits predict with a measurement outside of their range.
 type Check struct {
 	Name      string
 	Unit      string
@@ -109,7 +109,8 @@
 	Measured   float64 `json:"measured,omitempty"`
 }
 
-// roundSignificant keeps four digits more than the error can carry, and the file readable.
+// roundSignificant rounds to five significant digits, which is more precise than the measurements and keeps the file
+// readable.
 func roundSignificant(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return 0
@@ -145,13 +146,13 @@
 func writeLine(out io.Writer, w resultLine) error {
 	b, err := json.Marshal(w)
 	if err != nil {
-		return fmt.Errorf("result %s: %w", w.Series, err)
+		return fmt.Errorf("encode result of series %s: %w", w.Series, err)
 	}
 	_, err = out.Write(append(b, '\n'))
 	return err
 }
 
-// Results is a results file that was read back.
+// Results is the content of a results file.
 type Results struct {
 	Fits   map[string]Fit
 	Points map[string][]Point
@@ -163,7 +164,7 @@
 	Series string
 }
 
-// Error names the series.
+// Error returns the missing series.
 func (e MissingError) Error() string {
 	return fmt.Sprintf("the results have no series %q", e.Series)
 }
@@ -175,7 +176,7 @@
 	for lines.Scan() {
 		var w resultLine
 		if err := json.Unmarshal(lines.Bytes(), &w); err != nil {
-			return Results{}, fmt.Errorf("results: %w", err)
+			return Results{}, fmt.Errorf("parse a line of the results: %w", err)
 		}
 		out.add(w)
 	}
--- a/internal/measurer/slopes.go
+++ b/internal/measurer/slopes.go
@@ -1,5 +1,5 @@
-// One command measures every slope that docs/CAPACITY.md is made of, each with one variable moved and the others
-// held, so that a slope that grows with the fleet is seen while the fleet is still small.
+// One command measures all slopes from which docs/CAPACITY.md is calculated. Each series varies one variable and
+// keeps the others constant, so that a cost that grows with the fleet is seen while the fleet is still small.
 //
 // Example: jackdawtide measure slopes --format json > docs/results/slopes.jsonl
 
@@ -11,16 +11,16 @@
 	"io"
 )
 
-// measurement is one or several series measured together.
+// measurement is one or several series that are measured together.
 type measurement struct {
 	variable string
 	xs       []int
-	// series names what measure returns, in order, as name and unit.
+	// series holds name and unit of each value that measure returns, in order.
 	series  [][2]string
 	measure func(ctx context.Context, x int) ([]float64, error)
 }
 
-// Slopes measures all series and writes points and fits, one JSON object a line.
+// Slopes measures all series and writes points, fits and the target check, one JSON object a line.
 func Slopes(ctx context.Context, out io.Writer, seed uint64) error {
 	plans := append(memoryPlans(), bytePlans()...)
 	plans = append(plans, fleetPlans(seed)...)
@@ -105,7 +105,8 @@
 	}
 }
 
-// fleetPlan measures messages, bytes and processor time of a scene; of the busiest node too, which is a relay.
+// fleetPlan measures messages, bytes, processor time and appends of a workload, and the traffic of the busiest node,
+// which is a relay.
 func fleetPlan(name, variable string, seed uint64, of func(x int) workload, xs ...int) measurement {
 	return measurement{
 		variable: variable, xs: xs,
--- a/internal/measurer/target.go
+++ b/internal/measurer/target.go
@@ -1,6 +1,6 @@
-// The extrapolation from small fleets to the target is checked by one node's state filled to the target's size.
+// The extrapolation from small fleets to the target size is checked against the state of one node filled to that size.
 //
-// Example: the sum of the memory slopes foretells 21 MB for a relay; the filled reducer takes 20 MB.
+// Example: the sum of the memory slopes predicts 21 MB for a relay; the filled reducer takes 20 MB.
 
 package measurer
 
@@ -10,18 +10,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// The target in two years, from the users' letter, and what it leaves open, assumed here.
+// The target size in two years. The users' letter states it but for keys and teams, which are assumed.
 const (
 	targetEndpoints  = 5300
 	targetServices   = 630
 	targetDomains    = 11
 	targetOwnMembers = targetEndpoints / targetDomains
-	// assumed
+	// Assumed.
 	targetKeys  = 4000
 	targetTeams = 200
 )
 
-// fillTarget is a relay's reducer with all members of the fleet, the preset and the keys.
+// fillTarget returns the state of a relay with all members of the fleet, the preset and the keys.
 func fillTarget() any {
 	f, m := newRelay()
 	f.append(presetRecord(f, targetServices, targetTeams))
@@ -31,7 +31,7 @@
 	}
 	f.run(clock.Duration(targetKeys/maxRecordsPerRead+5) * clock.Second / 4)
 	f.log = nil
-	// Members come last: nobody answers for them, so that after some seconds they would count as dead.
+	// Members are announced last: they don't exist and answer no probes, so after some seconds they would be declared dead.
 	f.announceMembers(m, m.domain, 0, targetOwnMembers)
 	for d := 1; d < targetDomains; d++ {
 		f.announceMembers(m, domainName(d), d*targetOwnMembers, targetOwnMembers)
@@ -39,7 +39,7 @@
 	return m.state
 }
 
-// predictedMemory is the same by the slopes.
+// predictedMemory returns the heap that the memory slopes of small fleets predict for fillTarget.
 func predictedMemory() float64 {
 	sum := 0.0
 	for _, part := range []struct {
--- a/internal/measurer/traffic.go
+++ b/internal/measurer/traffic.go
@@ -1,7 +1,7 @@
-// What a fleet does while it is counted: nodes offer endpoints, callers call, operators change things, VMs are
-// replaced. Each is one number here, so that a series can vary one and hold the others.
+// A workload is the activity of a fleet while its traffic is counted: endpoints, calls, changes by operators and
+// replaced VMs. Each is one number, so that a series can vary one of them and keep the others constant.
 //
-// Example: scene{domains: 3, nodes: 20, changes: 12} is a quiet fleet of 60 nodes with 12 changes a minute.
+// Example: workload{domains: 3, nodes: 20, changesPerMinute: 12} is 60 nodes without calls and with 12 changes a minute.
 
 package measurer
 
@@ -22,29 +22,29 @@
 	warmUpTime = 45 * clock.Second
 	settleTime = 8 * clock.Second
 	countTime  = 20 * clock.Second
-	// workloadServices is how many services a fleet in these measurements has.
+	// workloadServices is the number of services of a measured fleet.
 	workloadServices = 20
 	presetName       = "ordinary"
 )
 
-// workload says what goes on in a fleet; the rates are for each node and second unless they say otherwise.
+// workload is the size and activity of a fleet; nodes are per domain.
 type workload struct {
 	domains, nodes int
-	// changesPerMinute and churn are a minute, over the whole fleet.
+	// changesPerMinute and replacementsPerMinute are for the whole fleet.
 	changesPerMinute, replacementsPerMinute int
-	// services is how many services each node calls; teams how many teams send each node's calls.
+	// services is how many services each node calls, teams how many teams send calls to each node.
 	services, teams int
-	// callsPerSecond and bookings are calls a second and node, without and with an idempotency id.
+	// callsPerSecond and bookingsPerSecond are calls per node, without and with an idempotency id.
 	callsPerSecond, bookingsPerSecond int
 }
 
-// outcome is what a scene cost.
+// outcome is the measured cost of a workload.
 type outcome struct {
 	mean, busiest load
-	// cpu is the processor time of one node in a second, in nanoseconds.
+	// cpu is the processor time of one node per second, in nanoseconds.
 	cpu     float64
 	appends map[string]int
-	// seconds is how long was counted, in the fleet's time.
+	// seconds is the simulated time for which traffic was counted.
 	seconds float64
 	nodes   int
 	// bytes and messages are sums by type over all nodes.
@@ -86,7 +86,7 @@
 	return o
 }
 
-// runFor goes on by tenths of a second, and does in each what falls due.
+// runFor runs the fleet in steps of a tenth of a second, and triggers the events due in each step.
 func (s workload) runFor(ctx context.Context, f *fleet, d clock.Duration) {
 	const tenth = 100 * clock.Millisecond
 	for n := 0; n < int(d/tenth) && f.err == nil && ctx.Err() == nil; n++ {
@@ -106,7 +106,7 @@
 	}
 }
 
-// dueEvents returns how many of a rate's events fall into the n-th part of a span.
+// dueEvents returns how many of rate events, spread evenly over a span of the given number of parts, fall into part n.
 func dueEvents(n, rate, parts int) int {
 	return (n+1)*rate/parts - n*rate/parts
 }
@@ -204,7 +204,7 @@
 	}
 }
 
-// replaceNode kills one node and starts another in its domain.
+// replaceNode crashes a random node and starts another one in its domain.
 func (f *fleet) replaceNode() {
 	i := 1 + f.random.IntN(len(f.members)-1)
 	domain := f.members[i].domain
@@ -212,7 +212,7 @@
 	f.announce(f.join(domain, false), i)
 }
 
-// call takes one call through the entry's reducer; the answer comes with the next step.
+// call lets one call arrive at the entry node m; its answer is delivered in the next step.
 func (f *fleet) call(m *member, team, service int, booking bool) {
 	f.calls++
 	e := &reducer.CallArrived{
@@ -226,7 +226,7 @@
 	f.apply(m, e)
 }
 
-// uuid returns a UUIDv7 of this moment.
+// uuid returns a random UUIDv7 with the current wall time.
 func (f *fleet) uuid() identifier.Idempotency {
 	ms := uint64(f.wall())
 	return identifier.Idempotency(fmt.Sprintf("%08x-%04x-7%03x-8%03x-%012x",
--- a/internal/measurer/wire.go
+++ b/internal/measurer/wire.go
@@ -1,7 +1,8 @@
-// What QUIC, UDP and IP add to a message, what an idle connection costs, and what a call costs by its depth, are
-// measured over real loopback sockets. The first two go into the control budget, the third into the calls' own.
+// The overhead of QUIC, UDP and IP for a message, the cost of an idle connection, and the cost of a call by its depth
+// are measured over real loopback sockets. The first two count towards the control budget, the third towards that of
+// calls.
 //
-// Example: a control message of 64 B sent alone puts some 150 B on the wire, acknowledgement included.
+// Example: a single control message of 64 B takes some 150 B on the wire, acknowledgement included.
 
 package measurer
 
@@ -21,17 +22,18 @@
 	"github.com/jackdawtide/jackdawtide/internal/transporter"
 )
 
-// packetOverhead is what IPv4 and UDP add to each datagram, in bytes.
+// packetOverhead is the size of the IPv4 and UDP headers of each datagram, in bytes.
 const packetOverhead = 28
 
-// chainNode answers a call by the answer of the next node, or itself when the call is deep enough.
+// chainNode forwards a call to the next node and relays its answer, or answers it if its remaining depth is at most
+// 1.
 type chainNode struct {
 	self *transporter.Transporter
-	// next is set when all relays listen, while the links that a call comes by may be open already.
+	// next is set once all nodes listen. It is atomic, since connections over which calls arrive may be open before.
 	next atomic.Pointer[transporter.Peer]
 }
 
-// ServeCall passes the call on while its depth allows.
+// ServeCall forwards the call while its remaining depth is above 1, and then answers it.
 func (r *chainNode) ServeCall(
 	ctx context.Context, _ identifier.Node, head transporter.CallHead, _ io.Reader, w transporter.AnswerWriter,
 ) {
@@ -53,7 +55,7 @@
 // ServeControl drops the message.
 func (r *chainNode) ServeControl(identifier.Node, []byte) {}
 
-// loopbackFleet are a few nodes' transports on loopback.
+// loopbackFleet holds the transports of a few nodes on the loopback interface.
 type loopbackFleet struct {
 	nodes []*chainNode
 	peers []transporter.Peer
@@ -110,13 +112,14 @@
 	return all
 }
 
-// wireBytes is what a node has sent and received so far, headers of all layers included.
+// wireBytes returns the bytes that a node has sent and received so far, including the headers of all layers.
 func (s *loopbackFleet) wireBytes(i int) float64 {
 	c := s.nodes[i].self.Stats()
 	return float64(c.BytesSent + c.BytesReceived + packetOverhead*(c.PacketsSent+c.PacketsReceived))
 }
 
-// messageCost returns the bytes on the wire and the processor time, of both ends, for one control message of a size.
+// messageCost returns the bytes on the wire and the processor time of both ends in nanoseconds for one control
+// message of the given size.
 func messageCost(ctx context.Context, bytes int) (wire, cpu float64, _ error) {
 	const count = 400
 	s, err := newLoopbackFleet(ctx, 2)
@@ -142,16 +145,16 @@
 	return wire, cpu, errors.Join(err, s.close())
 }
 
-// connectionCost is what connections of one node cost, both ends.
+// connectionCost is the cost of all connections of one node, at both ends.
 type connectionCost struct {
-	// dialBytes and dialTime are for making them all.
+	// dialBytes and dialTime, in nanoseconds, are the cost of opening all of them.
 	dialBytes, dialTime float64
 	heap                float64
-	// idleBytes is what they put on the wire a second without use.
+	// idleBytes is what all of them put on the wire a second while idle.
 	idleBytes float64
 }
 
-// connectionsCost makes n connections from one node and leaves them idle.
+// connectionsCost opens n connections from one node, leaves them idle, and returns their cost.
 func connectionsCost(ctx context.Context, n int) (c connectionCost, _ error) {
 	s, err := newLoopbackFleet(ctx, n+1)
 	if err != nil {
@@ -182,8 +185,8 @@
 	return err
 }
 
-// chainCost returns the median and the 99th percentile of a call that passes through depth nodes, in
-// microseconds, and the processor time of the whole chain.
+// chainCost returns the median and the 99th percentile of the latency of a call through depth hops, and the processor
+// time of the whole chain per call, all in microseconds.
 func chainCost(ctx context.Context, depth int) (p50, p99, cpu float64, _ error) {
 	const calls = 2000
 	s, err := newLoopbackFleet(ctx, 4)
