--- a/internal/measurer/burst.go
+++ b/internal/measurer/burst.go
@@ -24,8 +24,8 @@
 
 var errBurstTimeout = errors.New("the fleet did not converge within the burst timeout")
 
-func burstPlans(seed uint64) []measurement {
-	return []measurement{
+func burstPlans(seed uint64) []plan {
+	return []plan{
 		{
 			variable: "changes at once, 3 domains of 20", xs: []int{10, 100, 300, 1000},
 			series:  [][2]string{{"burst.time", "ms"}, {"burst.bytes", "B a node"}},
@@ -86,9 +86,9 @@
 	f := newFleet(3, nodes, seed)
 	f.publish(8)
 	f.run(warmUpTime)
-	domain := domainName(2)
+	returning := domainName(2)
 	for i := len(f.members) - 1; i >= 0; i-- {
-		if f.members[i].domain == domain {
+		if f.members[i].domain == returning {
 			f.crash(i)
 		}
 	}
@@ -96,7 +96,7 @@
 	f.startCounting()
 	var returned []*member
 	for i := range nodes {
-		m := f.join(domain, false)
+		m := f.join(returning, false)
 		f.announce(m, i)
 		returned = append(returned, m)
 	}
--- a/internal/measurer/measurer_test.go
+++ b/internal/measurer/measurer_test.go
@@ -92,10 +92,10 @@
 // The simulated fleet must behave like a real one: the same seed gives the same traffic, changes are in force at every
 // node within the four seconds guaranteed to operators, and the nodes of a returning domain rejoin the fleet.
 func TestFleetIsDeterministicAndConverges(t *testing.T) {
-	s := workload{domains: 2, nodes: 2, changesPerMinute: 60, services: 2, teams: 2, callsPerSecond: 10}
-	first, err := s.measure(context.Background(), 3)
+	s := workload{domains: 2, nodes: 2, changesPerMinute: 60, services: 2, teams: 2, calls: 10}
+	first, err := s.simulate(context.Background(), 3)
 	assert.NilError(t, err)
-	second, err := s.measure(context.Background(), 3)
+	second, err := s.simulate(context.Background(), 3)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, first.messages, second.messages)
 	assert.DeepEqual(t, first.bytes, second.bytes)
--- a/internal/measurer/slopes.go
+++ b/internal/measurer/slopes.go
@@ -11,8 +11,8 @@
 	"io"
 )
 
-// measurement is one or several series that are measured together.
-type measurement struct {
+// plan is one or several series that are measured together.
+type plan struct {
 	variable string
 	xs       []int
 	// series holds name and unit of each value that measure returns, in order.
@@ -34,7 +34,7 @@
 	return checkTargetMemory(out)
 }
 
-func (p measurement) run(ctx context.Context, out io.Writer) error {
+func (p plan) run(ctx context.Context, out io.Writer) error {
 	all := make([]Series, len(p.series))
 	for i, s := range p.series {
 		all[i] = Series{Name: s[0], Variable: p.variable, Unit: s[1]}
@@ -59,8 +59,8 @@
 	return nil
 }
 
-func memoryPlan(name, variable string, fill func(int) any, xs ...int) measurement {
-	return measurement{
+func memoryPlan(name, variable string, fill func(int) any, xs ...int) plan {
+	return plan{
 		variable: variable, xs: xs, series: [][2]string{{"memory." + name, "B"}},
 		measure: func(_ context.Context, x int) ([]float64, error) {
 			return []float64{heapUsedBy(func() any { return fill(x) })}, nil
@@ -68,8 +68,8 @@
 	}
 }
 
-func memoryPlans() []measurement {
-	return []measurement{
+func memoryPlans() []plan {
+	return []plan{
 		memoryPlan("ownMembers", "members of the own domain", fillOwnMembers, 60, 120, 240, 482),
 		memoryPlan("remoteMembers", "members of other domains, at a relay", fillRemoteMembers, 600, 1200, 2400, 4820),
 		memoryPlan("followed", "endpoints of services called", fillEndpointsCalled, 50, 100, 200, 400),
@@ -82,8 +82,8 @@
 	}
 }
 
-func bytePlan(name, variable string, of func(int) (float64, error), xs ...int) measurement {
-	return measurement{
+func bytePlan(name, variable string, of func(int) (float64, error), xs ...int) plan {
+	return plan{
 		variable: variable, xs: xs, series: [][2]string{{"bytes." + name, "B"}},
 		measure: func(_ context.Context, x int) ([]float64, error) {
 			y, err := of(x)
@@ -92,8 +92,8 @@
 	}
 }
 
-func bytePlans() []measurement {
-	return []measurement{
+func bytePlans() []plan {
+	return []plan{
 		bytePlan("ping", "member records", pingBytes, 0, 2, 4, 8),
 		bytePlan("subscription", "member records", subscriptionBytes, 8, 16, 32, 64),
 		bytePlan("joinAnswer", "members of the own domain", joinAnswerBytes, 60, 120, 240, 482),
@@ -107,8 +107,8 @@
 
 // fleetPlan measures messages, bytes, processor time and appends of a workload, and the traffic of the busiest node,
 // which is a relay.
-func fleetPlan(name, variable string, seed uint64, of func(x int) workload, xs ...int) measurement {
-	return measurement{
+func fleetPlan(name, variable string, seed uint64, of func(x int) workload, xs ...int) plan {
+	return plan{
 		variable: variable, xs: xs,
 		series: [][2]string{
 			{"traffic." + name + ".messages", "1/s"},
@@ -119,7 +119,7 @@
 			{"appends." + name, "1/h"},
 		},
 		measure: func(ctx context.Context, x int) ([]float64, error) {
-			o, err := of(x).measure(ctx, seed)
+			o, err := of(x).simulate(ctx, seed)
 			appends := 0
 			for _, n := range o.appends {
 				appends += n
@@ -132,8 +132,8 @@
 	}
 }
 
-func fleetPlans(seed uint64) []measurement {
-	return []measurement{
+func fleetPlans(seed uint64) []plan {
+	return []plan{
 		fleetPlan("nodes", "nodes a domain, 3 domains", seed,
 			func(x int) workload { return workload{domains: 3, nodes: x} }, 10, 20, 40, 80),
 		fleetPlan("domains", "domains of 8 nodes", seed,
@@ -143,26 +143,20 @@
 		fleetPlan("churn", "nodes replaced a minute, 3 domains of 20", seed,
 			func(x int) workload { return workload{domains: 3, nodes: 20, replacementsPerMinute: x} }, 0, 4, 8, 16),
 		fleetPlan("services", "services called by each node, 3 domains of 20", seed,
-			func(x int) workload {
-				return workload{domains: 3, nodes: 20, services: x, teams: 1, callsPerSecond: 10}
-			}, 1, 4, 8, 16),
+			func(x int) workload { return workload{domains: 3, nodes: 20, services: x, teams: 1, calls: 10} }, 1, 4, 8, 16),
 		fleetPlan("teams", "teams with 10 calls a second each at each node, 3 domains of 10", seed,
-			func(x int) workload {
-				return workload{domains: 3, nodes: 10, services: 1, teams: x, callsPerSecond: 10 * x}
-			}, 1, 2, 4, 8),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: x, calls: 10 * x} }, 1, 2, 4, 8),
 		fleetPlan("holders", "nodes a domain, 3 domains, 4 teams with 10 calls a second each at each node", seed,
-			func(x int) workload { return workload{domains: 3, nodes: x, services: 1, teams: 4, callsPerSecond: 40} }, 5, 10, 20, 40),
+			func(x int) workload { return workload{domains: 3, nodes: x, services: 1, teams: 4, calls: 40} }, 5, 10, 20, 40),
 		fleetPlan("calls", "calls a second and node of one team, 3 domains of 10", seed,
-			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: 1, callsPerSecond: x} }, 40, 80, 160, 360),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: 1, calls: x} }, 40, 80, 160, 360),
 		fleetPlan("bookings", "calls with an idempotency id a second and node, 3 domains of 10", seed,
-			func(x int) workload {
-				return workload{domains: 3, nodes: 10, services: 1, teams: 4, bookingsPerSecond: x}
-			}, 10, 20, 40, 80),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: 4, bookings: x} }, 10, 20, 40, 80),
 	}
 }
 
-func wirePlans() []measurement {
-	return []measurement{
+func wirePlans() []plan {
+	return []plan{
 		{
 			variable: "encoded bytes of a control message", xs: []int{64, 256, 1024, 4096},
 			series: [][2]string{{"wire.message", "B"}, {"cpu.message", "ns"}},
--- a/internal/measurer/traffic.go
+++ b/internal/measurer/traffic.go
@@ -34,8 +34,8 @@
 	changesPerMinute, replacementsPerMinute int
 	// services is how many services each node calls, teams how many teams send calls to each node.
 	services, teams int
-	// callsPerSecond and bookingsPerSecond are calls per node, without and with an idempotency id.
-	callsPerSecond, bookingsPerSecond int
+	// calls and bookings are calls per node and second, without and with an idempotency id.
+	calls, bookings int
 }
 
 // outcome is the measured cost of a workload.
@@ -51,7 +51,7 @@
 	bytes, messages map[string]int
 }
 
-func (s workload) measure(ctx context.Context, seed uint64) (outcome, error) {
+func (s workload) simulate(ctx context.Context, seed uint64) (outcome, error) {
 	f := newFleet(s.domains, s.nodes, seed)
 	f.publish(max(s.teams, 1))
 	f.run(warmUpTime)
@@ -112,10 +112,10 @@
 }
 
 func (s workload) sendDueCalls(f *fleet, m *member, i, n int) {
-	for j := range dueEvents(n, s.callsPerSecond, 10) {
+	for j := range dueEvents(n, s.calls, 10) {
 		f.call(m, (i+j)%max(s.teams, 1), (i+n+j)%max(s.services, 1), false)
 	}
-	for j := range dueEvents(n, s.bookingsPerSecond, 10) {
+	for j := range dueEvents(n, s.bookings, 10) {
 		f.call(m, (i+j)%max(s.teams, 1), (i+n+j)%max(s.services, 1), true)
 	}
 }
