--- a/internal/measurer/capacity.go
+++ b/internal/measurer/capacity.go
@@ -31,17 +31,19 @@
 // today's calls, calls with an idempotency id, teams that call at one node, services called by one node.
 var deployments = []deployment{
 	{
-		name: "Concordia", domains: 4, nodes: 18, services: 4, teams: 8, keys: 100, changesPerMinute: 0.1, replacementsPerMinute: 0.01,
+		name: "Concordia", domains: 4, nodes: 18, services: 4, teams: 8, keys: 100,
+		changesPerMinute: 0.1, replacementsPerMinute: 0.01,
 		callsPerSecond: 100, bookingsPerSecond: 1, callingTeams: 8, servicesCalled: 2,
 	},
 	{
-		name: "Kitakaze", domains: 3, nodes: 14, services: 4, teams: 8, keys: 100, changesPerMinute: 0.1, replacementsPerMinute: 0.01,
+		name: "Kitakaze", domains: 3, nodes: 14, services: 4, teams: 8, keys: 100,
+		changesPerMinute: 0.1, replacementsPerMinute: 0.01,
 		callsPerSecond: 100, bookingsPerSecond: 1, callingTeams: 8, servicesCalled: 2,
 	},
 	{
 		name: "target", domains: targetDomains, nodes: targetEndpoints, services: targetServices, teams: targetTeams,
-		keys: targetKeys, changesPerMinute: 12_000.0 / minutesPerDay, replacementsPerMinute: 1_900.0 / minutesPerDay, callsPerSecond: 360, bookingsPerSecond: 4,
-		callingTeams: 20, servicesCalled: 5,
+		keys: targetKeys, changesPerMinute: 12_000.0 / minutesPerDay, replacementsPerMinute: 1_900.0 / minutesPerDay,
+		callsPerSecond: 360, bookingsPerSecond: 4, callingTeams: 20, servicesCalled: 5,
 	},
 }
 
@@ -56,9 +58,10 @@
 	pingsPerSecond = 4
 	// connectionIdleSeconds is how long an idle connection is kept.
 	connectionIdleSeconds = 30
-	// idWindow is how long an idempotency id is remembered, in seconds; idSlots how many claims share them.
-	idWindow    = 600
-	claimsOfIDs = 32
+	// idWindowSeconds is how long an idempotency id is stored; idSlots is the number of claims among which the ids of one
+	// home are divided.
+	idWindowSeconds = 600
+	idSlots         = 32
 	// memoryPerHeap is the ratio of memory to live heap with the garbage collector's default setting.
 	memoryPerHeap = 2
 	// The sizes of the measured fleets, by which the formulas scale their slopes.
@@ -194,10 +197,10 @@
 		return m.traffic(m.slope("traffic.holders.busiestMessages")*n, m.slope("traffic.holders.busiest")*n)
 	}},
 	{idOwner, "records", "memory.ids × bookings × own × 600 s ÷ 32", func(m model) usage {
-		return usage{state: m.slope("memory.ids") * m.bookingsPerSecond * m.ownMembers() * idWindow / claimsOfIDs}
+		return usage{state: m.slope("memory.ids") * m.bookingsPerSecond * m.ownMembers() * idWindowSeconds / idSlots}
 	}},
 	{idOwner, "answers", "traffic.bookings × bookings × own ÷ 32", func(m model) usage {
-		n := m.bookingsPerSecond * m.ownMembers() / claimsOfIDs
+		n := m.bookingsPerSecond * m.ownMembers() / idSlots
 		return m.traffic(m.slope("traffic.bookings.messages")*n, m.slope("traffic.bookings.bytes")*n)
 	}},
 }
@@ -212,13 +215,13 @@
 	// claimRenewalsPerDay is how many times a day each claim is renewed: ten times in each term of an hour.
 	claimRenewalsPerDay = 10 * 24
 	// claimsPerDomain is the number of claims of one domain: its rate slots and the id slots with this home.
-	claimsPerDomain = 4 + claimsOfIDs
+	claimsPerDomain = 4 + idSlots
 	// snapshotsPerDay is two, as a snapshot is taken each half of the log's retention, which is a day.
 	snapshotsPerDay = 2
 )
 
 func claims(d deployment) float64 {
-	return d.domains*claimsPerDomain + claimsOfIDs
+	return d.domains*claimsPerDomain + idSlots
 }
 
 var appendCauses = []appendCause{
--- a/internal/overloader/policy.go
+++ b/internal/overloader/policy.go
@@ -22,11 +22,11 @@
 // system is a running deployment under one policy.
 type system interface {
 	send(ctx context.Context, a arrival, attempt int) reply
-	// deepService returns the backend servers of the deep service.
+	// deepServers returns the backend servers of the deep service.
 	deepServers() []*responder.Server
-	// rollingRestart replaces the deep service's backend servers one after the other, each with a cold start.
+	// restart replaces the deep service's backend servers one after the other, each with a cold start.
 	restart(ctx context.Context)
-	// attemptsPerRequest returns the ratio of attempts to first attempts, over all calls between services.
+	// attemptsPerRequest returns the ratio of all attempts to first attempts, nested calls included.
 	attemptsPerRequest() float64
 	close()
 }
