--- a/internal/measurer/fleet.go
+++ b/internal/measurer/fleet.go
@@ -1,8 +1,8 @@
-// A few dozen nodes' reducers in one process, joined by a network that only counts: it shows what control messages
-// cost as the fleet grows, without sockets whose noise would hide it. It loses nothing and delays each message by one
-// step; what faults do is the matter of the packages' own tests.
+// Runs the reducers of some dozen nodes in one process, with a simulated network that counts messages. This shows how
+// the cost of control messages grows with the fleet, without the noise of real sockets. The network loses nothing and
+// delays each message by one step; faults are covered by the tests of other packages.
 //
-// Example: newFleet(3, 20, 1).run(60*clock.Second) and then traffic() gives messages and bytes a node and second.
+// Example: newFleet(3, 20, 1).run(60*clock.Second) and then loads() gives messages and bytes per node and second.
 
 package measurer
 
@@ -16,16 +16,16 @@
 	"github.com/jackdawtide/jackdawtide/internal/reducer"
 )
 
-// step is how far time goes on between two deliveries, and the tick of the nodes.
+// step is the simulated time between two deliveries of messages, and between two ticks of the nodes.
 const step = 10 * clock.Millisecond
 
-// wallStart is any plausible wall time.
+// wallStart is the wall time at the start of a simulation; any plausible value would do.
 const wallStart clock.Wall = 1_790_000_000_000
 
 const (
-	logRead = 500
-	// answerBody is the size of the answers that are kept for repeated requests.
-	answerBody = 300
+	maxRecordsPerRead = 500
+	// answerBodyBytes is the body size of the answers that are stored for retried requests.
+	answerBodyBytes = 300
 )
 
 type envelope struct {
@@ -52,19 +52,19 @@
 }
 
 type fleet struct {
-	now       clock.Time
-	random    *rand.Rand
-	members   []*member
-	byAddress map[string]*member
-	log       []reducer.LogRecord
-	appends   map[string]int
-	made      int
-	calls     reducer.CallID
-	// withheld keeps back the answers to calls.
-	withheld bool
-	// since is when the counts began.
-	since clock.Time
-	err   error
+	now          clock.Time
+	random       *rand.Rand
+	members      []*member
+	byAddress    map[string]*member
+	log          []reducer.LogRecord
+	appends      map[string]int
+	nodesCreated int
+	calls        reducer.CallID
+	// withholdAnswers keeps calls in flight by not delivering their answers.
+	withholdAnswers bool
+	// countingSince is when the traffic counters were last reset.
+	countingSince clock.Time
+	err           error
 }
 
 func newFleet(domains, perDomain int, seed uint64) *fleet {
@@ -81,13 +81,13 @@
 	return identifier.FailureDomain(fmt.Sprintf("region-%d-domain-%02d", d%4, d))
 }
 
-// join adds a node that knows one other by its address.
+// join adds a node; unless it is the first one, its seeds are the first member and a random one.
 func (f *fleet) join(domain identifier.FailureDomain, first bool) *member {
-	f.made++
-	id := identifier.Node(fmt.Sprintf("%s-%08x", domain[len(domain)-2:], f.made*2654435761))
-	address := fmt.Sprintf("10.%d.%d.%d:7400", f.made>>16&255, f.made>>8&255, f.made&255)
+	f.nodesCreated++
+	id := identifier.Node(fmt.Sprintf("%s-%08x", domain[len(domain)-2:], f.nodesCreated*2654435761))
+	address := fmt.Sprintf("10.%d.%d.%d:7400", f.nodesCreated>>16&255, f.nodesCreated>>8&255, f.nodesCreated&255)
 	o := reducer.Options{
-		Self: id, Domain: domain, Address: address, Seed: uint64(f.made), Decode: encoder.Decode,
+		Self: id, Domain: domain, Address: address, Seed: uint64(f.nodesCreated), Decode: encoder.Decode,
 		Retention: 24 * clock.Hour,
 	}
 	if !first {
@@ -114,8 +114,8 @@
 	m.bytesByType, m.messagesByType = map[string]int{}, map[string]int{}
 }
 
-// kill takes a node away without a word.
-func (f *fleet) kill(i int) {
+// crash removes a node without a planned stop.
+func (f *fleet) crash(i int) {
 	delete(f.byAddress, f.members[i].addressOf(f))
 	f.members = append(f.members[:i], f.members[i+1:]...)
 }
@@ -128,12 +128,12 @@
 	for end := f.now.Add(d); f.now < end && f.err == nil; {
 		f.now = f.now.Add(step)
 		for _, m := range f.members {
-			f.stepOne(m)
+			f.stepMember(m)
 		}
 	}
 }
 
-func (f *fleet) stepOne(m *member) {
+func (f *fleet) stepMember(m *member) {
 	inbox, reads, answers := m.inbox, m.reads, m.answers
 	m.inbox, m.reads = nil, nil
 	for _, e := range inbox {
@@ -149,7 +149,7 @@
 	for _, r := range reads {
 		f.apply(m, f.readLog(r))
 	}
-	if f.withheld {
+	if f.withholdAnswers {
 		answers = nil
 	} else {
 		m.answers = nil
@@ -158,7 +158,7 @@
 		m.answered++
 		f.apply(m, &reducer.AnswerEnded{
 			Call: call, Phase: reducer.Answered, Relayed: true, Whole: true, Tail: &reducer.Tail{Threshold: identifier.MaxRank, Headroom: 200},
-			Outcome: &reducer.RecordedOutcome{Status: 200, Body: make([]byte, answerBody), Kept: true}, Wall: f.wall(),
+			Outcome: &reducer.RecordedOutcome{Status: 200, Body: make([]byte, answerBodyBytes), Kept: true}, Wall: f.wall(),
 		})
 	}
 	f.apply(m, &reducer.Tick{Wall: f.wall()})
@@ -166,7 +166,7 @@
 
 func (f *fleet) readLog(r reducer.ReadLog) *reducer.RecordsRead {
 	start := min(max(int(r.From)-1, 0), len(f.log))
-	end := min(start+logRead, len(f.log))
+	end := min(start+maxRecordsPerRead, len(f.log))
 	return &reducer.RecordsRead{
 		Records: f.log[start:end], Earliest: 1, Next: identifier.Offset(len(f.log) + 1), Asked: r.Asked,
 		Wall: f.wall(),
@@ -217,23 +217,23 @@
 	f.log = append(f.log, reducer.LogRecord{Offset: offset, Data: raw})
 }
 
-// startCounting forgets the traffic of the fleet's beginning.
+// startCounting resets the traffic counters, so that the traffic of the fleet's start isn't measured.
 func (f *fleet) startCounting() {
-	f.since = f.now
+	f.countingSince = f.now
 	clear(f.appends)
 	for _, m := range f.members {
 		m.resetCounts()
 	}
 }
 
-// load is what one node sends and receives a second.
+// load is the number of messages and bytes that one node sends and receives a second.
 type load struct {
 	messages, bytes float64
 }
 
-// loads returns the mean node's load and that of the node with the most bytes.
+// loads returns the mean load of the nodes and the load of the node with the most bytes.
 func (f *fleet) loads() (mean, busiest load) {
-	seconds := float64(f.now.Sub(f.since)) / float64(clock.Second)
+	seconds := float64(f.now.Sub(f.countingSince)) / float64(clock.Second)
 	for _, m := range f.members {
 		l := load{
 			messages: float64(m.sent+m.received) / seconds,
--- a/internal/measurer/page.go
+++ b/internal/measurer/page.go
@@ -1,6 +1,6 @@
-// The page's tables stand between marks in docs/CAPACITY.md; everything outside of them is written by hand.
+// The generated tables are placed between marks in docs/CAPACITY.md; everything outside of the marks is written by hand.
 //
-// Example: between "<!-- table: slopes -->" and "<!-- end -->" stands the table of all fits.
+// Example: between "<!-- table: slopes -->" and "<!-- end -->" is the table of all fits.
 
 package measurer
 
@@ -18,19 +18,19 @@
 	endMark   = "<!-- end -->"
 )
 
-// PageError reports marks of a page that do not fit together.
+// PageError reports a page with an unknown or unterminated table mark.
 type PageError struct {
 	Problem string
 }
 
-// Error says what is wrong.
+// Error returns the problem.
 func (e PageError) Error() string {
 	return "capacity page: " + e.Problem
 }
 
-// Page returns the page with its tables made anew from the results.
+// Page returns the page with its tables regenerated from the results.
 func Page(page string, r Results) (string, error) {
-	if err := r.complete(); err != nil {
+	if err := r.checkComplete(); err != nil {
 		return "", err
 	}
 	tables := map[string]func(Results) string{
@@ -55,9 +55,9 @@
 	}
 }
 
-// complete tells whether the results hold every series that the rows name.
-func (r Results) complete() error {
-	for _, s := range usedSeries {
+// checkComplete returns a MissingError if the results lack a series that the formulas use.
+func (r Results) checkComplete() error {
+	for _, s := range requiredSeries {
 		if _, ok := r.Fits[s]; !ok {
 			return MissingError{Series: s}
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// usedSeries are those that the formulas use.
-var usedSeries = []string{
+// requiredSeries are the series that the formulas use.
+var requiredSeries = []string{
 	"memory.ownMembers", "memory.remoteMembers", "memory.followed", "memory.services", "memory.purses",
 	"memory.keys", "memory.banks", "memory.ids", "memory.links", "wire.message", "cpu.message", "wire.links",
 	"wire.dials", "cpu.dials", "cpu.domains", "cpu.nodes", "traffic.domains.messages", "traffic.domains.bytes",
@@ -82,8 +82,8 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Fits)) {
 		f := r.Fits[name]
 		fmt.Fprintf(&b, "| %s | %s | %s to %s, %d | %s ± %s %s | %s | %.2f |\n", name, f.Variable,
-			number(f.From), number(f.To), f.Count, number(f.Slope), number(f.SlopeError), f.Unit,
-			number(f.Intercept), f.RSquared)
+			formatNumber(f.From), formatNumber(f.To), f.Count, formatNumber(f.Slope), formatNumber(f.SlopeError), f.Unit,
+			formatNumber(f.Intercept), f.RSquared)
 	}
 	return b.String()
 }
@@ -99,32 +99,32 @@
 		}
 		target := costs[len(costs)-1]
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", line.role, line.mechanism, line.formula,
-			brief(costs[0]), brief(costs[1]), megabytes(target.state), number(target.messages),
-			number(target.bytes/1e3), percent(target.core))
+			todayCell(costs[0]), todayCell(costs[1]), formatMegabytes(target.state), formatNumber(target.messages),
+			formatNumber(target.bytes/1e3), formatPercent(target.core))
 	}
 	return b.String()
 }
 
-// brief writes a cost at today's sizes in one cell.
-func brief(u usage) string {
+// todayCell formats a cost at today's fleet sizes for one cell.
+func todayCell(u usage) string {
 	if u.state > 0 && u.bytes == 0 {
-		return megabytes(u.state)
+		return formatMegabytes(u.state)
 	}
-	return fmt.Sprintf("%s KB/s, %s", number(u.bytes/1e3), percent(u.core))
+	return fmt.Sprintf("%s KB/s, %s", formatNumber(u.bytes/1e3), formatPercent(u.core))
 }
 
-// sumTable adds up what one node of each role costs, and how much of the budget that is.
+// sumTable returns the total cost of one node in each role, and its ratio to the budget.
 func sumTable(r Results) string {
 	var b strings.Builder
 	b.WriteString("| deployment | role | memory | of 64 MB | KB/s | of 24 KB/s | core | of 1.1% |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, d := range deployments {
-		for _, role := range []string{everyNode, relayNode, bankNode, ownerNode} {
+		for _, role := range []string{everyNode, relayNode, bankHolder, idOwner} {
 			u := sumOf(model{d, r}, role)
-			memory := u.state * heapToMemory
-			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", d.name, role, megabytes(memory),
-				times(memory/budgetMemory), number(u.bytes/1e3), times(u.bytes/budgetBytes), percent(u.core),
-				times(u.core/budgetCore))
+			memory := u.state * memoryPerHeap
+			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", d.name, role, formatMegabytes(memory),
+				formatMultiple(memory/budgetMemoryBytes), formatNumber(u.bytes/1e3), formatMultiple(u.bytes/budgetBytesPerSecond), formatPercent(u.core),
+				formatMultiple(u.core/budgetCoreRatio))
 		}
 	}
 	return b.String()
@@ -144,12 +144,12 @@
 	var b strings.Builder
 	b.WriteString("| check | foretold by the slopes | measured |\n| --- | --- | --- |\n")
 	for _, c := range r.Checks {
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", c.Name, megabytes(c.Foretold), megabytes(c.Measured))
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", c.Name, formatMegabytes(c.Predicted), formatMegabytes(c.Measured))
 	}
 	return b.String()
 }
 
-// pointTable shows the single measurements where a line alone would mislead.
+// pointTable returns the single measurements of series for which a fitted line alone would be misleading.
 func pointTable(r Results) string {
 	var b strings.Builder
 	b.WriteString("| series | measurements |\n| --- | --- |\n")
@@ -159,7 +159,7 @@
 	} {
 		var cells []string
 		for _, p := range r.Points[name] {
-			cells = append(cells, fmt.Sprintf("%s: %s", number(p.X), number(p.Y)))
+			cells = append(cells, fmt.Sprintf("%s: %s", formatNumber(p.X), formatNumber(p.Y)))
 		}
 		f := r.Fits[name]
 		fmt.Fprintf(&b, "| %s (%s, by %s) | %s |\n", name, f.Unit, f.Variable, strings.Join(cells, "; "))
@@ -167,7 +167,7 @@
 	return b.String()
 }
 
-// appendTable counts what a fleet puts on the log.
+// appendTable returns the number of records that a fleet appends to the log, by cause.
 func appendTable(Results) string {
 	var b strings.Builder
 	b.WriteString("| cause | formula | Concordia, a day | Kitakaze, a day | target, a day | target, a second |\n")
@@ -176,9 +176,9 @@
 	line := func(cause, formula string, values []float64) {
 		fmt.Fprintf(&b, "| %s | %s |", cause, formula)
 		for _, v := range values {
-			fmt.Fprintf(&b, " %s |", number(v))
+			fmt.Fprintf(&b, " %s |", formatNumber(v))
 		}
-		fmt.Fprintf(&b, " %s |\n", number(values[len(values)-1]/secondsADay))
+		fmt.Fprintf(&b, " %s |\n", formatNumber(values[len(values)-1]/secondsPerDay))
 	}
 	for _, c := range appendCauses {
 		values := make([]float64, len(deployments))
@@ -192,11 +192,11 @@
 	return b.String()
 }
 
-// negligible is what a table shows as nothing.
+// negligible is the bound below which a table shows 0.
 const negligible = 0.0005
 
-// number writes three significant digits, and no exponent.
-func number(v float64) string {
+// formatNumber formats with three significant digits and no exponent.
+func formatNumber(v float64) string {
 	if math.Abs(v) < negligible {
 		return "0"
 	}
@@ -208,17 +208,17 @@
 	return fmt.Sprintf("%.*f", digits, v)
 }
 
-func megabytes(v float64) string {
+func formatMegabytes(v float64) string {
 	if v == 0 {
 		return "0"
 	}
-	return number(v/1e6) + " MB"
+	return formatNumber(v/1e6) + " MB"
 }
 
-func percent(v float64) string {
-	return number(v*100) + "%"
+func formatPercent(v float64) string {
+	return formatNumber(v*100) + "%"
 }
 
-func times(v float64) string {
-	return number(v) + " ×"
+func formatMultiple(v float64) string {
+	return formatNumber(v) + " ×"
 }
--- a/internal/measurer/slopes.go
+++ b/internal/measurer/slopes.go
@@ -1,5 +1,5 @@
-// One command measures every slope that docs/CAPACITY.md is made of, each with one variable moved and the others
-// held, so that a slope that grows with the fleet is seen while the fleet is still small.
+// One command measures all slopes from which docs/CAPACITY.md is calculated. Each series varies one variable and
+// keeps the others constant, so that a cost that grows with the fleet is seen while the fleet is still small.
 //
 // Example: jackdawtide measure slopes --format json > docs/results/slopes.jsonl
 
@@ -11,16 +11,16 @@
 	"io"
 )
 
-// plan is one or several series measured together.
+// plan is one or several series that are measured together.
 type plan struct {
 	variable string
 	xs       []int
-	// series names what measure returns, in order, as name and unit.
+	// series holds name and unit of each value that measure returns, in order.
 	series  [][2]string
 	measure func(ctx context.Context, x int) ([]float64, error)
 }
 
-// Slopes measures all series and writes points and fits, one JSON object a line.
+// Slopes measures all series and writes points, fits and the target check, one JSON object a line.
 func Slopes(ctx context.Context, out io.Writer, seed uint64) error {
 	plans := append(memoryPlans(), bytePlans()...)
 	plans = append(plans, fleetPlans(seed)...)
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	return checkTarget(out)
+	return checkTargetMemory(out)
 }
 
 func (p plan) run(ctx context.Context, out io.Writer) error {
@@ -63,7 +63,7 @@
 	return plan{
 		variable: variable, xs: xs, series: [][2]string{{"memory." + name, "B"}},
 		measure: func(_ context.Context, x int) ([]float64, error) {
-			return []float64{heapOf(func() any { return fill(x) })}, nil
+			return []float64{heapUsedBy(func() any { return fill(x) })}, nil
 		},
 	}
 }
@@ -72,7 +72,7 @@
 	return []plan{
 		memoryPlan("ownMembers", "members of the own domain", fillOwnMembers, 60, 120, 240, 482),
 		memoryPlan("remoteMembers", "members of other domains, at a relay", fillRemoteMembers, 600, 1200, 2400, 4820),
-		memoryPlan("followed", "endpoints of services called", fillFollowed, 50, 100, 200, 400),
+		memoryPlan("followed", "endpoints of services called", fillEndpointsCalled, 50, 100, 200, 400),
 		memoryPlan("purses", "teams calling through the node", fillPurses, 100, 200, 400, 800),
 		memoryPlan("banks", "teams whose banks the node keeps", fillBanks, 50, 100, 200, 400),
 		memoryPlan("keys", "keys", fillKeys, 1000, 2000, 4000, 8000),
@@ -105,8 +105,9 @@
 	}
 }
 
-// fleetPlan measures messages, bytes and processor time of a scene; of the busiest node too, which is a relay.
-func fleetPlan(name, variable string, seed uint64, of func(x int) scene, xs ...int) plan {
+// fleetPlan measures messages, bytes, processor time and appends of a workload, and the traffic of the busiest node,
+// which is a relay.
+func fleetPlan(name, variable string, seed uint64, of func(x int) workload, xs ...int) plan {
 	return plan{
 		variable: variable, xs: xs,
 		series: [][2]string{
@@ -118,7 +119,7 @@
 			{"appends." + name, "1/h"},
 		},
 		measure: func(ctx context.Context, x int) ([]float64, error) {
-			o, err := of(x).play(ctx, seed)
+			o, err := of(x).simulate(ctx, seed)
 			appends := 0
 			for _, n := range o.appends {
 				appends += n
@@ -134,23 +135,23 @@
 func fleetPlans(seed uint64) []plan {
 	return []plan{
 		fleetPlan("nodes", "nodes a domain, 3 domains", seed,
-			func(x int) scene { return scene{domains: 3, nodes: x} }, 10, 20, 40, 80),
+			func(x int) workload { return workload{domains: 3, nodes: x} }, 10, 20, 40, 80),
 		fleetPlan("domains", "domains of 8 nodes", seed,
-			func(x int) scene { return scene{domains: x, nodes: 8} }, 2, 4, 7, 11),
+			func(x int) workload { return workload{domains: x, nodes: 8} }, 2, 4, 7, 11),
 		fleetPlan("changes", "changes a minute, 3 domains of 20", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 20, changes: x} }, 0, 30, 60, 120),
+			func(x int) workload { return workload{domains: 3, nodes: 20, changesPerMinute: x} }, 0, 30, 60, 120),
 		fleetPlan("churn", "nodes replaced a minute, 3 domains of 20", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 20, churn: x} }, 0, 4, 8, 16),
+			func(x int) workload { return workload{domains: 3, nodes: 20, replacementsPerMinute: x} }, 0, 4, 8, 16),
 		fleetPlan("services", "services called by each node, 3 domains of 20", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 20, services: x, teams: 1, calls: 10} }, 1, 4, 8, 16),
+			func(x int) workload { return workload{domains: 3, nodes: 20, services: x, teams: 1, calls: 10} }, 1, 4, 8, 16),
 		fleetPlan("teams", "teams with 10 calls a second each at each node, 3 domains of 10", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 10, services: 1, teams: x, calls: 10 * x} }, 1, 2, 4, 8),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: x, calls: 10 * x} }, 1, 2, 4, 8),
 		fleetPlan("holders", "nodes a domain, 3 domains, 4 teams with 10 calls a second each at each node", seed,
-			func(x int) scene { return scene{domains: 3, nodes: x, services: 1, teams: 4, calls: 40} }, 5, 10, 20, 40),
+			func(x int) workload { return workload{domains: 3, nodes: x, services: 1, teams: 4, calls: 40} }, 5, 10, 20, 40),
 		fleetPlan("calls", "calls a second and node of one team, 3 domains of 10", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 10, services: 1, teams: 1, calls: x} }, 40, 80, 160, 360),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: 1, calls: x} }, 40, 80, 160, 360),
 		fleetPlan("bookings", "calls with an idempotency id a second and node, 3 domains of 10", seed,
-			func(x int) scene { return scene{domains: 3, nodes: 10, services: 1, teams: 4, bookings: x} }, 10, 20, 40, 80),
+			func(x int) workload { return workload{domains: 3, nodes: 10, services: 1, teams: 4, bookings: x} }, 10, 20, 40, 80),
 	}
 }
 
@@ -170,7 +171,7 @@
 				{"wire.dials", "B"}, {"cpu.dials", "ns"}, {"memory.links", "B"}, {"wire.links", "B/s"},
 			},
 			measure: func(ctx context.Context, x int) ([]float64, error) {
-				c, err := linksCost(ctx, x)
+				c, err := connectionsCost(ctx, x)
 				return []float64{c.dialBytes, c.dialTime, c.heap, c.idleBytes}, err
 			},
 		},
--- a/internal/measurer/target.go
+++ b/internal/measurer/target.go
@@ -1,6 +1,6 @@
-// The extrapolation from small fleets to the target is checked by one node's state filled to the target's size.
+// The extrapolation from small fleets to the target size is checked against the state of one node filled to that size.
 //
-// Example: the sum of the memory slopes foretells 21 MB for a relay; the filled reducer takes 20 MB.
+// Example: the sum of the memory slopes predicts 21 MB for a relay; the filled reducer takes 20 MB.
 
 package measurer
 
@@ -10,57 +10,57 @@
 	"github.com/jackdawtide/jackdawtide/internal/clock"
 )
 
-// The target in two years, from the users' letter, and what it leaves open, assumed here.
+// The target size in two years. The users' letter states it but for keys and teams, which are assumed.
 const (
-	targetEndpoints = 5300
-	targetServices  = 630
-	targetDomains   = 11
-	targetOwn       = targetEndpoints / targetDomains
-	// assumed
+	targetEndpoints  = 5300
+	targetServices   = 630
+	targetDomains    = 11
+	targetOwnMembers = targetEndpoints / targetDomains
+	// Assumed.
 	targetKeys  = 4000
 	targetTeams = 200
 )
 
-// fillTarget is a relay's reducer with all members of the fleet, the preset and the keys.
+// fillTarget returns the state of a relay with all members of the fleet, the preset and the keys.
 func fillTarget() any {
-	f, m := alone()
+	f, m := newRelay()
 	f.append(presetRecord(f, targetServices, targetTeams))
 	f.append(switchRecord(f))
 	for i := range targetKeys {
 		f.issueTeamKey(keyOf(i), teamName(i%targetTeams))
 	}
-	f.run(clock.Duration(targetKeys/logRead+5) * clock.Second / 4)
+	f.run(clock.Duration(targetKeys/maxRecordsPerRead+5) * clock.Second / 4)
 	f.log = nil
-	// Members come last: nobody answers for them, so that after some seconds they would count as dead.
-	f.tellMembers(m, m.domain, 0, targetOwn)
+	// Members are announced last: they don't exist and answer no probes, so after some seconds they would be declared dead.
+	f.announceMembers(m, m.domain, 0, targetOwnMembers)
 	for d := 1; d < targetDomains; d++ {
-		f.tellMembers(m, domainName(d), d*targetOwn, targetOwn)
+		f.announceMembers(m, domainName(d), d*targetOwnMembers, targetOwnMembers)
 	}
 	return m.state
 }
 
-// foretold is the same by the slopes.
-func foretold() float64 {
+// predictedMemory returns the heap that the memory slopes of small fleets predict for fillTarget.
+func predictedMemory() float64 {
 	sum := 0.0
 	for _, part := range []struct {
 		fill func(int) any
 		xs   [2]int
 		at   float64
 	}{
-		{fillOwnMembers, [2]int{60, 240}, targetOwn},
-		{fillRemoteMembers, [2]int{600, 2400}, targetOwn * (targetDomains - 1)},
+		{fillOwnMembers, [2]int{60, 240}, targetOwnMembers},
+		{fillRemoteMembers, [2]int{600, 2400}, targetOwnMembers * (targetDomains - 1)},
 		{fillPreset, [2]int{80, 320}, targetServices},
 		{fillKeys, [2]int{1000, 2000}, targetKeys},
 		{fillPresetTeams, [2]int{50, 100}, targetTeams},
 	} {
-		low := heapOf(func() any { return part.fill(part.xs[0]) })
-		high := heapOf(func() any { return part.fill(part.xs[1]) })
+		low := heapUsedBy(func() any { return part.fill(part.xs[0]) })
+		high := heapUsedBy(func() any { return part.fill(part.xs[1]) })
 		sum += (high - low) / float64(part.xs[1]-part.xs[0]) * part.at
 	}
-	return sum + heapOf(func() any { _, m := alone(); return m.state })
+	return sum + heapUsedBy(func() any { _, m := newRelay(); return m.state })
 }
 
-func checkTarget(out io.Writer) error {
-	measured := heapOf(fillTarget)
-	return writeCheck(out, Check{Name: "target.relayMemory", Unit: "B", Foretold: foretold(), Measured: measured})
+func checkTargetMemory(out io.Writer) error {
+	measured := heapUsedBy(fillTarget)
+	return writeCheck(out, Check{Name: "target.relayMemory", Unit: "B", Predicted: predictedMemory(), Measured: measured})
 }
--- a/internal/overloader/account.go
+++ b/internal/overloader/figures.go
@@ -1,7 +1,7 @@
-// The figures are taken from what callers saw alone. A policy that looks good in its own metrics and leaves callers
-// without answers must look bad here.
+// The figures are calculated only from what callers saw, so that a policy that leaves callers without answers gets bad
+// figures even if its own metrics are good.
 //
-// Example: 900 of 1,000 requests answered while the ideal could have answered 950 gives goodputRatio 0.947.
+// Example: if 900 of 1,000 requests are answered and the ideal would answer 950, goodputRatio is 0.947.
 
 package overloader
 
@@ -22,8 +22,8 @@
 	Seed       uint64
 	Offered    int
 	Answered   int
-	// UrgentFits tells that the urgent requests alone are within the capacity, WithinRateFits that all requests within
-	// the teams' rates are.
+	// UrgentFits is set if the capacity suffices for all urgent requests, WithinRateFits if it suffices for all requests
+	// within the teams' rates.
 	UrgentFits     bool
 	WithinRateFits bool
 	// Capacity is the deep service's measured capacity, in whole requests a second.
@@ -40,18 +40,19 @@
 	Reasons              map[string]int
 }
 
-// neverRecovered stands in RecoveryMs where the goodput did not come back within the run.
+// neverRecovered is the value of RecoveryMs if the goodput did not recover before the end of the run.
 const neverRecovered = -1
 
-type account struct {
+// evaluation calculates the figures of one scenario under one policy from the results of all its requests.
+type evaluation struct {
 	scenario scenario
 	shape    shape
-	times    times
+	phases   phases
 	results  []result
 	attempts float64
 }
 
-func (a account) figures(policy string, seed uint64) Figures {
+func (a evaluation) figures(policy string, seed uint64) Figures {
 	f := Figures{
 		Scenario:           a.scenario.name,
 		Policy:             policy,
@@ -70,13 +71,13 @@
 		}
 		f.Reasons[reasonOf(r)]++
 	}
-	f.UrgentFits = sum(a.offered(&urgentClass)) <= a.scenario.capacity(a.shape.capacity())
+	f.UrgentFits = sum(a.offered(&urgentPriority)) <= a.scenario.capacity(a.shape.capacity())
 	f.WithinRateFits = sum(a.demands()) <= a.scenario.capacity(a.shape.capacity())
-	f.GoodputRatio = float64(f.Answered) / a.ideal()
-	f.RecoveryMs = a.recovery()
+	f.GoodputRatio = float64(f.Answered) / a.idealAnswered()
+	f.RecoveryMs = a.recoveryMs()
 	f.WorstTeam, f.WorstTeamRatio = a.worstTeam()
-	f.WrongfulRefusalRatio = a.wrongful()
-	f.UrgentServedRatio = a.urgent()
+	f.WrongfulRefusalRatio = a.wrongfulRefusalRatio()
+	f.UrgentServedRatio = a.urgentServedRatio()
 	f.P50Ms, f.P99Ms = percentiles(triggered)
 	return f
 }
@@ -92,57 +93,57 @@
 	}
 }
 
-func (a account) inTrigger() []result {
+func (a evaluation) inTrigger() []result {
 	var list []result
 	for _, r := range a.results {
-		if a.times.inTrigger(r.arrival.at) {
+		if a.phases.inTrigger(r.arrival.at) {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// ideal is the most whole requests that could be answered in the trigger: what is offered within the teams' rates, or
-// the capacity.
-func (a account) ideal() float64 {
-	seconds := a.times.trigger.Seconds()
+// idealAnswered is the upper bound of whole requests answered during the trigger: the requests offered within the teams'
+// rates or the capacity, whichever is less.
+func (a evaluation) idealAnswered() float64 {
+	seconds := a.phases.trigger.Seconds()
 	return min(sum(a.demands())*seconds, a.scenario.capacity(a.shape.capacity())*seconds)
 }
 
-// demands are the teams' requests a second in the trigger, each at most at its rate.
-func (a account) demands() map[identifier.Team]float64 {
+// demands returns the teams' requests a second during the trigger, each capped at the team's rate.
+func (a evaluation) demands() map[identifier.Team]float64 {
 	offered := a.offered(nil)
 	demands := make(map[identifier.Team]float64)
-	for _, l := range a.shape.loads() {
-		demands[l.team] = min(offered[l.team], l.rate*a.scenario.sold)
+	for _, l := range a.shape.teamLoads() {
+		demands[l.team] = min(offered[l.team], l.rate*a.scenario.rateFactor)
 	}
 	return demands
 }
 
-var urgentClass = identifier.Urgent
+var urgentPriority = identifier.Urgent
 
-func sum(parts map[identifier.Team]float64) float64 {
+func sum(rates map[identifier.Team]float64) float64 {
 	var all float64
-	for _, v := range parts {
+	for _, v := range rates {
 		all += v
 	}
 	return all
 }
 
-// offered counts the teams' requests a second in the trigger, of one class or of all.
-func (a account) offered(class *identifier.Priority) map[identifier.Team]float64 {
+// offered returns the teams' requests a second during the trigger, of one priority or, if class is nil, of all.
+func (a evaluation) offered(class *identifier.Priority) map[identifier.Team]float64 {
 	offered := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
 		if class == nil || a.shape.kinds[r.arrival.kind].priority == *class {
-			offered[teamOf(r)] += 1 / a.times.trigger.Seconds()
+			offered[teamOf(r)] += 1 / a.phases.trigger.Seconds()
 		}
 	}
 	return offered
 }
 
-// entitlements share the capacity out in the order that the product states: class by class, and within a class by
-// max-min fairness over the teams' weights. A team over its rate counts with the part of its requests that it bought.
-func (a account) entitlements() map[identifier.Team]float64 {
+// entitlements divides the capacity as the product promises: priority by priority, and within a priority by weighted
+// max-min fairness among the teams. The requests of a team over its rate are scaled down to its rate.
+func (a evaluation) entitlements() map[identifier.Team]float64 {
 	left := a.scenario.capacity(a.shape.capacity())
 	all := a.offered(nil)
 	demands := a.demands()
@@ -152,7 +153,7 @@
 		for t := range wanted {
 			wanted[t] *= demands[t] / all[t]
 		}
-		for t, v := range a.shape.maxMin(left, wanted) {
+		for t, v := range a.shape.maxMinFairShares(left, wanted) {
 			entitled[t] += v
 			left -= v
 		}
@@ -160,9 +161,9 @@
 	return entitled
 }
 
-// maxMin shares capacity out so that no team gets more than it wants, and nobody's want is met at the cost of a team
-// that has less for its weight.
-func (s shape) maxMin(capacity float64, wanted map[identifier.Team]float64) map[identifier.Team]float64 {
+// maxMinFairShares divides the capacity by weighted max-min fairness: no team gets more than it wants, and no team gets
+// more at the cost of a team that has less in proportion to its weight. It empties wanted.
+func (s shape) maxMinFairShares(capacity float64, wanted map[identifier.Team]float64) map[identifier.Team]float64 {
 	weights := make(map[identifier.Team]float64)
 	for _, t := range s.plan.Presets[0].Teams {
 		weights[t.Name] = float64(max(t.Weight, 1))
@@ -194,11 +195,12 @@
 	return got
 }
 
-func (a account) worstTeam() (string, float64) {
+// worstTeam returns the team with the lowest ratio of answered requests to its entitlement, and that ratio.
+func (a evaluation) worstTeam() (string, float64) {
 	served := make(map[identifier.Team]float64)
 	for _, r := range a.inTrigger() {
 		if r.answered {
-			served[teamOf(r)] += 1 / a.times.trigger.Seconds()
+			served[teamOf(r)] += 1 / a.phases.trigger.Seconds()
 		}
 	}
 	worst, name := 1e9, ""
@@ -213,9 +215,9 @@
 	return name, worst
 }
 
-// wrongful is the part of the requests of teams within their rate that were not answered. It says something of the
-// policy only where the capacity suffices.
-func (a account) wrongful() float64 {
+// wrongfulRefusalRatio is the share of the requests of teams within their rates that were not answered. It is a measure
+// of the policy only if the capacity suffices for these requests.
+func (a evaluation) wrongfulRefusalRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
 	var within, refused float64
@@ -235,7 +237,8 @@
 	return refused / within
 }
 
-func (a account) urgent() float64 {
+// urgentServedRatio is the share of the urgent requests of teams within their rates that were answered.
+func (a evaluation) urgentServedRatio() float64 {
 	demands := a.demands()
 	offered := a.offered(nil)
 	var sent, served float64
@@ -257,23 +260,23 @@
 const (
 	recoveryWindow = time.Second
 	recoveryStep   = 100 * time.Millisecond
-	recovered      = 0.95
+	recoveredRatio = 0.95
 )
 
-// recovery is the time from the trigger's end until a second in which the answered part of the requests is 95% of
-// what it was before.
-func (a account) recovery() int64 {
-	before := a.answeredPart(0, a.times.before)
-	end := a.times.before + a.times.trigger
-	for d := time.Duration(0); end+d+recoveryWindow <= a.times.total(); d += recoveryStep {
-		if a.answeredPart(end+d, end+d+recoveryWindow) >= recovered*before {
+// recoveryMs is the time from the end of the trigger to the first window of one second in which the share of answered
+// requests is at least 95% of that before the trigger.
+func (a evaluation) recoveryMs() int64 {
+	before := a.answeredRatio(0, a.phases.before)
+	end := a.phases.before + a.phases.trigger
+	for d := time.Duration(0); end+d+recoveryWindow <= a.phases.total(); d += recoveryStep {
+		if a.answeredRatio(end+d, end+d+recoveryWindow) >= recoveredRatio*before {
 			return d.Milliseconds()
 		}
 	}
 	return neverRecovered
 }
 
-func (a account) answeredPart(from, to time.Duration) float64 {
+func (a evaluation) answeredRatio(from, to time.Duration) float64 {
 	var all, answered float64
 	for _, r := range a.results {
 		if r.arrival.at < from || r.arrival.at >= to {
@@ -294,7 +297,7 @@
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for _, r := range list {
 		if r.answered {
-			// Values beyond the histogram's range are longer than any run.
+			// A run is shorter than the histogram's range of one minute, so no value is rejected.
 			_ = h.RecordValue(max(1, r.latency.Microseconds()))
 		}
 	}
--- a/internal/overloader/load.go
+++ b/internal/overloader/load.go
@@ -1,7 +1,7 @@
-// The load is open-loop: a caller sends when its time has come, however slow the system is, as real callers do. A
-// closed loop would slow down with the system and hide the overload.
+// The load is open-loop, as that of real callers: each request is sent at its time, however slow the system is. A closed
+// loop would slow down with the system and hide the overload.
 //
-// Example: run(ctx, arrivals, 1, send) calls send once for each arrival, at its time.
+// Example: offerLoad(ctx, arrivals, 0, send) calls send once for each arrival, at its time.
 
 package overloader
 
@@ -14,27 +14,27 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// result is what became of one arrival, as its caller saw it.
+// result is the outcome of one arrival, as seen by its caller.
 type result struct {
 	arrival  arrival
 	answered bool
-	// refused tells that the last answer was a refusal rather than silence.
+	// status and reason are those of the last attempt; status 0 means that no answer arrived.
 	status  int
 	reason  string
 	latency time.Duration
 	doneAt  time.Duration
 }
 
-// reply is one answer to one sending.
+// reply is the answer to one attempt.
 type reply struct {
 	status int
 	reason string
 }
 
-// send makes one request and returns what came back; status 0 means that nothing did.
-type send func(ctx context.Context, a arrival, try int) reply
+// sendFunc makes one attempt and returns its answer; status 0 means that no answer arrived.
+type sendFunc func(ctx context.Context, a arrival, attempt int) reply
 
-func run(ctx context.Context, list []arrival, hardRetries int, s send) []result {
+func offerLoad(ctx context.Context, list []arrival, immediateRetries int, s sendFunc) []result {
 	results := make([]result, len(list))
 	var group sync.WaitGroup
 	start := time.Now()
@@ -42,19 +42,19 @@
 		if !clock.SleepUntil(ctx, start.Add(a.at)) {
 			break
 		}
-		group.Go(func() { results[i] = pursue(ctx, a, hardRetries, start, s) })
+		group.Go(func() { results[i] = sendWithRetries(ctx, a, immediateRetries, start, s) })
 	}
 	group.Wait()
 	return results
 }
 
-// pursue is one caller: it asks, and where it is of the impatient sort asks again at once.
-func pursue(ctx context.Context, a arrival, retries int, start time.Time, s send) result {
+// sendWithRetries acts as one caller, who retries a failed request immediately, up to the given number of retries.
+func sendWithRetries(ctx context.Context, a arrival, retries int, start time.Time, s sendFunc) result {
 	r := result{arrival: a}
-	began := time.Now()
-	for try := range retries + 1 {
-		attempt, cancel := context.WithTimeout(ctx, deadline)
-		p := s(attempt, a, try)
+	startedAt := time.Now()
+	for attempt := range retries + 1 {
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		p := s(attemptCtx, a, attempt)
 		cancel()
 		r.status = p.status
 		r.reason = p.reason
@@ -63,10 +63,9 @@
 			break
 		}
 	}
-	r.latency = time.Since(began)
+	r.latency = time.Since(startedAt)
 	r.doneAt = time.Since(start)
 	return r
 }
 
-// teamOf is what the accounts are kept by.
 func teamOf(r result) identifier.Team { return r.arrival.team }
--- a/internal/overloader/scenario.go
+++ b/internal/overloader/scenario.go
@@ -1,7 +1,7 @@
-// A scenario is a load and a fault over time, the same for every policy. It has three phases: before, the trigger, and
-// after, so that recovery can be told from mere survival.
+// A scenario is a load and a fault over time, the same for every policy. It has three phases, before, trigger and after,
+// so that the figures show whether goodput recovers after the trigger and not only how much is left during it.
 //
-// Example: surge3x offers three times the ordinary load for the length of the trigger, from all teams alike.
+// Example: surge3x offers three times the usual load during the trigger, with the same factor for all teams.
 
 package overloader
 
@@ -13,27 +13,29 @@
 	"github.com/jackdawtide/jackdawtide/internal/launcher"
 )
 
-// The lengths of the phases, unless the command line says otherwise.
+// The lengths of the phases.
 const (
 	beforeTime  = 4 * time.Second
 	triggerTime = 8 * time.Second
 	afterTime   = 5 * time.Second
 )
 
-// The deep service is what every request needs once, so that its capacity is the capacity for whole requests.
+// The deep service is the last service of the call chain. Every request calls it once, so its capacity is the capacity
+// for whole requests.
 const (
 	deepEndpoints   = 2
 	deepSlots       = 6
 	deepServiceTime = 25 * time.Millisecond
-	// usualLoad is the part of the deep service's capacity that is offered on an ordinary day.
-	usualLoad = 0.7
-	// soldLoad is a team's rate as a multiple of what it usually sends.
-	soldLoad = 1.4
-	deadline = time.Second
+	// usualLoadRatio is the share of the deep service's nominal capacity that is offered outside of the trigger.
+	usualLoadRatio = 0.7
+	// usualRateFactor is the configured rate of a team as a multiple of its usual load.
+	usualRateFactor = 1.4
+	// attemptTimeout is how long callers, and the hops of a baseline, wait for an answer to one attempt.
+	attemptTimeout = time.Second
 )
 
-// kind is one sort of request; weight is its part of the mix.
-type kind struct {
+// requestKind is one type of request; weight is its share of all requests.
+type requestKind struct {
 	method   string
 	path     string
 	urgent   bool
@@ -42,14 +44,14 @@
 	priority identifier.Priority
 }
 
-// shape is a deployment as the measurement needs it.
+// shape is a deployment reduced to what the measurement needs: the services of the call chain and the types of requests.
 type shape struct {
-	deployment string
-	plan       launcher.Plan
-	deep       string
-	kinds      []kind
-	// measured is the deep service's capacity in calls a second (see calibrate).
-	measured float64
+	deployment  string
+	plan        launcher.Plan
+	deepService string
+	kinds       []requestKind
+	// measuredCapacity is the deep service's capacity in calls a second (see measureEndpointCapacity).
+	measuredCapacity float64
 }
 
 func shapeOf(deployment string) (shape, error) {
@@ -57,35 +59,36 @@
 	if err != nil {
 		return shape{}, err
 	}
-	s := shape{deployment: deployment, plan: plan, deep: "ice", kinds: kitakazeKinds}
+	s := shape{deployment: deployment, plan: plan, deepService: "ice", kinds: kitakazeKinds}
 	if deployment == "concordia" {
-		s.deep = "prayerTimes"
+		s.deepService = "prayerTimes"
 		s.kinds = concordiaKinds
 	}
 	s.plan.Services = s.services()
 	return s, nil
 }
 
-var kitakazeKinds = []kind{
+var kitakazeKinds = []requestKind{
 	{method: "GET", path: "/ice/bulletins", urgent: true, weight: 0.2, priority: identifier.Urgent},
 	{method: "GET", path: "/slotBoard/slots", weight: 0.4, priority: identifier.Low},
 	{method: "GET", path: "/bookings/mine", weight: 0.25, priority: identifier.Normal},
 	{method: "POST", path: "/bookings/escorts", withID: true, weight: 0.15, priority: identifier.High},
 }
 
-var concordiaKinds = []kind{
+var concordiaKinds = []requestKind{
 	{method: "GET", path: "/prayerTimes/fastTimes", urgent: true, weight: 0.2, priority: identifier.Urgent},
 	{method: "GET", path: "/portal/search", weight: 0.4, priority: identifier.Low},
 	{method: "GET", path: "/orders/mine", weight: 0.25, priority: identifier.Normal},
 	{method: "POST", path: "/orders/orders", withID: true, weight: 0.15, priority: identifier.High},
 }
 
-// services are the plan's first three, a chain, of which only the deep one can run out.
+// services returns the plan's services that call others, and the deep service. Together they are a call chain, in which
+// only the deep service has few enough slots to be overloaded.
 func (s shape) services() []launcher.Service {
 	var list []launcher.Service
 	for _, v := range s.plan.Services {
 		switch {
-		case v.Name == s.deep:
+		case v.Name == s.deepService:
 			v.Endpoints = deepEndpoints
 			v.Slots = deepSlots
 			v.ServiceTime = deepServiceTime
@@ -102,48 +105,49 @@
 	return list
 }
 
-// nominal is the deep service's capacity on paper; the load is drawn by it, so that a seed gives the same requests
-// on every machine.
-func (s shape) nominal() float64 {
+// nominalCapacity is the deep service's capacity by slots and service time. The load is derived from it and not from the
+// measured capacity, so that a seed gives the same requests on every machine.
+func (s shape) nominalCapacity() float64 {
 	return float64(deepEndpoints*deepSlots) / deepServiceTime.Seconds()
 }
 
-// capacity is what the deep service was measured to answer a second.
-func (s shape) capacity() float64 { return s.measured }
+// capacity is the measured number of calls that the deep service answers a second.
+func (s shape) capacity() float64 { return s.measuredCapacity }
 
 // scenario is a load and a fault.
 type scenario struct {
 	name string
-	// surge multiplies the load of all teams during the trigger.
-	surge float64
-	// greedy multiplies the load of the first team during the trigger.
-	greedy float64
-	// slow multiplies the service time of the deep service during the trigger.
-	slow float64
-	// slowOne multiplies that of one endpoint alone, which reports no load meanwhile.
-	slowOne float64
-	// hardRetries is how often a caller asks again at once.
-	hardRetries int
-	// restart replaces the deep service's endpoints one after the other, each with a cold start.
-	restart bool
-	// sold is the teams' rates as a multiple of what they usually send.
-	sold float64
+	// surgeFactor multiplies the load of all teams during the trigger.
+	surgeFactor float64
+	// greedyFactor multiplies the load of the first team during the trigger.
+	greedyFactor float64
+	// slowFactor multiplies the service time of the deep service during the trigger.
+	slowFactor float64
+	// slowEndpointFactor multiplies the service time of one endpoint of the deep service during the trigger, while that
+	// endpoint falsely reports a load of zero.
+	slowEndpointFactor float64
+	// immediateRetries is how many times a caller retries a failed request without backoff.
+	immediateRetries int
+	// rollingRestart replaces the deep service's endpoints one after the other, each with a cold start.
+	rollingRestart bool
+	// rateFactor is the teams' configured rates as a multiple of their usual load.
+	rateFactor float64
 }
 
 var scenarios = []scenario{
-	{name: "surge3x", surge: 3, sold: 5},
-	{name: "slowDeepHardRetries", surge: 2, slow: 5, hardRetries: 3, sold: 10},
-	{name: "greedyTeam", greedy: 10, sold: soldLoad},
-	{name: "lyingLoad", slowOne: 10, sold: soldLoad},
-	{name: "coldRollingRestart", restart: true, sold: soldLoad},
-	{name: "slowDeepAndGreedyTeam", greedy: 10, slow: 3, hardRetries: 3, sold: soldLoad},
-}
-
-func (s scenario) fill() scenario {
-	s.surge = orOne(s.surge)
-	s.greedy = orOne(s.greedy)
-	s.slow = orOne(s.slow)
-	s.slowOne = orOne(s.slowOne)
+	{name: "surge3x", surgeFactor: 3, rateFactor: 5},
+	{name: "slowDeepHardRetries", surgeFactor: 2, slowFactor: 5, immediateRetries: 3, rateFactor: 10},
+	{name: "greedyTeam", greedyFactor: 10, rateFactor: usualRateFactor},
+	{name: "lyingLoad", slowEndpointFactor: 10, rateFactor: usualRateFactor},
+	{name: "coldRollingRestart", rollingRestart: true, rateFactor: usualRateFactor},
+	{name: "slowDeepAndGreedyTeam", greedyFactor: 10, slowFactor: 3, immediateRetries: 3, rateFactor: usualRateFactor},
+}
+
+func (s scenario) withDefaults() scenario {
+	s.surgeFactor = orOne(s.surgeFactor)
+	s.greedyFactor = orOne(s.greedyFactor)
+	s.slowFactor = orOne(s.slowFactor)
+	s.slowEndpointFactor = orOne(s.slowEndpointFactor)
 	return s
 }
 
@@ -154,16 +158,16 @@
 	return v
 }
 
-// capacity is what the deep service can do in whole requests a second while the trigger lasts.
+// capacity returns the deep service's capacity during the trigger, in whole requests a second, from its ordinary one.
 func (s scenario) capacity(ordinary float64) float64 {
-	slowed := ordinary / s.slow
-	if s.slowOne > 1 {
-		slowed = ordinary/deepEndpoints*(deepEndpoints-1) + ordinary/deepEndpoints/s.slowOne
+	slowed := ordinary / s.slowFactor
+	if s.slowEndpointFactor > 1 {
+		slowed = ordinary/deepEndpoints*(deepEndpoints-1) + ordinary/deepEndpoints/s.slowEndpointFactor
 	}
 	return slowed
 }
 
-// arrival is one request that a caller wants answered.
+// arrival is one request and the time at which its caller first sends it.
 type arrival struct {
 	at   time.Duration
 	team identifier.Team
@@ -171,24 +175,24 @@
 	seed uint64
 }
 
-type times struct {
+type phases struct {
 	before, trigger, after time.Duration
 }
 
-func (t times) total() time.Duration { return t.before + t.trigger + t.after }
+func (t phases) total() time.Duration { return t.before + t.trigger + t.after }
 
-func (t times) inTrigger(at time.Duration) bool {
+func (t phases) inTrigger(at time.Duration) bool {
 	return at >= t.before && at < t.before+t.trigger
 }
 
-// teamLoad is one team's usual requests a second.
+// teamLoad is a team's usual load, in requests a second.
 type teamLoad struct {
 	team identifier.Team
 	rate float64
 }
 
-// loads splits the usual load over the teams in proportion to the rates of the example preset.
-func (s shape) loads() []teamLoad {
+// teamLoads divides the usual load among the teams in proportion to their rates in the example preset.
+func (s shape) teamLoads() []teamLoad {
 	teams := s.plan.Presets[0].Teams
 	var sum float64
 	for _, t := range teams {
@@ -196,26 +200,26 @@
 	}
 	loads := make([]teamLoad, 0, len(teams))
 	for _, t := range teams {
-		loads = append(loads, teamLoad{team: t.Name, rate: float64(t.Rate) / sum * s.nominal() * usualLoad})
+		loads = append(loads, teamLoad{team: t.Name, rate: float64(t.Rate) / sum * s.nominalCapacity() * usualLoadRatio})
 	}
 	return loads
 }
 
-// arrivals draws the requests of a scenario: a Poisson stream for each team.
-func (s shape) arrivals(sc scenario, t times, seed uint64) []arrival {
+// arrivals returns the random requests of a scenario, a Poisson process for each team.
+func (s shape) arrivals(sc scenario, t phases, seed uint64) []arrival {
 	var list []arrival
-	for i, l := range s.loads() {
+	for i, l := range s.teamLoads() {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		factor := sc.surge
+		factor := sc.surgeFactor
 		if i == 0 {
-			factor *= sc.greedy
+			factor *= sc.greedyFactor
 		}
-		list = append(list, s.stream(l, factor, t, r)...)
+		list = append(list, s.teamArrivals(l, factor, t, r)...)
 	}
 	return list
 }
 
-func (s shape) stream(l teamLoad, factor float64, t times, r *rand.Rand) []arrival {
+func (s shape) teamArrivals(l teamLoad, factor float64, t phases, r *rand.Rand) []arrival {
 	var list []arrival
 	peak := l.rate * max(factor, 1)
 	var at time.Duration
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -1,5 +1,6 @@
-// The backend server stand-in as a process of its own. It starts at the same time as its node, so that the first
-// announcements may find nobody; and it leaves as a real one should: no new work, last calls finished, then the end.
+// Runs the stand-in for a backend server as a separate process. It may start before its node listens, so its
+// announcement is retried. At a planned stop it leaves as a real backend server should: it takes no new calls,
+// finishes those in flight, and then exits.
 //
 // Example: Backend(ctx, p, BackendOptions{Node: "http://127.0.0.1:8081", Service: "ice", Slots: 40}).
 
@@ -18,18 +19,18 @@
 )
 
 const (
-	announceBound = 30 * time.Second
-	announcePause = 200 * time.Millisecond
-	leaveBound    = 10 * time.Minute
+	announceTimeout       = 30 * time.Second
+	announceRetryInterval = 200 * time.Millisecond
+	leaveTimeout          = 10 * time.Minute
 )
 
-// PathError reports a nested call that is not given as /service/path.
+// PathError reports a nested call that does not have the form /service/path.
 type PathError struct{ Path string }
 
-// Error names the path.
+// Error returns the path and the expected form.
 func (e PathError) Error() string { return fmt.Sprintf("call: %q: want /service/path", e.Path) }
 
-// Backend runs a backend server stand-in until ctx is done, and then lets it leave.
+// Backend runs a stand-in for a backend server until ctx is done, and then stops it as planned.
 func Backend(ctx context.Context, p commander.Process, o commander.BackendOptions) error {
 	calls, err := parseCalls(o.Calls)
 	if err != nil {
@@ -59,9 +60,9 @@
 	logger.Info("backend server stand-in announced", "address", s.Address(), "node", o.Node)
 	<-ctx.Done()
 	logger.Info("backend server stand-in leaving")
-	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveBound)
+	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
-	if err := s.Leave(leave); err != nil {
+	if err := s.Leave(leaveCtx); err != nil {
 		return err
 	}
 	logger.Info("backend server stand-in stopped", "served", s.Served())
@@ -69,22 +70,22 @@
 }
 
 func announce(ctx context.Context, s *responder.Server) error {
-	bound, cancel := context.WithTimeout(ctx, announceBound)
+	announceCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	for {
-		err := s.Announce(bound)
+		err := s.Announce(announceCtx)
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-bound.Done():
+		case <-announceCtx.Done():
 			return err
-		case <-time.After(announcePause):
+		case <-time.After(announceRetryInterval):
 		}
 	}
 }
 
-// Two VMs may run the same service at the same address, so the name is drawn.
+// newEndpoint returns a random id, since two VMs may run the same service at the same address.
 func newEndpoint(service string) string {
 	var b [4]byte
 	_, _ = rand.Read(b[:])
