--- a/internal/faulter/faulter.go
+++ b/internal/faulter/faulter.go
@@ -81,10 +81,10 @@
 	return names
 }
 
-// lanes is how many scenarios run at a time; most of a run is waiting.
-const lanes = 3
+// maxParallelScenarios is how many scenarios run at a time; most of a run is waiting.
+const maxParallelScenarios = 3
 
-type verdict struct {
+type scenarioResult struct {
 	figures Figures
 	err     error
 }
@@ -93,28 +93,28 @@
 func Run(ctx context.Context, o Options, report func(Figures) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	free := make(chan struct{}, lanes)
-	var verdicts []chan verdict
-	var wanted []scenario
+	running := make(chan struct{}, maxParallelScenarios)
+	var results []chan scenarioResult
+	var selected []scenario
 	for _, s := range scenarios {
 		if len(o.Scenarios) > 0 && !slices.Contains(o.Scenarios, s.name) {
 			continue
 		}
-		wanted = append(wanted, s)
-		verdicts = append(verdicts, make(chan verdict, 1))
+		selected = append(selected, s)
+		results = append(results, make(chan scenarioResult, 1))
 	}
 	go func() {
-		for i, s := range wanted {
-			free <- struct{}{}
+		for i, s := range selected {
+			running <- struct{}{}
 			go func() {
-				f, err := runScenario(ctx, s.fill(), o.Seed)
-				verdicts[i] <- verdict{f, err}
-				<-free
+				f, err := runScenario(ctx, s.withDefaults(), o.Seed)
+				results[i] <- scenarioResult{f, err}
+				<-running
 			}()
 		}
 	}()
-	for i, s := range wanted {
-		v := <-verdicts[i]
+	for i, s := range selected {
+		v := <-results[i]
 		if v.err != nil {
 			return fmt.Errorf("scenario %s: %w", s.name, v.err)
 		}
@@ -131,5 +131,5 @@
 		return Figures{}, err
 	}
 	defer r.fleet.Close()
-	return r.do(ctx)
+	return r.execute(ctx)
 }
--- a/internal/faulter/faulter_test.go
+++ b/internal/faulter/faulter_test.go
@@ -11,8 +11,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// rounding is less than any call, and more than floating point loses over a run.
-const rounding = 0.01
+// roundingTolerance is less than any call, and more than floating point loses over a run.
+const roundingTolerance = 0.01
 
 // Everything that can go wrong with the fleet's agreement shows in the end at a caller: a team gets more than it
 // bought, a booking is made twice, a "not run" is believed and wrong, or an old preset comes back. So real nodes are put
@@ -27,7 +27,7 @@
 		names = slices.DeleteFunc(names, func(n string) bool { return n == f.Scenario })
 		t.Logf("%s: %d calls, exceeded %.2f, reasons %v", f.Scenario, f.Calls, f.RateExceeded, f.Reasons)
 		assert.Check(t, f.Calls > 100, "%s: the load did not run", f.Scenario)
-		assert.Check(t, f.RateExceeded < rounding, "%s: a team got %.3f calls too many", f.Scenario, f.RateExceeded)
+		assert.Check(t, f.RateExceeded < roundingTolerance, "%s: a team got %.3f calls too many", f.Scenario, f.RateExceeded)
 		assert.Check(t, f.DoubleRuns == 0, "%s: %d ids ran again", f.Scenario, f.DoubleRuns)
 		assert.Check(t, f.FalseNotRun == 0, "%s: %d refusals said untruly that nothing ran", f.Scenario, f.FalseNotRun)
 		assert.Check(t, f.Reverted == 0, "%s: the configuration went back %d times", f.Scenario, f.Reverted)
@@ -43,62 +43,62 @@
 func TestJudgeFindsEachFault(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
-	team := teamPlan{name: "captains", rate: 10, burst: 2, load: 0.5}
-	good := func() account {
-		a := account{teams: []teamPlan{team}, start: begin, length: time.Second}
-		a.call("r1", "a", at(-1), at(0))
-		a.call("r2", "", at(9), at(10))
-		a.call("r3", "b", at(99), at(100))
-		a.sendings = append(a.sendings, sending{
+	team := teamPlan{name: "captains", rate: 10, burst: 2, loadRatio: 0.5}
+	good := func() audit {
+		a := audit{teams: []teamPlan{team}, start: begin, length: time.Second}
+		a.addCall("r1", "a", at(-1), at(0))
+		a.addCall("r2", "", at(9), at(10))
+		a.addCall("r3", "b", at(99), at(100))
+		a.operations = append(a.operations, operation{
 			team: "captains", id: "c", attempts: []attempt{{request: "r9", notRun: true, status: 429}},
 		})
 		return a
 	}
-	faults := map[string]func(*account){
-		"one call too many in the burst": func(a *account) {
-			a.call("r4", "", at(19), at(20))
+	faults := map[string]func(*audit){
+		"one call too many in the burst": func(a *audit) {
+			a.addCall("r4", "", at(19), at(20))
 		},
-		"an id that ran at two backend servers": func(a *account) {
+		"an id that ran at two backend servers": func(a *audit) {
 			a.starts[2].Idempotency = "a"
 		},
-		"a refused request that ran": func(a *account) {
-			a.sendings[len(a.sendings)-1].attempts[0].request = "r2"
+		"a refused request that ran": func(a *audit) {
+			a.operations[len(a.operations)-1].attempts[0].request = "r2"
 		},
 	}
-	broken := func(a account) bool {
-		return a.rateExceeded() > rounding || a.doubleRuns() > 0 || a.falseNotRun() > 0
+	violated := func(a audit) bool {
+		return a.rateExceeded() > roundingTolerance || a.doubleRuns() > 0 || a.falseNotRun() > 0
 	}
-	assert.Assert(t, !broken(good()))
-	sentTogether := account{teams: []teamPlan{team}}
-	sentBefore := account{teams: []teamPlan{team}}
+	assert.Assert(t, !violated(good()))
+	sentTogether := audit{teams: []teamPlan{team}}
+	sentBefore := audit{teams: []teamPlan{team}}
 	for i, r := range []string{"r1", "r2", "r3"} {
-		sentTogether.call(r, "", at(0), at(1))
-		sentBefore.call(r, "", at(-100*i), at(1))
+		sentTogether.addCall(r, "", at(0), at(1))
+		sentBefore.addCall(r, "", at(-100*i), at(1))
 	}
-	assert.Assert(t, broken(sentTogether), "three at once with a burst of two")
-	assert.Assert(t, !broken(sentBefore), "three that start at once, paid for one after the other")
-	for name, plant := range faults {
+	assert.Assert(t, violated(sentTogether), "three at once with a burst of two")
+	assert.Assert(t, !violated(sentBefore), "three that start at once, paid for one after the other")
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			a := good()
-			plant(&a)
-			assert.Assert(t, broken(a))
+			inject(&a)
+			assert.Assert(t, violated(a))
 		})
 	}
 	w := newWatcher(nil)
-	w.note("n1", 5)
-	w.everyone = 5
-	w.note("n2", 5)
+	w.recordVersion("n1", 5)
+	w.versionEverywhere = 5
+	w.recordVersion("n2", 5)
 	assert.Equal(t, w.reversals(), 0)
-	w.note("n1", 4)
+	w.recordVersion("n1", 4)
 	assert.Equal(t, w.reversals(), 1, "a node that goes back")
-	w.note("n3", 4)
+	w.recordVersion("n3", 4)
 	assert.Equal(t, w.reversals(), 2, "a new node that starts with what is out of force everywhere")
 }
 
-// call writes down a call as its caller and its backend server would.
-func (a *account) call(request, id string, sent, start time.Time) {
+// addCall writes down a call as its caller and its backend server would.
+func (a *audit) addCall(request, id string, sent, start time.Time) {
 	a.starts = append(a.starts, responder.RunStart{At: start, Team: "captains", Request: request, Idempotency: id})
-	a.sendings = append(a.sendings, sending{
+	a.operations = append(a.operations, operation{
 		team: "captains", id: id, attempts: []attempt{{request: request, sent: sent, status: 200}},
 	})
 }
--- a/internal/faulter/faults.go
+++ b/internal/faulter/faults.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	faultTime = 4 * time.Second
-	// changeBound is how long a change may take before the run counts as failed.
-	changeBound = 10 * time.Second
+	faultDuration = 4 * time.Second
+	// changeTimeout is how long a change may take before the run counts as failed.
+	changeTimeout = 10 * time.Second
 	// longPause is longer than every lease but the one on the log.
 	longPause = 9 * time.Second
 )
 
-// change switches the preset and measures how long it takes to be in force.
-func (r *run) change(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, changeBound)
+// switchPreset switches the preset and measures how long it takes to be in force.
+func (r *run) switchPreset(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	v, err := r.fleet.Publisher.Load(ctx)
 	if err != nil {
@@ -51,51 +51,51 @@
 	return &ms
 }
 
-func healthy(ctx context.Context, r *run) error { return r.change(ctx) }
+func healthy(ctx context.Context, r *run) error { return r.switchPreset(ctx) }
 
-func (r *run) setLog(set func(*logkeeper.Switches)) {
+func (r *run) setLogSwitches(set func(*logkeeper.Switches)) {
 	s := r.fleet.Keeper.Switches()
 	set(&s)
 	r.fleet.Keeper.Set(s)
 }
 
 func logOutage(ctx context.Context, r *run) error {
-	r.setLog(func(s *logkeeper.Switches) { s.Outage = true })
-	clock.Sleep(ctx, faultTime)
-	r.setLog(func(s *logkeeper.Switches) { s.Outage = false })
-	return r.change(ctx)
+	r.setLogSwitches(func(s *logkeeper.Switches) { s.Outage = true })
+	clock.Sleep(ctx, faultDuration)
+	r.setLogSwitches(func(s *logkeeper.Switches) { s.Outage = false })
+	return r.switchPreset(ctx)
 }
 
 func lostAppendAnswers(ctx context.Context, r *run) error {
 	const lost = 20
-	r.setLog(func(s *logkeeper.Switches) { s.LostAnswers = lost })
+	r.setLogSwitches(func(s *logkeeper.Switches) { s.LostAnswers = lost })
 	// The operator's own append is among those whose answers get lost.
-	return r.change(ctx)
+	return r.switchPreset(ctx)
 }
 
 func domainCut(ctx context.Context, r *run) error {
-	r.cutOff(domains[0], true)
+	r.setPartitioned(domains[0], true)
 	began := time.Now()
-	if err := r.change(ctx); err != nil {
+	if err := r.switchPreset(ctx); err != nil {
 		return err
 	}
-	clock.SleepUntil(ctx, began.Add(faultTime))
-	r.cutOff(domains[0], false)
+	clock.SleepUntil(ctx, began.Add(faultDuration))
+	r.setPartitioned(domains[0], false)
 	return nil
 }
 
 func nodePaused(ctx context.Context, r *run) error {
-	paused := r.pause(r.mostClaims())
-	err := r.change(ctx)
+	paused := r.pause(r.memberWithMostClaims())
+	err := r.switchPreset(ctx)
 	<-paused
 	return err
 }
 
 func holderCrash(ctx context.Context, r *run) error {
 	const replaceAfter = 2 * time.Second
-	i := r.mostClaims()
+	i := r.memberWithMostClaims()
 	r.killNode(i)
-	if err := r.change(ctx); err != nil {
+	if err := r.switchPreset(ctx); err != nil {
 		return err
 	}
 	clock.Sleep(ctx, replaceAfter)
@@ -111,7 +111,7 @@
 }
 
 // restartAll has each VM's backend server leave and its node stop, and puts new processes in their places.
-func (r *run) restartAll(ctx context.Context, await func(context.Context) error) error {
+func (r *run) restartAll(ctx context.Context, awaitNext func(context.Context) error) error {
 	var longest time.Duration
 	for i := range r.fleet.Members {
 		d, err := r.restart(ctx, i)
@@ -119,13 +119,13 @@
 			return err
 		}
 		longest = max(longest, d)
-		if err := await(ctx); err != nil {
+		if err := awaitNext(ctx); err != nil {
 			return err
 		}
 		if i > 0 {
 			continue
 		}
-		if err := r.change(ctx); err != nil {
+		if err := r.switchPreset(ctx); err != nil {
 			return err
 		}
 	}
@@ -149,7 +149,7 @@
 
 // operatorRace has two operators who have seen the same version change the same thing at once.
 func operatorRace(ctx context.Context, r *run) error {
-	ctx, cancel := context.WithTimeout(ctx, changeBound)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	v, err := r.fleet.Publisher.Load(ctx)
 	if err != nil {
@@ -200,45 +200,45 @@
 
 // keyWithdrawn ends a team's key while its calls come over open connections.
 func keyWithdrawn(ctx context.Context, r *run) error {
-	if err := r.fleet.Withdraw(ctx, r.fleet.Keys[withinTeam]); err != nil {
+	if err := r.fleet.Withdraw(ctx, r.fleet.Keys[withinRateTeam]); err != nil {
 		return err
 	}
 	accepted := time.Now()
-	clock.Sleep(ctx, faultTime)
-	r.figures.WithdrawnKeyMs = milliseconds(r.lastStart(accepted, func(int) bool { return true }, withinTeam))
+	clock.Sleep(ctx, faultDuration)
+	r.figures.WithdrawnKeyMs = milliseconds(r.lastStartAfter(accepted, func(int) bool { return true }, withinRateTeam))
 	return nil
 }
 
 // backendLeaving has a backend server leave that goes on listening, so that late work is seen.
 func backendLeaving(ctx context.Context, r *run) error {
-	busiest := r.busiest()
+	busiest := r.busiestMember()
 	began := time.Now()
 	if err := r.fleet.Members[busiest].Backend.Drain(ctx); err != nil {
 		return err
 	}
-	clock.Sleep(ctx, faultTime)
-	r.figures.LastNewCallMs = milliseconds(r.lastStart(began, func(i int) bool { return i == busiest }, ""))
+	clock.Sleep(ctx, faultDuration)
+	r.figures.LastNewCallMs = milliseconds(r.lastStartAfter(began, func(i int) bool { return i == busiest }, ""))
 	return nil
 }
 
 // backendDead has a backend server hang: it takes calls, answers none and says nothing.
 func backendDead(ctx context.Context, r *run) error {
-	busiest := r.busiest()
+	busiest := r.busiestMember()
 	began := time.Now()
 	b := r.fleet.Members[busiest].Backend
 	b.SetServiceTime(time.Hour)
 	b.Silence()
-	clock.Sleep(ctx, faultTime)
-	r.figures.LastNewCallMs = milliseconds(r.lastStart(began, func(i int) bool { return i == busiest }, ""))
+	clock.Sleep(ctx, faultDuration)
+	r.figures.LastNewCallMs = milliseconds(r.lastStartAfter(began, func(i int) bool { return i == busiest }, ""))
 	return nil
 }
 
-// lastStart returns how long after the moment a call of the team last reached one of the backend servers; an empty
+// lastStartAfter returns how long after the moment a call of the team last reached one of the backend servers; an empty
 // team means all.
-func (r *run) lastStart(since time.Time, server func(i int) bool, team identifier.Team) time.Duration {
+func (r *run) lastStartAfter(since time.Time, include func(i int) bool, team identifier.Team) time.Duration {
 	var last time.Duration
 	for i, m := range r.fleet.Members {
-		if !server(i) {
+		if !include(i) {
 			continue
 		}
 		for _, s := range m.Backend.Starts() {
@@ -251,29 +251,29 @@
 }
 
 func logOutageAndHolderCrash(ctx context.Context, r *run) error {
-	r.setLog(func(s *logkeeper.Switches) { s.Outage = true })
-	i := r.mostClaims()
+	r.setLogSwitches(func(s *logkeeper.Switches) { s.Outage = true })
+	i := r.memberWithMostClaims()
 	r.killNode(i)
-	clock.Sleep(ctx, faultTime)
+	clock.Sleep(ctx, faultDuration)
 	// The replacement boots while the log is down, through its peers.
 	if err := r.startNode(ctx, i); err != nil {
 		return err
 	}
 	clock.Sleep(ctx, time.Second)
-	r.setLog(func(s *logkeeper.Switches) { s.Outage = false })
-	return r.change(ctx)
+	r.setLogSwitches(func(s *logkeeper.Switches) { s.Outage = false })
+	return r.switchPreset(ctx)
 }
 
 func domainCutAndNodePaused(ctx context.Context, r *run) error {
-	r.cutOff(domains[0], true)
+	r.setPartitioned(domains[0], true)
 	first := r.pause(1)
 	second := r.pause(0)
 	began := time.Now()
-	if err := r.change(ctx); err != nil {
+	if err := r.switchPreset(ctx); err != nil {
 		return err
 	}
-	clock.SleepUntil(ctx, began.Add(faultTime))
-	r.cutOff(domains[0], false)
+	clock.SleepUntil(ctx, began.Add(faultDuration))
+	r.setPartitioned(domains[0], false)
 	<-first
 	<-second
 	return nil
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -13,41 +13,41 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// account is all that was written down in a run.
-type account struct {
+// audit is all that was written down in a run.
+type audit struct {
 	teams    []teamPlan
 	start    time.Time
 	length   time.Duration
-	sendings []sending
+	operations []operation
 	starts   []responder.RunStart
 }
 
 // rateExceeded is the largest excess, in calls, of any team in any window. A call is paid for somewhere between its sending
 // and its start at a backend server, and nobody outside the nodes sees when. So it is asked whether there is any choice
 // of moments at which one bucket for all VMs could have paid for all starts; only what no choice can explain counts.
-func (a account) rateExceeded() float64 {
+func (a audit) rateExceeded() float64 {
 	var largest float64
 	for _, t := range a.teams {
-		largest = max(largest, excess(t, a.paymentsOf(t.name)))
+		largest = max(largest, excess(t, a.chargesOf(t.name)))
 	}
 	return largest
 }
 
-// payment is the time within which one call was paid for.
-type payment struct{ from, by time.Time }
+// chargeWindow is the time within which one call was paid for.
+type chargeWindow struct{ earliest, latest time.Time }
 
-// paymentsOf joins the backend servers' starts to the callers' sendings. A request that was retried after a lost answer
+// chargesOf joins the backend servers' starts to the callers' sendings. A request that was retried after a lost answer
 // is paid for once. Where the answer never came, its caller does not know the request's id; such a call was sent at
 // most a caller's patience before.
-func (a account) paymentsOf(team identifier.Team) []payment {
+func (a audit) chargesOf(team identifier.Team) []chargeWindow {
 	sent := make(map[string]time.Time)
-	for _, s := range a.sendings {
+	for _, s := range a.operations {
 		for _, t := range s.attempts {
 			sent[t.request] = t.sent
 		}
 	}
 	seen := make(map[string]bool)
-	var list []payment
+	var list []chargeWindow
 	for _, s := range a.starts {
 		if s.Team != string(team) || seen[s.Request] {
 			continue
@@ -57,16 +57,16 @@
 		if !known || s.Request == "" {
 			from = s.At.Add(-attemptTimeout)
 		}
-		list = append(list, payment{from: from, by: s.At})
+		list = append(list, chargeWindow{earliest: from, latest: s.At})
 	}
-	slices.SortFunc(list, func(x, y payment) int { return x.from.Compare(y.from) })
+	slices.SortFunc(list, func(x, y chargeWindow) int { return x.earliest.Compare(y.earliest) })
 	return list
 }
 
-func (a account) startsOf(team identifier.Team) []time.Time {
+func (a audit) startsOf(team identifier.Team) []time.Time {
 	var list []time.Time
-	for _, p := range a.paymentsOf(team) {
-		list = append(list, p.by)
+	for _, p := range a.chargesOf(team) {
+		list = append(list, p.latest)
 	}
 	slices.SortFunc(list, time.Time.Compare)
 	return list
@@ -79,35 +79,35 @@
 	level float64
 }
 
-func (b *bucket) moveTo(at time.Time) {
+func (b *bucket) advanceTo(at time.Time) {
 	if at.After(b.at) {
 		b.level = min(b.team.burst, b.level+b.team.rate*at.Sub(b.at).Seconds())
 		b.at = at
 	}
 }
 
-// full is when the bucket can pay for the next call.
-func (b *bucket) full() time.Time {
+// nextTokenAt is when the bucket can pay for the next call.
+func (b *bucket) nextTokenAt() time.Time {
 	// A nanosecond's part of a token is less than rounding can lose.
 	return b.at.Add(time.Duration((1 - b.level) / b.team.rate * float64(time.Second))).Add(time.Microsecond)
 }
 
 // excess pays for each call as soon as it was sent and the bucket allows, the one that started first before the others;
 // no other order does better. A call that has started is paid for in any case, and what is missing at worst is the excess.
-func excess(t teamPlan, calls []payment) float64 {
+func excess(t teamPlan, calls []chargeWindow) float64 {
 	if len(calls) == 0 {
 		return 0
 	}
-	b := &bucket{team: t, at: calls[0].from, level: t.burst}
-	var waiting []payment
+	b := &bucket{team: t, at: calls[0].earliest, level: t.burst}
+	var waiting []chargeWindow
 	var worst float64
 	for len(calls) > 0 || len(waiting) > 0 {
-		b.moveTo(nextMoment(b, calls, waiting))
-		for len(calls) > 0 && !calls[0].from.After(b.at) {
+		b.advanceTo(nextEventTime(b, calls, waiting))
+		for len(calls) > 0 && !calls[0].earliest.After(b.at) {
 			waiting = insert(waiting, calls[0])
 			calls = calls[1:]
 		}
-		for len(waiting) > 0 && (b.level >= 1 || !waiting[0].by.After(b.at)) {
+		for len(waiting) > 0 && (b.level >= 1 || !waiting[0].latest.After(b.at)) {
 			waiting = waiting[1:]
 			b.level--
 			worst = max(worst, -b.level)
@@ -116,8 +116,8 @@
 	return worst
 }
 
-// nextMoment is when something can happen: a call is sent, one that waits starts, or the bucket can pay for it.
-func nextMoment(b *bucket, calls, waiting []payment) time.Time {
+// nextEventTime is when something can happen: a call is sent, one that waits starts, or the bucket can pay for it.
+func nextEventTime(b *bucket, calls, waiting []chargeWindow) time.Time {
 	var next time.Time
 	consider := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
@@ -125,22 +125,22 @@
 		}
 	}
 	if len(calls) > 0 {
-		consider(calls[0].from)
+		consider(calls[0].earliest)
 	}
 	if len(waiting) > 0 {
-		consider(waiting[0].by)
-		consider(b.full())
+		consider(waiting[0].latest)
+		consider(b.nextTokenAt())
 	}
 	return next
 }
 
-func insert(waiting []payment, p payment) []payment {
-	i, _ := slices.BinarySearchFunc(waiting, p, func(x, y payment) int { return x.by.Compare(y.by) })
+func insert(waiting []chargeWindow, p chargeWindow) []chargeWindow {
+	i, _ := slices.BinarySearchFunc(waiting, p, func(x, y chargeWindow) int { return x.latest.Compare(y.latest) })
 	return slices.Insert(waiting, i, p)
 }
 
 // doubleRuns counts the runs beyond the first of each idempotency id, over all backend servers.
-func (a account) doubleRuns() int {
+func (a audit) doubleRuns() int {
 	runs := make(map[string]int)
 	double := 0
 	for _, s := range a.starts {
@@ -156,13 +156,13 @@
 }
 
 // falseNotRun counts the refusals that say "not run" of a request that a backend server has a start of.
-func (a account) falseNotRun() int {
+func (a audit) falseNotRun() int {
 	started := make(map[string]bool)
 	for _, s := range a.starts {
 		started[s.Request] = true
 	}
 	n := 0
-	for _, s := range a.sendings {
+	for _, s := range a.operations {
 		for _, t := range s.attempts {
 			if t.notRun && started[t.request] {
 				n++
@@ -174,13 +174,13 @@
 
 // rateServed is what reached the backend servers of the teams that sent more than their rate, as a part of their rate.
 // The first seconds don't count: in them the burst is used up.
-func (a account) rateServed() (float64, bool) {
+func (a audit) rateServed() (float64, bool) {
 	var served, entitled float64
 	for _, t := range a.teams {
-		if t.load < 1 {
+		if t.loadRatio < 1 {
 			continue
 		}
-		from := a.start.Add(settling)
+		from := a.start.Add(burstUseTime)
 		to := a.start.Add(a.length)
 		for _, at := range a.startsOf(t.name) {
 			if at.After(from) && at.Before(to) {
@@ -193,10 +193,10 @@
 }
 
 // bookingsServed is the part of the bookings of teams within their rate that were answered in the end.
-func (a account) bookingsServed() (float64, bool) {
+func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
-	for _, s := range a.sendings {
-		if s.id == "" || !a.isWithin(s.team) {
+	for _, s := range a.operations {
+		if s.id == "" || !a.isWithinRate(s.team) {
 			continue
 		}
 		all++
@@ -207,13 +207,13 @@
 	return served / all, all > 0
 }
 
-// wrongful is the part of the attempts of teams within their rate that were refused or got no answer. The second of
+// wrongfulRefusals is the part of the attempts of teams within their rate that were refused or got no answer. The second of
 // two attempts made at once is the caller's own fault and doesn't count, nor does a retry.
-func (a account) wrongful() (ratio float64, reasons map[string]int, ok bool) {
+func (a audit) wrongfulRefusals() (ratio float64, reasons map[string]int, ok bool) {
 	var all, refused float64
 	reasons = make(map[string]int)
-	for _, s := range a.sendings {
-		if !a.isWithin(s.team) || len(s.attempts) == 0 {
+	for _, s := range a.operations {
+		if !a.isWithinRate(s.team) || len(s.attempts) == 0 {
 			continue
 		}
 		all++
@@ -238,7 +238,7 @@
 	}
 }
 
-func (a account) isWithin(team identifier.Team) bool {
+func (a audit) isWithinRate(team identifier.Team) bool {
 	i := slices.IndexFunc(a.teams, func(t teamPlan) bool { return t.name == team })
-	return i >= 0 && a.teams[i].load < 1
+	return i >= 0 && a.teams[i].loadRatio < 1
 }
--- a/internal/faulter/load.go
+++ b/internal/faulter/load.go
@@ -27,10 +27,10 @@
 
 const (
 	attemptTimeout = 2500 * time.Millisecond
-	tries          = 4
-	firstPause     = 100 * time.Millisecond
-	// crossed is the part of the bookings that are sent twice at once.
-	crossed = 0.1
+	maxAttempts          = 4
+	firstBackoff     = 100 * time.Millisecond
+	// duplicateSendRatio is the part of the bookings that are sent twice at once.
+	duplicateSendRatio = 0.1
 )
 
 // attempt is one sending, as its caller saw it.
@@ -49,15 +49,15 @@
 
 func (a attempt) succeeded() bool { return a.status == http.StatusOK }
 
-// sending is one thing that a caller wants done, with all its attempts.
-type sending struct {
+// operation is one thing that a caller wants done, with all its attempts.
+type operation struct {
 	team     identifier.Team
 	at       time.Duration
 	id       string
 	attempts []attempt
 }
 
-func (s sending) succeeded() bool {
+func (s operation) succeeded() bool {
 	for _, a := range s.attempts {
 		if a.succeeded() {
 			return true
@@ -66,18 +66,18 @@
 	return false
 }
 
-// spread says at which VM a call comes in.
-type spread func(at time.Duration, r *rand.Rand) int
+// chooseNode says at which VM a call comes in.
+type nodeChoice func(at time.Duration, r *rand.Rand) int
 
-func anywhere(_ time.Duration, r *rand.Rand) int { return r.IntN(vms) }
+func anyNode(_ time.Duration, r *rand.Rand) int { return r.IntN(vms) }
 
-func atOneNode(time.Duration, *rand.Rand) int { return 1 }
+func oneNode(time.Duration, *rand.Rand) int { return 1 }
 
-func atTwoDomains(_ time.Duration, r *rand.Rand) int { return r.IntN(2) }
+func nodesOfTwoDomains(_ time.Duration, r *rand.Rand) int { return r.IntN(2) }
 
-func moving(at time.Duration, _ *rand.Rand) int { return int(at/time.Second) % vms }
+func rotatingNode(at time.Duration, _ *rand.Rand) int { return int(at/time.Second) % vms }
 
-// load sends the calls of all teams for a time and collects what became of them.
+// loadRatio sends the calls of all teams for a time and collects what became of them.
 type load struct {
 	run    *run
 	client *http.Client
@@ -85,7 +85,7 @@
 	length time.Duration
 
 	mu       sync.Mutex
-	sendings []sending
+	operations []operation
 	group    sync.WaitGroup
 }
 
@@ -113,53 +113,53 @@
 func (l *load) stream(ctx context.Context, t teamPlan, r *rand.Rand) {
 	var at time.Duration
 	for {
-		at += time.Duration(r.ExpFloat64() / (t.rate * t.load) * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / (t.rate * t.loadRatio) * float64(time.Second))
 		if at >= l.length || !clock.SleepUntil(ctx, l.start.Add(at)) {
 			return
 		}
-		s := sending{team: t.name, at: at}
-		if r.Float64() < t.booking {
+		s := operation{team: t.name, at: at}
+		if r.Float64() < t.bookingRatio {
 			s.id = uuid.Must(uuid.NewV7()).String()
 		}
-		node := l.run.scenario.spread(at, r)
-		twice := s.id != "" && r.Float64() < crossed
-		l.group.Go(func() { l.pursue(ctx, s, node, twice) })
+		node := l.run.scenario.chooseNode(at, r)
+		sendTwice := s.id != "" && r.Float64() < duplicateSendRatio
+		l.group.Go(func() { l.runOperation(ctx, s, node, sendTwice) })
 	}
 }
 
-func (l *load) pursue(ctx context.Context, s sending, node int, twice bool) {
+func (l *load) runOperation(ctx context.Context, s operation, node int, sendTwice bool) {
 	var second attempt
 	var group sync.WaitGroup
-	if twice {
+	if sendTwice {
 		from := (node + 1) % vms
-		group.Go(func() { second, _ = l.tryUp(ctx, s, from) })
+		group.Go(func() { second, _ = l.attemptAtReachableNode(ctx, s, from) })
 	}
-	for i := range tries {
+	for i := range maxAttempts {
 		var a attempt
-		a, node = l.tryUp(ctx, s, node)
+		a, node = l.attemptAtReachableNode(ctx, s, node)
 		s.attempts = append(s.attempts, a)
 		if s.id == "" || a.succeeded() || isFinal(a.reason) {
 			break
 		}
-		time.Sleep(firstPause << i)
+		time.Sleep(firstBackoff << i)
 		node = (node + 1) % vms
 	}
 	group.Wait()
-	if twice {
+	if sendTwice {
 		s.attempts = append(s.attempts, second)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sendings = append(l.sendings, s)
+	l.operations = append(l.operations, s)
 }
 
 // isFinal tells that a careful caller doesn't ask again: it is over its rate, or no answer can tell more.
 func isFinal(reason string) bool { return reason == "rateExceeded" || reason == "outcomeUnknown" }
 
-// tryUp passes over nodes that take no connection, as any client with a list of addresses does.
-func (l *load) tryUp(ctx context.Context, s sending, node int) (attempt, int) {
+// attemptAtReachableNode passes over nodes that take no connection, as any client with a list of addresses does.
+func (l *load) attemptAtReachableNode(ctx context.Context, s operation, node int) (attempt, int) {
 	for range vms {
-		a := l.try(ctx, s, node)
+		a := l.attemptAt(ctx, s, node)
 		if !a.notConnected {
 			return a, node
 		}
@@ -168,7 +168,7 @@
 	return attempt{node: node}, node
 }
 
-func (l *load) try(ctx context.Context, s sending, node int) attempt {
+func (l *load) attemptAt(ctx context.Context, s operation, node int) attempt {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	a := attempt{sent: time.Now(), node: node}
--- a/internal/faulter/plan.go
+++ b/internal/faulter/plan.go
@@ -35,28 +35,28 @@
 	name  identifier.Team
 	rate  float64
 	burst float64
-	load  float64
-	// booking is the part of the calls that must run at most once.
-	booking float64
+	loadRatio  float64
+	// bookingRatio is the part of the calls that must run at most once.
+	bookingRatio float64
 }
 
-// entitledTeam sends more than its rate, withinTeam stays within it. The first makes no bookings, so that each call it
+// overloadingTeam sends more than its rate, withinTeam stays within it. The first makes no bookings, so that each call it
 // pays for reaches a backend server and can be counted there.
 const (
-	entitledTeam identifier.Team = "okhotskAgents"
-	withinTeam   identifier.Team = "captains"
+	overloadingTeam identifier.Team = "okhotskAgents"
+	withinRateTeam   identifier.Team = "captains"
 )
 
 var usualTeams = []teamPlan{
-	{name: entitledTeam, rate: 100, burst: 50, load: 1.6},
-	{name: withinTeam, rate: 120, burst: 120, load: 0.6, booking: 0.7},
+	{name: overloadingTeam, rate: 100, burst: 50, loadRatio: 1.6},
+	{name: withinRateTeam, rate: 120, burst: 120, loadRatio: 0.6, bookingRatio: 0.7},
 }
 
 // Small teams send 70% of their rate as a Poisson stream to nodes at random; their burst is a second of the rate.
 var smallTeams = []teamPlan{
-	{name: "surveyors", rate: 8, burst: 8, load: 0.7, booking: 0.3},
-	{name: "ferryLines", rate: 15, burst: 15, load: 0.7, booking: 0.3},
-	{name: "harbourMasters", rate: 30, burst: 30, load: 0.7, booking: 0.3},
+	{name: "surveyors", rate: 8, burst: 8, loadRatio: 0.7, bookingRatio: 0.3},
+	{name: "ferryLines", rate: 15, burst: 15, loadRatio: 0.7, bookingRatio: 0.3},
+	{name: "harbourMasters", rate: 30, burst: 30, loadRatio: 0.7, bookingRatio: 0.3},
 }
 
 func planOf(teams []teamPlan) launcher.Plan {
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// settling is the time in which the overloading team uses up its burst.
-	settling = 1500 * time.Millisecond
-	// filling is the time after a fleet's start in which buckets fill and owners of ids come of age: what was asked
+	// burstUseTime is the time in which the overloading team uses up its burst.
+	burstUseTime = 1500 * time.Millisecond
+	// warmUpTime is the time after a fleet's start in which buckets fill and owners of ids come of age: what was asked
 	// for before an owner took over could have run under another.
-	filling = 2500 * time.Millisecond
+	warmUpTime = 2500 * time.Millisecond
 )
 
 type run struct {
@@ -38,8 +38,8 @@
 	mu sync.Mutex
 	// down are the VMs whose node doesn't run, cut those that nothing reaches.
 	down    map[int]bool
-	cut     map[identifier.FailureDomain]bool
-	retired []*responder.Server
+	partitioned     map[identifier.FailureDomain]bool
+	replacedBackends []*responder.Server
 	figures Figures
 	failure error
 }
@@ -54,7 +54,7 @@
 		seed:     seed,
 		fleet:    f,
 		down:     make(map[int]bool),
-		cut:      make(map[identifier.FailureDomain]bool),
+		partitioned:      make(map[identifier.FailureDomain]bool),
 		figures:  Figures{Scenario: s.name, Seed: seed},
 	}
 	for _, m := range f.Members {
@@ -65,9 +65,9 @@
 	return r, nil
 }
 
-// do runs the scenario and returns its figures.
-func (r *run) do(ctx context.Context) (Figures, error) {
-	clock.Sleep(ctx, filling)
+// execute runs the scenario and returns its figures.
+func (r *run) execute(ctx context.Context) (Figures, error) {
+	clock.Sleep(ctx, warmUpTime)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.watcher.watch(ctx)
@@ -76,8 +76,8 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if clock.Sleep(ctx, settling) && r.scenario.fault != nil {
-			r.fail(r.scenario.fault(ctx, r))
+		if clock.Sleep(ctx, burstUseTime) && r.scenario.fault != nil {
+			r.recordFailure(r.scenario.fault(ctx, r))
 		}
 	}()
 	r.load.send(ctx)
@@ -86,33 +86,33 @@
 	if r.failure != nil {
 		return Figures{}, r.failure
 	}
-	r.judge(before, after)
+	r.computeFigures(before, after)
 	return r.figures, ctx.Err()
 }
 
-func (r *run) fail(err error) {
+func (r *run) recordFailure(err error) {
 	if err != nil && r.failure == nil {
 		r.failure = err
 	}
 }
 
-func (r *run) judge(before, after meters) {
-	a := account{
+func (r *run) computeFigures(before, after meters) {
+	a := audit{
 		teams:    r.scenario.teams,
 		start:    r.load.start,
 		length:   r.load.length,
-		sendings: r.load.sendings,
+		operations: r.load.operations,
 		starts:   r.starts(),
 	}
 	f := &r.figures
-	f.Calls = len(a.sendings)
+	f.Calls = len(a.operations)
 	f.RateExceeded = a.rateExceeded()
 	f.DoubleRuns = a.doubleRuns()
 	f.FalseNotRun = a.falseNotRun()
 	f.Reverted = r.watcher.reversals()
 	f.RateServedRatio = optional(a.rateServed())
 	f.BookingsServedRatio = optional(a.bookingsServed())
-	wrongful, reasons, ok := a.wrongful()
+	wrongful, reasons, ok := a.wrongfulRefusals()
 	f.WrongfulRefusalRatio = optional(wrongful, ok)
 	f.Reasons = reasons
 	seconds := after.at.Sub(before.at).Seconds()
@@ -152,7 +152,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []responder.RunStart
-	for _, b := range r.retired {
+	for _, b := range r.replacedBackends {
 		list = append(list, b.Starts()...)
 	}
 	for _, m := range r.fleet.Members {
@@ -171,11 +171,11 @@
 	return n.ID(), n.Dump().Status.Version, true
 }
 
-// allHave tells whether the version is in force at every node that runs and isn't cut off.
-func (r *run) allHave(v identifier.Version) bool {
+// inForceEverywhere tells whether the version is in force at every node that runs and isn't cut off.
+func (r *run) inForceEverywhere(v identifier.Version) bool {
 	for i, m := range r.fleet.Members {
 		r.mu.Lock()
-		cut := r.cut[m.Domain]
+		cut := r.partitioned[m.Domain]
 		r.mu.Unlock()
 		if cut {
 			continue
@@ -217,23 +217,23 @@
 func (r *run) startBackend(ctx context.Context, i int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retired = append(r.retired, r.fleet.Members[i].Backend)
+	r.replacedBackends = append(r.replacedBackends, r.fleet.Members[i].Backend)
 	return r.fleet.StartBackend(ctx, r.fleet.Members[i])
 }
 
-func (r *run) cutOff(d identifier.FailureDomain, cut bool) {
+func (r *run) setPartitioned(d identifier.FailureDomain, partition bool) {
 	r.mu.Lock()
-	r.cut[d] = cut
+	r.partitioned[d] = partition
 	r.mu.Unlock()
-	if cut {
+	if partition {
 		r.fleet.Cut(d)
 		return
 	}
 	r.fleet.Heal(d)
 }
 
-// busiest returns the VM whose backend server got most calls so far.
-func (r *run) busiest() int {
+// busiestMember returns the VM whose backend server got most calls so far.
+func (r *run) busiestMember() int {
 	best, most := 0, int64(-1)
 	for i, m := range r.fleet.Members {
 		if n := m.Backend.Arrived(); n > most {
@@ -243,8 +243,8 @@
 	return best
 }
 
-// mostClaims returns the VM whose node has authority for most claims.
-func (r *run) mostClaims() int {
+// memberWithMostClaims returns the VM whose node has authority for most claims.
+func (r *run) memberWithMostClaims() int {
 	best, most := 0, -1
 	for i, m := range r.fleet.Members {
 		held := 0
--- a/internal/faulter/scenario.go
+++ b/internal/faulter/scenario.go
@@ -13,32 +13,32 @@
 type scenario struct {
 	name   string
 	teams  []teamPlan
-	spread spread
+	chooseNode nodeChoice
 	length time.Duration
 	fault  func(ctx context.Context, r *run) error
 }
 
 var scenarios = []scenario{
-	{name: "healthyOneNode", spread: atOneNode, length: 7 * time.Second, fault: healthy},
-	{name: "healthyTwoDomains", spread: atTwoDomains, length: 7 * time.Second, fault: healthy},
-	{name: "healthyMoving", spread: moving, length: 9 * time.Second, fault: healthy},
-	{name: "smallTeams", teams: smallTeams, spread: anywhere, length: 20 * time.Second},
-	{name: "rollingRestart", spread: anywhere, length: 30 * time.Second, fault: rollingRestart},
-	{name: "hastyRestart", spread: anywhere, length: 15 * time.Second, fault: hastyRestart},
-	{name: "logOutage", spread: anywhere, length: 8 * time.Second, fault: logOutage},
-	{name: "lostAppendAnswers", spread: anywhere, length: 6 * time.Second, fault: lostAppendAnswers},
-	{name: "domainCut", spread: anywhere, length: 9 * time.Second, fault: domainCut},
-	{name: "nodePaused", spread: anywhere, length: 14 * time.Second, fault: nodePaused},
-	{name: "holderCrash", spread: anywhere, length: 16 * time.Second, fault: holderCrash},
-	{name: "operatorRace", spread: anywhere, length: 4 * time.Second, fault: operatorRace},
-	{name: "keyWithdrawn", spread: anywhere, length: 6 * time.Second, fault: keyWithdrawn},
-	{name: "backendLeaving", spread: anywhere, length: 6 * time.Second, fault: backendLeaving},
-	{name: "backendDead", spread: anywhere, length: 6 * time.Second, fault: backendDead},
-	{name: "logOutageAndHolderCrash", spread: anywhere, length: 16 * time.Second, fault: logOutageAndHolderCrash},
-	{name: "domainCutAndNodePaused", spread: anywhere, length: 14 * time.Second, fault: domainCutAndNodePaused},
+	{name: "healthyOneNode", chooseNode: oneNode, length: 7 * time.Second, fault: healthy},
+	{name: "healthyTwoDomains", chooseNode: nodesOfTwoDomains, length: 7 * time.Second, fault: healthy},
+	{name: "healthyMoving", chooseNode: rotatingNode, length: 9 * time.Second, fault: healthy},
+	{name: "smallTeams", teams: smallTeams, chooseNode: anyNode, length: 20 * time.Second},
+	{name: "rollingRestart", chooseNode: anyNode, length: 30 * time.Second, fault: rollingRestart},
+	{name: "hastyRestart", chooseNode: anyNode, length: 15 * time.Second, fault: hastyRestart},
+	{name: "logOutage", chooseNode: anyNode, length: 8 * time.Second, fault: logOutage},
+	{name: "lostAppendAnswers", chooseNode: anyNode, length: 6 * time.Second, fault: lostAppendAnswers},
+	{name: "domainCut", chooseNode: anyNode, length: 9 * time.Second, fault: domainCut},
+	{name: "nodePaused", chooseNode: anyNode, length: 14 * time.Second, fault: nodePaused},
+	{name: "holderCrash", chooseNode: anyNode, length: 16 * time.Second, fault: holderCrash},
+	{name: "operatorRace", chooseNode: anyNode, length: 4 * time.Second, fault: operatorRace},
+	{name: "keyWithdrawn", chooseNode: anyNode, length: 6 * time.Second, fault: keyWithdrawn},
+	{name: "backendLeaving", chooseNode: anyNode, length: 6 * time.Second, fault: backendLeaving},
+	{name: "backendDead", chooseNode: anyNode, length: 6 * time.Second, fault: backendDead},
+	{name: "logOutageAndHolderCrash", chooseNode: anyNode, length: 16 * time.Second, fault: logOutageAndHolderCrash},
+	{name: "domainCutAndNodePaused", chooseNode: anyNode, length: 14 * time.Second, fault: domainCutAndNodePaused},
 }
 
-func (s scenario) fill() scenario {
+func (s scenario) withDefaults() scenario {
 	if s.teams == nil {
 		s.teams = usualTeams
 	}
--- a/internal/faulter/watch.go
+++ b/internal/faulter/watch.go
@@ -16,59 +16,59 @@
 
 const watchPeriod = 20 * time.Millisecond
 
-// seen is what a node was last found to have in force.
-type seen struct {
+// observed is what a node was last found to have in force.
+type observed struct {
 	version identifier.Version
-	// floor was in force everywhere when the node was first seen.
-	floor identifier.Version
+	// minVersion was in force everywhere when the node was first seen.
+	minVersion identifier.Version
 }
 
 type watcher struct {
 	run *run
 
 	mu       sync.Mutex
-	nodes    map[identifier.Node]*seen
-	everyone identifier.Version
-	reverted int
+	nodes    map[identifier.Node]*observed
+	versionEverywhere identifier.Version
+	reversalCount int
 }
 
 func newWatcher(r *run) *watcher {
-	return &watcher{run: r, nodes: make(map[identifier.Node]*seen)}
+	return &watcher{run: r, nodes: make(map[identifier.Node]*observed)}
 }
 
 func (w *watcher) watch(ctx context.Context) {
 	for clock.Sleep(ctx, watchPeriod) {
-		w.look()
+		w.sample()
 	}
 }
 
-func (w *watcher) look() {
+func (w *watcher) sample() {
 	lowest := identifier.Version(-1)
 	for i := range w.run.fleet.Members {
 		node, version, ok := w.run.versionAt(i)
 		if !ok {
 			continue
 		}
-		w.note(node, version)
+		w.recordVersion(node, version)
 		if lowest < 0 || version < lowest {
 			lowest = version
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.everyone = max(w.everyone, lowest)
+	w.versionEverywhere = max(w.versionEverywhere, lowest)
 }
 
-func (w *watcher) note(n identifier.Node, v identifier.Version) {
+func (w *watcher) recordVersion(n identifier.Node, v identifier.Version) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.nodes[n]
 	if s == nil {
-		s = &seen{floor: w.everyone}
+		s = &observed{minVersion: w.versionEverywhere}
 		w.nodes[n] = s
 	}
-	if v < s.version || v > 0 && s.version == 0 && v < s.floor {
-		w.reverted++
+	if v < s.version || v > 0 && s.version == 0 && v < s.minVersion {
+		w.reversalCount++
 	}
 	s.version = v
 }
@@ -76,13 +76,13 @@
 func (w *watcher) reversals() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.reverted
+	return w.reversalCount
 }
 
 // awaitVersion returns how long after the moment given the version was in force at all nodes that can know of it.
 func (w *watcher) awaitVersion(ctx context.Context, v identifier.Version, since time.Time) (time.Duration, bool) {
 	for {
-		if w.run.allHave(v) {
+		if w.run.inForceEverywhere(v) {
 			return time.Since(since), true
 		}
 		if !clock.Sleep(ctx, watchPeriod/4) {
