--- a/internal/faulter/doc.go
+++ b/internal/faulter/doc.go
@@ -1,2 +1,2 @@
-// Package faulter makes faults happen in a real fleet under load, and judges what callers got.
+// Package faulter injects faults into a real fleet under load and checks what callers and backend servers recorded.
 package faulter
--- a/internal/faulter/faulter.go
+++ b/internal/faulter/faulter.go
@@ -1,5 +1,5 @@
-// The measurement runs one scenario after the other, each on a fleet of its own, so that no scenario inherits the
-// traces of another.
+// Runs the scenarios and reports their figures. Each scenario runs on its own fleet, so that state left behind by one
+// scenario can't affect another.
 //
 // Example: faulter.Run(ctx, faulter.Options{Scenarios: []string{"logOutage"}}, func(f faulter.Figures) error { … })
 
@@ -14,54 +14,54 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// Options say what to run.
+// Options select the scenarios and the seed of a run.
 type Options struct {
-	// Scenarios limits the run; empty means all.
+	// Scenarios lists the scenarios to run; empty means all.
 	Scenarios []string
 	Seed      uint64
 }
 
-// Figures are the measures of one scenario; a nil field doesn't apply to it.
+// Figures are the measurements of one scenario; a nil field doesn't apply to it.
 type Figures struct {
 	Scenario string
 	Seed     uint64
 	Calls    int
-	// RateServedRatio is what the teams that send more than their rate got of it.
+	// RateServedRatio is the served rate of the teams that send more than their rate, as a ratio of their rate.
 	RateServedRatio *float64
 	// RateExceeded is the largest excess over rate×window+burst in any window, in calls.
 	RateExceeded float64
 	DoubleRuns   int
 	FalseNotRun  int
 	Reverted     int
-	// ConfigInForceMs counts from the acceptance of a change until it is in force at every node that can know of it.
+	// ConfigInForceMs counts from the acceptance of a change until it is in force at every reachable node.
 	ConfigInForceMs *int64
 	// WithdrawnKeyMs counts from the acceptance of the withdrawal until the key's last call reached a backend server.
 	WithdrawnKeyMs *int64
-	// DrainStopMs is the longest that a node took to stop as planned.
+	// DrainStopMs is the longest time that a planned stop of a node took.
 	DrainStopMs *int64
-	// LastNewCallMs is when the leaving or dead backend server got its last call.
+	// LastNewCallMs counts from the start of the leave or hang until the backend server received its last call.
 	LastNewCallMs *int64
-	// BookingsServedRatio is for teams within their rate, the callers' retries included.
+	// BookingsServedRatio covers teams within their rate and counts a booking as served if any attempt succeeded.
 	BookingsServedRatio *float64
-	// WrongfulRefusalRatio is for first attempts of teams within their rate.
+	// WrongfulRefusalRatio covers the first attempts of teams within their rate.
 	WrongfulRefusalRatio      *float64
 	Reasons                   map[string]int
 	AppendsPerSecond          float64
 	ControlBytesPerNodeSecond float64
 }
 
-// NotInForceError reports a change that was accepted and not seen at every node in time.
+// NotInForceError reports an accepted change that was not in force at every reachable node before the timeout.
 type NotInForceError struct {
 	Version identifier.Version
 	After   time.Duration
 }
 
-// Error names the version and the time.
+// Error names the version and the time waited.
 func (e NotInForceError) Error() string {
-	return fmt.Sprintf("version %d not in force everywhere after %s", e.Version, e.After)
+	return fmt.Sprintf("version %d not in force at every reachable node after %s", e.Version, e.After)
 }
 
-// RaceError reports racing operators that did not get one winner and one clear refusal.
+// RaceError reports that concurrent changes by two operators did not end with one accepted and one refused.
 type RaceError struct {
 	Winners int
 	Losers  int
@@ -69,7 +69,7 @@
 
 // Error names both numbers.
 func (e RaceError) Error() string {
-	return fmt.Sprintf("racing operators: %d accepted and %d refused, want one of each", e.Winners, e.Losers)
+	return fmt.Sprintf("concurrent changes by two operators: %d accepted and %d refused, expected one of each", e.Winners, e.Losers)
 }
 
 // Names returns the names of all scenarios.
@@ -81,7 +81,7 @@
 	return names
 }
 
-// maxParallelScenarios is how many scenarios run at a time; most of a run is waiting.
+// maxParallelScenarios bounds the scenarios that run at a time; several can share a machine, since a scenario mostly waits.
 const maxParallelScenarios = 3
 
 type scenarioResult struct {
@@ -89,7 +89,7 @@
 	err     error
 }
 
-// Run runs the scenarios and reports the figures of each, in their order.
+// Run runs the selected scenarios and reports the figures of each, in the order of the scenario table.
 func Run(ctx context.Context, o Options, report func(Figures) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/faulter/faulter_test.go
+++ b/internal/faulter/faulter_test.go
@@ -11,13 +11,13 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// roundingTolerance is less than any call, and more than floating point loses over a run.
+// roundingTolerance is less than one call and more than the floating-point error accumulated over a run.
 const roundingTolerance = 0.01
 
-// Everything that can go wrong with the fleet's agreement shows in the end at a caller: a team gets more than it
-// bought, a booking is made twice, a "not run" is believed and wrong, or an old preset comes back. So real nodes are put
-// through the faults under load, and the callers' and backend servers' own records must show none of it. The figures
-// of speed are logged and not judged, since they hang on the machine.
+// An error in the coordination between nodes ends up visible to a caller: a team gets more than its rate, a booking runs
+// twice, a refusal says "not run" about a request that ran, or an old preset comes back. Real nodes run through faults
+// under load, and the records of callers and backend servers must show none of these. Times are logged but not checked,
+// since they depend on the machine.
 func TestFaultsBreakNoPromise(t *testing.T) {
 	judged := []string{"logOutage", "domainCut", "nodePaused", "hastyRestart"}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
@@ -26,20 +26,20 @@
 	err := Run(ctx, Options{Scenarios: judged, Seed: 1}, func(f Figures) error {
 		names = slices.DeleteFunc(names, func(n string) bool { return n == f.Scenario })
 		t.Logf("%s: %d calls, exceeded %.2f, reasons %v", f.Scenario, f.Calls, f.RateExceeded, f.Reasons)
-		assert.Check(t, f.Calls > 100, "%s: the load did not run", f.Scenario)
-		assert.Check(t, f.RateExceeded < roundingTolerance, "%s: a team got %.3f calls too many", f.Scenario, f.RateExceeded)
-		assert.Check(t, f.DoubleRuns == 0, "%s: %d ids ran again", f.Scenario, f.DoubleRuns)
-		assert.Check(t, f.FalseNotRun == 0, "%s: %d refusals said untruly that nothing ran", f.Scenario, f.FalseNotRun)
-		assert.Check(t, f.Reverted == 0, "%s: the configuration went back %d times", f.Scenario, f.Reverted)
-		assert.Check(t, f.ConfigInForceMs != nil, "%s: no change came in force", f.Scenario)
+		assert.Check(t, f.Calls > 100, "%s: too few calls sent, the load did not run", f.Scenario)
+		assert.Check(t, f.RateExceeded < roundingTolerance, "%s: a team exceeded its rate by %.3f calls", f.Scenario, f.RateExceeded)
+		assert.Check(t, f.DoubleRuns == 0, "%s: %d repeated runs of an idempotency id", f.Scenario, f.DoubleRuns)
+		assert.Check(t, f.FalseNotRun == 0, "%s: %d refusals say not run about a request that ran", f.Scenario, f.FalseNotRun)
+		assert.Check(t, f.Reverted == 0, "%s: the configuration reverted %d times", f.Scenario, f.Reverted)
+		assert.Check(t, f.ConfigInForceMs != nil, "%s: no configuration change came into force", f.Scenario)
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Equal(t, len(names), 0, "not run: %v", names)
+	assert.Equal(t, len(names), 0, "scenarios without figures: %v", names)
 }
 
-// A judge that overlooks a fault makes every run above look good. Each kind of fault is written into an account by
-// hand, and the judge must find it, and find nothing in the same account without it.
+// If the computed figures missed a fault, TestFaultsBreakNoPromise would pass on a faulty fleet. Each kind of fault is put
+// into a hand-written audit; the figures must show it, and must show nothing for the same audit without it.
 func TestJudgeFindsEachFault(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
@@ -55,10 +55,10 @@
 		return a
 	}
 	faults := map[string]func(*audit){
-		"one call too many in the burst": func(a *audit) {
+		"one call more than the burst": func(a *audit) {
 			a.addCall("r4", "", at(19), at(20))
 		},
-		"an id that ran at two backend servers": func(a *audit) {
+		"an idempotency id that ran at two backend servers": func(a *audit) {
 			a.starts[2].Idempotency = "a"
 		},
 		"a refused request that ran": func(a *audit) {
@@ -75,8 +75,8 @@
 		sentTogether.addCall(r, "", at(0), at(1))
 		sentBefore.addCall(r, "", at(-100*i), at(1))
 	}
-	assert.Assert(t, violated(sentTogether), "three at once with a burst of two")
-	assert.Assert(t, !violated(sentBefore), "three that start at once, paid for one after the other")
+	assert.Assert(t, violated(sentTogether), "three calls sent at once with a burst of two must exceed the rate")
+	assert.Assert(t, !violated(sentBefore), "three calls started at once but sent 100 ms apart are within the rate")
 	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			a := good()
@@ -90,12 +90,12 @@
 	w.recordVersion("n2", 5)
 	assert.Equal(t, w.reversals(), 0)
 	w.recordVersion("n1", 4)
-	assert.Equal(t, w.reversals(), 1, "a node that goes back")
+	assert.Equal(t, w.reversals(), 1, "a node whose version decreases must count as a reversal")
 	w.recordVersion("n3", 4)
-	assert.Equal(t, w.reversals(), 2, "a new node that starts with what is out of force everywhere")
+	assert.Equal(t, w.reversals(), 2, "a new node with an older version than all others must count as a reversal")
 }
 
-// addCall writes down a call as its caller and its backend server would.
+// addCall records a call as its caller and its backend server would.
 func (a *audit) addCall(request, id string, sent, start time.Time) {
 	a.starts = append(a.starts, responder.RunStart{At: start, Team: "captains", Request: request, Idempotency: id})
 	a.operations = append(a.operations, operation{
--- a/internal/faulter/faults.go
+++ b/internal/faulter/faults.go
@@ -1,7 +1,7 @@
-// The faults are those that operators meet, made by the switches of the stand-ins and never by luck. Each also makes
-// one change of the configuration, since that is when a fault of its spreading would show.
+// The faults are those that operators meet. Switches of the stand-ins inject them, so they never depend on chance. Most
+// faults also change the configuration, since an error in its propagation would show during a fault.
 //
-// Example: domainCut cuts alfa off for four seconds, changes the preset meanwhile, and heals.
+// Example: domainCut partitions alfa for four seconds, switches the preset meanwhile, and heals the partition.
 
 package faulter
 
@@ -19,13 +19,13 @@
 
 const (
 	faultDuration = 4 * time.Second
-	// changeTimeout is how long a change may take before the run counts as failed.
+	// changeTimeout bounds the time for a change to come into force; a later one fails the run.
 	changeTimeout = 10 * time.Second
-	// longPause is longer than every lease but the one on the log.
+	// longPause is longer than every lease except the lease on the log.
 	longPause = 9 * time.Second
 )
 
-// switchPreset switches the preset and measures how long it takes to be in force.
+// switchPreset switches the preset and measures the time until it is in force at every reachable node.
 func (r *run) switchPreset(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 func lostAppendAnswers(ctx context.Context, r *run) error {
 	const lost = 20
 	r.setLogSwitches(func(s *logkeeper.Switches) { s.LostAnswers = lost })
-	// The operator's own append is among those whose answers get lost.
+	// The append of the operator's change is among those whose answers are lost.
 	return r.switchPreset(ctx)
 }
 
@@ -102,7 +102,7 @@
 	return r.startNode(ctx, i)
 }
 
-// rollingRestart replaces every VM in turn, as a careful upgrade does: it goes on only when each claim has a holder again.
+// rollingRestart replaces every VM in turn, as a careful upgrade does: it proceeds only when each claim has a holder again.
 func rollingRestart(ctx context.Context, r *run) error { return r.restartAll(ctx, r.fleet.AwaitReady) }
 
 // hastyRestart replaces the next VM as soon as the one before it listens.
@@ -110,7 +110,7 @@
 	return r.restartAll(ctx, func(context.Context) error { return nil })
 }
 
-// restartAll has each VM's backend server leave and its node stop, and puts new processes in their places.
+// restartAll drains each VM's backend server and stops its node, then starts new processes at the same addresses.
 func (r *run) restartAll(ctx context.Context, awaitNext func(context.Context) error) error {
 	var longest time.Duration
 	for i := range r.fleet.Members {
@@ -147,7 +147,7 @@
 	return d, r.startBackend(ctx, i)
 }
 
-// operatorRace has two operators who have seen the same version change the same thing at once.
+// operatorRace lets two operators who have read the same version make conflicting changes concurrently.
 func operatorRace(ctx context.Context, r *run) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// keyWithdrawn ends a team's key while its calls come over open connections.
+// keyWithdrawn withdraws a team's key while its calls arrive over open connections.
 func keyWithdrawn(ctx context.Context, r *run) error {
 	if err := r.fleet.Withdraw(ctx, r.fleet.Keys[withinRateTeam]); err != nil {
 		return err
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// backendLeaving has a backend server leave that goes on listening, so that late work is seen.
+// backendLeaving drains a backend server that keeps listening, so that calls sent to it after the drain are recorded.
 func backendLeaving(ctx context.Context, r *run) error {
 	busiest := r.busiestMember()
 	began := time.Now()
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// backendDead has a backend server hang: it takes calls, answers none and says nothing.
+// backendDead makes a backend server hang: it accepts calls, answers none and stops its heartbeats.
 func backendDead(ctx context.Context, r *run) error {
 	busiest := r.busiestMember()
 	began := time.Now()
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// lastStartAfter returns how long after the moment a call of the team last reached one of the backend servers; an empty
-// team means all.
+// lastStartAfter returns the time from since to the last start of a call of the team at the included backend servers; an
+// empty team means all teams.
 func (r *run) lastStartAfter(since time.Time, include func(i int) bool, team identifier.Team) time.Duration {
 	var last time.Duration
 	for i, m := range r.fleet.Members {
@@ -255,7 +255,7 @@
 	i := r.memberWithMostClaims()
 	r.killNode(i)
 	clock.Sleep(ctx, faultDuration)
-	// The replacement boots while the log is down, through its peers.
+	// The replacement starts while the log is down and gets its configuration from its peers.
 	if err := r.startNode(ctx, i); err != nil {
 		return err
 	}
@@ -279,8 +279,8 @@
 	return nil
 }
 
-// pause stops a node's decisions for longer than its leases. Time goes by for the others meanwhile, and for what the node
-// may refill afterwards: a clock that merely jumped would let its bank refill for a time that passed nowhere else.
+// pause suspends a node for longer than its leases while real time passes. Jumping the node's clock instead would let its
+// bank refill for a time that passed on no other node.
 func (r *run) pause(member int) <-chan struct{} {
 	done := make(chan struct{})
 	node := r.fleet.Members[member].Node
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -1,7 +1,7 @@
-// The verdict comes from what the callers and the backend servers wrote down, never from what the nodes say of
-// themselves. The backend servers' starts are joined to the callers' attempts by the request's id.
+// The figures are computed from the records of callers and backend servers, never from what nodes report about
+// themselves. A start at a backend server is joined to a caller's attempt by the request id.
 //
-// Example: a refusal with notRun=true for request R is false if any backend server has a start of R.
+// Example: a refusal with notRun=true for request R is false if any backend server recorded a start of R.
 
 package faulter
 
@@ -13,18 +13,19 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// audit is all that was written down in a run.
+// audit holds everything recorded in a run.
 type audit struct {
-	teams    []teamPlan
-	start    time.Time
-	length   time.Duration
+	teams      []teamPlan
+	start      time.Time
+	length     time.Duration
 	operations []operation
-	starts   []responder.RunStart
+	starts     []responder.RunStart
 }
 
-// rateExceeded is the largest excess, in calls, of any team in any window. A call is paid for somewhere between its sending
-// and its start at a backend server, and nobody outside the nodes sees when. So it is asked whether there is any choice
-// of moments at which one bucket for all VMs could have paid for all starts; only what no choice can explain counts.
+// rateExceeded is the largest excess, in calls, of any team in any window. A call is charged at some moment between its
+// sending and its start at a backend server, and that moment is not visible outside the nodes. The excess is therefore
+// computed for the charge times most favorable to the fleet: it is 0 if one token bucket for all VMs could have paid for
+// all starts.
 func (a audit) rateExceeded() float64 {
 	var largest float64
 	for _, t := range a.teams {
@@ -33,12 +34,12 @@
 	return largest
 }
 
-// chargeWindow is the time within which one call was paid for.
+// chargeWindow is the interval in which one call was charged to the bucket.
 type chargeWindow struct{ earliest, latest time.Time }
 
-// chargesOf joins the backend servers' starts to the callers' sendings. A request that was retried after a lost answer
-// is paid for once. Where the answer never came, its caller does not know the request's id; such a call was sent at
-// most a caller's patience before.
+// chargesOf joins the backend servers' starts with the callers' attempts. A request that was retried after a lost answer
+// is charged once. Without an answer the caller doesn't know the request id; such a call was sent at most
+// attemptTimeout before its start.
 func (a audit) chargesOf(team identifier.Team) []chargeWindow {
 	sent := make(map[string]time.Time)
 	for _, s := range a.operations {
@@ -53,11 +54,11 @@
 			continue
 		}
 		seen[s.Request] = true
-		from, known := sent[s.Request]
+		earliest, known := sent[s.Request]
 		if !known || s.Request == "" {
-			from = s.At.Add(-attemptTimeout)
+			earliest = s.At.Add(-attemptTimeout)
 		}
-		list = append(list, chargeWindow{earliest: from, latest: s.At})
+		list = append(list, chargeWindow{earliest: earliest, latest: s.At})
 	}
 	slices.SortFunc(list, func(x, y chargeWindow) int { return x.earliest.Compare(y.earliest) })
 	return list
@@ -72,7 +73,7 @@
 	return list
 }
 
-// bucket is one token bucket for a whole team.
+// bucket is a single token bucket for all VMs of a team.
 type bucket struct {
 	team  teamPlan
 	at    time.Time
@@ -88,12 +89,13 @@
 
 // nextTokenAt is when the bucket can pay for the next call.
 func (b *bucket) nextTokenAt() time.Time {
-	// A nanosecond's part of a token is less than rounding can lose.
+	// A microsecond more makes up for rounding, which may otherwise leave the token incomplete.
 	return b.at.Add(time.Duration((1 - b.level) / b.team.rate * float64(time.Second))).Add(time.Microsecond)
 }
 
-// excess pays for each call as soon as it was sent and the bucket allows, the one that started first before the others;
-// no other order does better. A call that has started is paid for in any case, and what is missing at worst is the excess.
+// excess charges each call as soon as it was sent and the bucket has a token; among waiting calls the one that started
+// first is charged first. No other order gives a smaller excess. A call that has started is charged even if the bucket is
+// empty, and the largest resulting deficit is the excess.
 func excess(t teamPlan, calls []chargeWindow) float64 {
 	if len(calls) == 0 {
 		return 0
@@ -116,7 +118,7 @@
 	return worst
 }
 
-// nextEventTime is when something can happen: a call is sent, one that waits starts, or the bucket can pay for it.
+// nextEventTime is the earliest of: the next call is sent, a waiting call starts, or the bucket can pay for it.
 func nextEventTime(b *bucket, calls, waiting []chargeWindow) time.Time {
 	var next time.Time
 	consider := func(at time.Time) {
@@ -139,7 +141,7 @@
 	return slices.Insert(waiting, i, p)
 }
 
-// doubleRuns counts the runs beyond the first of each idempotency id, over all backend servers.
+// doubleRuns counts the starts beyond the first of each idempotency id, over all backend servers.
 func (a audit) doubleRuns() int {
 	runs := make(map[string]int)
 	double := 0
@@ -155,7 +157,7 @@
 	return double
 }
 
-// falseNotRun counts the refusals that say "not run" of a request that a backend server has a start of.
+// falseNotRun counts the refusals that say "not run" about a request that a backend server started.
 func (a audit) falseNotRun() int {
 	started := make(map[string]bool)
 	for _, s := range a.starts {
@@ -172,8 +174,8 @@
 	return n
 }
 
-// rateServed is what reached the backend servers of the teams that sent more than their rate, as a part of their rate.
-// The first seconds don't count: in them the burst is used up.
+// rateServed is the ratio of calls started to the rate, for teams that send more than their rate. It skips the first
+// seconds, in which the burst is used up.
 func (a audit) rateServed() (float64, bool) {
 	var served, entitled float64
 	for _, t := range a.teams {
@@ -192,7 +194,7 @@
 	return served / entitled, entitled > 0
 }
 
-// bookingsServed is the part of the bookings of teams within their rate that were answered in the end.
+// bookingsServed is the ratio of bookings of teams within their rate that got an answer on any attempt.
 func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
 	for _, s := range a.operations {
@@ -207,8 +209,8 @@
 	return served / all, all > 0
 }
 
-// wrongfulRefusals is the part of the attempts of teams within their rate that were refused or got no answer. The second of
-// two attempts made at once is the caller's own fault and doesn't count, nor does a retry.
+// wrongfulRefusals is the ratio of first attempts of teams within their rate that were refused or got no answer. It
+// doesn't count retries, nor a refusal because the same idempotency id was sent twice at once, which the caller caused.
 func (a audit) wrongfulRefusals() (ratio float64, reasons map[string]int, ok bool) {
 	var all, refused float64
 	reasons = make(map[string]int)
--- a/internal/faulter/load.go
+++ b/internal/faulter/load.go
@@ -1,8 +1,8 @@
-// The load is open-loop: calls come when they come, however the fleet fares. A booking that was refused as not run, or
-// whose answer got lost, is sent again with the same id to another node, as a careful caller would; one in ten is sent
-// twice at once, as a careless one would.
+// The load is open-loop: the times of calls don't depend on the fleet's answers. A booking that was refused as not run, or
+// whose answer was lost, is retried with the same idempotency id at another node, as a careful caller does; one in ten is
+// sent to two nodes at once, as a careless caller does.
 //
-// Example: the first try at VM 2 gets no answer, the second at VM 3 gets the recorded one: one run, two attempts.
+// Example: the first attempt at VM 2 gets no answer, the second at VM 3 gets the recorded one: one run, two attempts.
 
 package faulter
 
@@ -27,13 +27,13 @@
 
 const (
 	attemptTimeout = 2500 * time.Millisecond
-	maxAttempts          = 4
-	firstBackoff     = 100 * time.Millisecond
-	// duplicateSendRatio is the part of the bookings that are sent twice at once.
+	maxAttempts    = 4
+	firstBackoff   = 100 * time.Millisecond
+	// duplicateSendRatio is the ratio of bookings that are sent twice at once.
 	duplicateSendRatio = 0.1
 )
 
-// attempt is one sending, as its caller saw it.
+// attempt is one attempt of an operation, as its caller saw it.
 type attempt struct {
 	sent     time.Time
 	done     time.Time
@@ -43,13 +43,13 @@
 	reason   string
 	notRun   bool
 	replayed bool
-	// notConnected tells that nobody listened, so nothing was sent.
+	// notConnected means that the connection failed, so nothing was sent.
 	notConnected bool
 }
 
 func (a attempt) succeeded() bool { return a.status == http.StatusOK }
 
-// operation is one thing that a caller wants done, with all its attempts.
+// operation is one logical call of a team, with all its attempts.
 type operation struct {
 	team     identifier.Team
 	at       time.Duration
@@ -66,7 +66,7 @@
 	return false
 }
 
-// chooseNode says at which VM a call comes in.
+// nodeChoice selects the VM whose node a call is sent to.
 type nodeChoice func(at time.Duration, r *rand.Rand) int
 
 func anyNode(_ time.Duration, r *rand.Rand) int { return r.IntN(vms) }
@@ -77,16 +77,16 @@
 
 func rotatingNode(at time.Duration, _ *rand.Rand) int { return int(at/time.Second) % vms }
 
-// loadRatio sends the calls of all teams for a time and collects what became of them.
+// load sends the calls of all teams for a time and collects their results.
 type load struct {
 	run    *run
 	client *http.Client
 	start  time.Time
 	length time.Duration
 
-	mu       sync.Mutex
+	mu         sync.Mutex
 	operations []operation
-	group    sync.WaitGroup
+	group      sync.WaitGroup
 }
 
 func newLoad(r *run, length time.Duration) *load {
@@ -97,7 +97,7 @@
 	}
 }
 
-// send returns when the last answer is in.
+// send returns after the last answer.
 func (l *load) send(ctx context.Context) {
 	l.start = time.Now()
 	var streams sync.WaitGroup
@@ -153,10 +153,10 @@
 	l.operations = append(l.operations, s)
 }
 
-// isFinal tells that a careful caller doesn't ask again: it is over its rate, or no answer can tell more.
+// isFinal reports whether a careful caller stops retrying: the team is over its rate, or a retry can't reveal the outcome.
 func isFinal(reason string) bool { return reason == "rateExceeded" || reason == "outcomeUnknown" }
 
-// attemptAtReachableNode passes over nodes that take no connection, as any client with a list of addresses does.
+// attemptAtReachableNode skips nodes that refuse the connection, as a client with a list of addresses does.
 func (l *load) attemptAtReachableNode(ctx context.Context, s operation, node int) (attempt, int) {
 	for range vms {
 		a := l.attemptAt(ctx, s, node)
--- a/internal/faulter/plan.go
+++ b/internal/faulter/plan.go
@@ -1,5 +1,5 @@
-// The fleet is small enough for one process and large enough for every fault: three failure domains, in each two VMs,
-// so that a claim has a witness in its own domain and one domain can be lost.
+// The fleet is small enough for one process and large enough for every fault: three failure domains of two VMs each, so
+// that a claim has a witness in its domain and the fleet survives the loss of one domain.
 //
 // Example: VM 0 and VM 3 are in domain alfa, VM 1 and VM 4 in bravo, VM 2 and VM 5 in charlie.
 
@@ -30,21 +30,21 @@
 
 var domains = []identifier.FailureDomain{"alfa", "bravo", "charlie"}
 
-// teamPlan is a team with its rate, in calls a second, and what it sends, as a part of its rate.
+// teamPlan is a team with its rate, in calls a second, and the load it sends, as a ratio of its rate.
 type teamPlan struct {
-	name  identifier.Team
-	rate  float64
-	burst float64
-	loadRatio  float64
-	// bookingRatio is the part of the calls that must run at most once.
+	name      identifier.Team
+	rate      float64
+	burst     float64
+	loadRatio float64
+	// bookingRatio is the ratio of calls that must run at most once.
 	bookingRatio float64
 }
 
-// overloadingTeam sends more than its rate, withinTeam stays within it. The first makes no bookings, so that each call it
-// pays for reaches a backend server and can be counted there.
+// overloadingTeam sends more than its rate, withinRateTeam stays within it. The first makes no bookings, so that each call
+// charged to it reaches a backend server and can be counted there.
 const (
 	overloadingTeam identifier.Team = "okhotskAgents"
-	withinRateTeam   identifier.Team = "captains"
+	withinRateTeam  identifier.Team = "captains"
 )
 
 var usualTeams = []teamPlan{
@@ -52,7 +52,7 @@
 	{name: withinRateTeam, rate: 120, burst: 120, loadRatio: 0.6, bookingRatio: 0.7},
 }
 
-// Small teams send 70% of their rate as a Poisson stream to nodes at random; their burst is a second of the rate.
+// Small teams send 70% of their rate as a Poisson process to random nodes; their burst is one second of the rate.
 var smallTeams = []teamPlan{
 	{name: "surveyors", rate: 8, burst: 8, loadRatio: 0.7, bookingRatio: 0.3},
 	{name: "ferryLines", rate: 15, burst: 15, loadRatio: 0.7, bookingRatio: 0.3},
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -1,7 +1,7 @@
-// A run is one scenario on a fleet of its own: the load goes on from beginning to end, and the fault comes and goes
-// beside it. The nodes and backend servers that were replaced stay in the account.
+// A run is one scenario on its own fleet: the load lasts for the whole run, and the fault starts and ends during it. The
+// records of replaced backend servers still count.
 //
-// Example: r.stopNode(ctx, 2) is a planned stop of VM 2; r.startNode(ctx, 2) puts a new process at its addresses.
+// Example: r.stopNode(ctx, 2) is a planned stop of VM 2; r.startNode(ctx, 2) starts a new process at its addresses.
 
 package faulter
 
@@ -20,8 +20,8 @@
 const (
 	// burstUseTime is the time in which the overloading team uses up its burst.
 	burstUseTime = 1500 * time.Millisecond
-	// warmUpTime is the time after a fleet's start in which buckets fill and owners of ids come of age: what was asked
-	// for before an owner took over could have run under another.
+	// warmUpTime is the time after a fleet's start in which buckets fill and owners of idempotency ids become able to answer
+	// for them: a request older than the owner's takeover could have run under the previous owner.
 	warmUpTime = 2500 * time.Millisecond
 )
 
@@ -29,19 +29,19 @@
 	scenario scenario
 	seed     uint64
 	fleet    *launcher.Fleet
-	// callers are the addresses of the VMs' nodes, which stay the same over restarts.
+	// callers are the addresses at which the VMs' nodes accept calls; they stay the same over restarts.
 	callers []string
 	watcher *watcher
 	load    *load
 	began   time.Time
 
 	mu sync.Mutex
-	// down are the VMs whose node doesn't run, cut those that nothing reaches.
-	down    map[int]bool
-	partitioned     map[identifier.FailureDomain]bool
+	// down holds the VMs whose node doesn't run, partitioned the failure domains that are cut off from the others.
+	down             map[int]bool
+	partitioned      map[identifier.FailureDomain]bool
 	replacedBackends []*responder.Server
-	figures Figures
-	failure error
+	figures          Figures
+	failure          error
 }
 
 func newRun(ctx context.Context, s scenario, seed uint64) (*run, error) {
@@ -50,12 +50,12 @@
 		return nil, fmt.Errorf("launch the fleet: %w", err)
 	}
 	r := &run{
-		scenario: s,
-		seed:     seed,
-		fleet:    f,
-		down:     make(map[int]bool),
-		partitioned:      make(map[identifier.FailureDomain]bool),
-		figures:  Figures{Scenario: s.name, Seed: seed},
+		scenario:    s,
+		seed:        seed,
+		fleet:       f,
+		down:        make(map[int]bool),
+		partitioned: make(map[identifier.FailureDomain]bool),
+		figures:     Figures{Scenario: s.name, Seed: seed},
 	}
 	for _, m := range f.Members {
 		r.callers = append(r.callers, m.CallerURL())
@@ -98,11 +98,11 @@
 
 func (r *run) computeFigures(before, after meters) {
 	a := audit{
-		teams:    r.scenario.teams,
-		start:    r.load.start,
-		length:   r.load.length,
+		teams:      r.scenario.teams,
+		start:      r.load.start,
+		length:     r.load.length,
 		operations: r.load.operations,
-		starts:   r.starts(),
+		starts:     r.starts(),
 	}
 	f := &r.figures
 	f.Calls = len(a.operations)
@@ -127,8 +127,8 @@
 	return &v
 }
 
-// meters are counts at one moment. The bytes of nodes that were replaced are lost with them, so the figure is a lower
-// bound where nodes are restarted.
+// meters are counters read at one moment. The byte counts of replaced nodes are lost, so the derived figure is a lower
+// bound in scenarios that restart nodes.
 type meters struct {
 	at      time.Time
 	appends uint64
@@ -147,7 +147,7 @@
 	return m
 }
 
-// starts are the records of all backend servers that there were, each call once in order of time within a server.
+// starts returns the starts that all backend servers recorded, replaced ones included, in order of time within a server.
 func (r *run) starts() []responder.RunStart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,13 +171,13 @@
 	return n.ID(), n.Dump().Status.Version, true
 }
 
-// inForceEverywhere tells whether the version is in force at every node that runs and isn't cut off.
+// inForceEverywhere reports whether the version is in force at every node that runs and isn't partitioned.
 func (r *run) inForceEverywhere(v identifier.Version) bool {
 	for i, m := range r.fleet.Members {
 		r.mu.Lock()
-		cut := r.partitioned[m.Domain]
+		partitioned := r.partitioned[m.Domain]
 		r.mu.Unlock()
-		if cut {
+		if partitioned {
 			continue
 		}
 		if _, have, ok := r.versionAt(i); ok && have < v {
@@ -193,7 +193,7 @@
 	r.down[i] = down
 }
 
-// stopNode is a planned stop; it returns how long that took.
+// stopNode stops the node as planned and returns the time that the stop took.
 func (r *run) stopNode(ctx context.Context, i int) (time.Duration, error) {
 	began := time.Now()
 	r.setDown(i, true)
@@ -221,18 +221,18 @@
 	return r.fleet.StartBackend(ctx, r.fleet.Members[i])
 }
 
-func (r *run) setPartitioned(d identifier.FailureDomain, partition bool) {
+func (r *run) setPartitioned(d identifier.FailureDomain, partitioned bool) {
 	r.mu.Lock()
-	r.partitioned[d] = partition
+	r.partitioned[d] = partitioned
 	r.mu.Unlock()
-	if partition {
+	if partitioned {
 		r.fleet.Cut(d)
 		return
 	}
 	r.fleet.Heal(d)
 }
 
-// busiestMember returns the VM whose backend server got most calls so far.
+// busiestMember returns the VM whose backend server received the most calls so far.
 func (r *run) busiestMember() int {
 	best, most := 0, int64(-1)
 	for i, m := range r.fleet.Members {
@@ -243,7 +243,7 @@
 	return best
 }
 
-// memberWithMostClaims returns the VM whose node has authority for most claims.
+// memberWithMostClaims returns the VM whose node has authority for the most claims.
 func (r *run) memberWithMostClaims() int {
 	best, most := 0, -1
 	for i, m := range r.fleet.Members {
--- a/internal/faulter/scenario.go
+++ b/internal/faulter/scenario.go
@@ -1,7 +1,7 @@
-// A scenario is a load, a fault and a length. The lengths are as short as the fault allows: a takeover needs the
-// promise term and the wait for what the old holder granted, some eleven seconds.
+// A scenario is a load, a fault and a length. The lengths are as short as the fault allows: a takeover takes some eleven
+// seconds, for the promise term and the wait until slices that the previous holder granted have expired.
 //
-// Example: {name: "domainCut", spread: anywhere, length: 9 s, fault: domainCut}.
+// Example: {name: "domainCut", chooseNode: anyNode, length: 9 s, fault: domainCut}.
 
 package faulter
 
@@ -11,11 +11,11 @@
 )
 
 type scenario struct {
-	name   string
-	teams  []teamPlan
+	name       string
+	teams      []teamPlan
 	chooseNode nodeChoice
-	length time.Duration
-	fault  func(ctx context.Context, r *run) error
+	length     time.Duration
+	fault      func(ctx context.Context, r *run) error
 }
 
 var scenarios = []scenario{
--- a/internal/faulter/watch.go
+++ b/internal/faulter/watch.go
@@ -1,7 +1,7 @@
-// Every node is watched for the version of the configuration in force at it. What counts as a reversal: a node's
-// version goes down, or a node that was started after a version had been in force everywhere puts an older one in force.
+// The watcher samples the version of the configuration in force at every node. A reversal is counted when a node's
+// version decreases, or when a node first seen after a version was in force at every running node puts an older one in force.
 //
-// Example: a replaced VM that comes up with version 11 while all others had 12 in force before it started is one.
+// Example: a replaced VM that starts with version 11 after all others had version 12 in force counts as a reversal.
 
 package faulter
 
@@ -16,20 +16,20 @@
 
 const watchPeriod = 20 * time.Millisecond
 
-// observed is what a node was last found to have in force.
+// observed is the version in force at a node when it was last sampled.
 type observed struct {
 	version identifier.Version
-	// minVersion was in force everywhere when the node was first seen.
+	// minVersion was in force at every running node when this node was first seen.
 	minVersion identifier.Version
 }
 
 type watcher struct {
 	run *run
 
-	mu       sync.Mutex
-	nodes    map[identifier.Node]*observed
+	mu                sync.Mutex
+	nodes             map[identifier.Node]*observed
 	versionEverywhere identifier.Version
-	reversalCount int
+	reversalCount     int
 }
 
 func newWatcher(r *run) *watcher {
@@ -79,7 +79,7 @@
 	return w.reversalCount
 }
 
-// awaitVersion returns how long after the moment given the version was in force at all nodes that can know of it.
+// awaitVersion returns the time from since until the version was in force at every reachable node.
 func (w *watcher) awaitVersion(ctx context.Context, v identifier.Version, since time.Time) (time.Duration, bool) {
 	for {
 		if w.run.inForceEverywhere(v) {
