--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -46,28 +46,28 @@
 
 // Record gathers what happened; it is safe for concurrent use.
 type Record struct {
-	mu        sync.Mutex
-	sent      map[string]Sent
-	runs      []standin.Run
-	withdrawn map[string]time.Time
-	issued    map[string]string
-	rates     map[string]rate
-	left      map[string][]span
-	exits     []string
-	// calm is from when on all faults are over.
-	calm time.Time
+	mu         sync.Mutex
+	sent       map[string]Sent
+	runs       []standin.Run
+	withdrawn  map[string]time.Time
+	issued     map[string]string
+	rates      map[string]rate
+	leaveSpans map[string][]leaveSpan
+	exits      []string
+	// endFaults is from when on all faults are over.
+	faultsEnded time.Time
 }
 
 type rate struct{ perSecond, burst float64 }
 
-// span is a time in which an endpoint was acknowledged to be leaving.
-type span struct{ from, to time.Time }
+// leaveSpan is a time in which an endpoint was acknowledged to be leaving.
+type leaveSpan struct{ from, to time.Time }
 
 // NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{
 		sent: map[string]Sent{}, withdrawn: map[string]time.Time{}, issued: map[string]string{}, rates: map[string]rate{},
-		left: map[string][]span{},
+		leaveSpans: map[string][]leaveSpan{},
 	}
 }
 
@@ -104,9 +104,9 @@
 func (r *Record) Leaving(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	spans := r.left[instance]
+	spans := r.leaveSpans[instance]
 	if n := len(spans); n == 0 || !spans[n-1].to.IsZero() {
-		r.left[instance] = append(spans, span{from: at})
+		r.leaveSpans[instance] = append(spans, leaveSpan{from: at})
 	}
 }
 
@@ -114,7 +114,7 @@
 func (r *Record) Returned(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if spans := r.left[instance]; len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
+	if spans := r.leaveSpans[instance]; len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
 		spans[len(spans)-1].to = at
 	}
 }
@@ -126,11 +126,11 @@
 	r.exits = append(r.exits, detail)
 }
 
-// Calm notes that all faults are over.
-func (r *Record) Calm(at time.Time) {
+// FaultsEnded notes that all faults are over.
+func (r *Record) FaultsEnded(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calm = at
+	r.faultsEnded = at
 }
 
 // Counts returns how many requests were sent, answered in whole, and run.
@@ -151,16 +151,16 @@
 	defer r.mu.Unlock()
 	var all []Breach
 	for _, check := range []func(Terms) []Breach{
-		r.wrongAnswers, r.ranTwice, r.falseNotRun, r.strangers, r.keys, r.rateExceeded, r.afterLeaving, r.notRecovered, r.ended,
+		r.wrongAnswers, r.ranTwice, r.falseNotRun, r.unknownRuns, r.keyBreaches, r.rateExceeded, r.afterLeaving, r.notRecovered, r.unexpectedExits,
 	} {
 		found := check(t)
-		all = append(all, found[:min(len(found), mostOfAKind)]...)
+		all = append(all, found[:min(len(found), maxBreachesPerCheck)]...)
 	}
 	return all
 }
 
-// mostOfAKind bounds the breaches of one check that are told.
-const mostOfAKind = 5
+// maxBreachesPerCheck bounds the breaches of one check that are told.
+const maxBreachesPerCheck = 5
 
 func (r *Record) wrongAnswers(Terms) (found []Breach) {
 	for _, s := range r.sent {
@@ -198,8 +198,8 @@
 	return found
 }
 
-// strangers are runs that nobody sent, or for another team than the key's.
-func (r *Record) strangers(Terms) (found []Breach) {
+// unknownRuns are runs that nobody sent, or for another team than the key's.
+func (r *Record) unknownRuns(Terms) (found []Breach) {
 	for _, run := range r.runs {
 		s, ok := r.sent[run.Request]
 		switch {
@@ -212,7 +212,7 @@
 	return found
 }
 
-func (r *Record) keys(t Terms) (found []Breach) {
+func (r *Record) keyBreaches(t Terms) (found []Breach) {
 	for _, run := range r.runs {
 		if run.Key != "" {
 			found = append(found, Breach{"keySeen", fmt.Sprintf("%s reached %s with a key", run.Request, run.Instance)})
@@ -221,7 +221,7 @@
 		if !ok {
 			continue
 		}
-		if at, gone := r.withdrawn[s.Key]; gone && s.At.Sub(at) > t.Revoke {
+		if at, withdrawn := r.withdrawn[s.Key]; withdrawn && s.At.Sub(at) > t.Revoke {
 			found = append(found, Breach{"withdrawnKey", fmt.Sprintf("%s was sent %s after its key was withdrawn", run.Request, s.At.Sub(at))})
 		}
 	}
@@ -264,40 +264,40 @@
 		if !ok {
 			continue
 		}
-		for _, gone := range r.left[run.Instance] {
-			over := !gone.to.IsZero() && run.At.After(gone.to)
-			if !over && s.At.After(gone.from.Add(t.Drain)) {
-				found = append(found, Breach{"afterLeaving", fmt.Sprintf("%s reached %s, %s after it left", s.ID, run.Instance, run.At.Sub(gone.from))})
+		for _, leave := range r.leaveSpans[run.Instance] {
+			returned := !leave.to.IsZero() && run.At.After(leave.to)
+			if !returned && s.At.After(leave.from.Add(t.Drain)) {
+				found = append(found, Breach{"afterLeaving", fmt.Sprintf("%s reached %s, %s after it left", s.ID, run.Instance, run.At.Sub(leave.from))})
 			}
 		}
 	}
 	return found
 }
 
-// calmDown is how long after the last fault requests may still fail.
-const calmDown = 5 * time.Second
+// recoveryGrace is how long after the last fault requests may still fail.
+const recoveryGrace = 5 * time.Second
 
 func (r *Record) notRecovered(t Terms) []Breach {
-	asked, served := 0, 0
+	sent, served := 0, 0
 	for _, s := range r.sent {
-		if r.calm.IsZero() || s.At.Before(r.calm.Add(calmDown)) || r.rates[s.Team].perSecond > 0 || r.issued[s.Key] == "" {
+		if r.faultsEnded.IsZero() || s.At.Before(r.faultsEnded.Add(recoveryGrace)) || r.rates[s.Team].perSecond > 0 || r.issued[s.Key] == "" {
 			continue
 		}
-		if _, gone := r.withdrawn[s.Key]; gone {
+		if _, withdrawn := r.withdrawn[s.Key]; withdrawn {
 			continue
 		}
-		asked++
+		sent++
 		if s.Answer.Status/100 == 2 {
 			served++
 		}
 	}
-	if asked > 0 && float64(served) >= t.RecoveredPart*float64(asked) {
+	if sent > 0 && float64(served) >= t.RecoveredPart*float64(sent) {
 		return nil
 	}
-	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, asked)}}
+	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, sent)}}
 }
 
-func (r *Record) ended(Terms) (found []Breach) {
+func (r *Record) unexpectedExits(Terms) (found []Breach) {
 	for _, e := range r.exits {
 		found = append(found, Breach{"ended", e})
 	}
--- a/internal/soaker/judge_test.go
+++ b/internal/soaker/judge_test.go
@@ -20,13 +20,13 @@
 	return origin.Add(time.Duration(s * float64(time.Second)))
 }
 
-// sound is a record of a minute in which all promises hold.
-func sound() *Record {
+// recordWithoutBreaches is a record of a minute in which all promises hold.
+func recordWithoutBreaches() *Record {
 	r := NewRecord()
 	r.Issued("k", "parish", 0, 0)
 	r.Issued("d", "parish", 0, 0)
 	r.Issued("g", "greedy", 10, 10)
-	r.Calm(second(30))
+	r.FaultsEnded(second(30))
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
 		r.Sent(Sent{ID: id, Team: "parish", Key: "k", At: second(float64(i)), Answer: standin.Answer{Status: 200, Whole: true}})
@@ -102,7 +102,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := sound()
+			r := recordWithoutBreaches()
 			test.plant(r)
 			got := ""
 			for _, b := range r.Judge(terms) {
--- a/internal/soaker/plan.go
+++ b/internal/soaker/plan.go
@@ -16,14 +16,14 @@
 	"github.com/jackdawtide/jackdawtide/platform/standin"
 )
 
-// rows is how many faults may overlap.
-const rows = 3
+// faultSequences is how many faults may overlap.
+const faultSequences = 3
 
 const (
-	leastFault = 300 * time.Millisecond
-	mostFault  = 3 * time.Second
-	leastGap   = 100 * time.Millisecond
-	mostGap    = 1500 * time.Millisecond
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	minGap           = 100 * time.Millisecond
+	maxGap           = 1500 * time.Millisecond
 )
 
 // fault is one kind of trouble; it returns when it is over.
@@ -32,16 +32,16 @@
 	run  func(f *fleet, n *node, d time.Duration) error
 }
 
-func proxied(name string, of func(*node) *Proxy, t Treatment) fault {
+func proxyFault(name string, proxyOf func(*node) *Proxy, t Treatment) fault {
 	return fault{name, func(_ *fleet, n *node, d time.Duration) error {
-		of(n).Set(t)
+		proxyOf(n).Set(t)
 		time.Sleep(d)
-		of(n).Set(Passing)
+		proxyOf(n).Set(Passing)
 		return nil
 	}}
 }
 
-func storing(name string, m standin.Mode) fault {
+func storeFault(name string, m standin.Mode) fault {
 	return fault{name, func(f *fleet, _ *node, d time.Duration) error {
 		f.store.SetMode(m)
 		time.Sleep(d)
@@ -50,13 +50,13 @@
 	}}
 }
 
-func ofStore(n *node) *Proxy    { return n.store }
-func ofEndpoint(n *node) *Proxy { return n.endpoint }
-func ofCallers(n *node) *Proxy  { return n.callers }
+func storeProxy(n *node) *Proxy    { return n.store }
+func endpointProxy(n *node) *Proxy { return n.endpoint }
+func callersProxy(n *node) *Proxy  { return n.callers }
 
 var faults = []fault{
-	{"kill", func(_ *fleet, n *node, d time.Duration) error { return n.exclusively(syscall.SIGKILL, d/4) }},
-	{"terminate", func(_ *fleet, n *node, d time.Duration) error { return n.exclusively(syscall.SIGTERM, d/4) }},
+	{"kill", func(_ *fleet, n *node, d time.Duration) error { return n.restartExclusively(syscall.SIGKILL, d/4) }},
+	{"terminate", func(_ *fleet, n *node, d time.Duration) error { return n.restartExclusively(syscall.SIGTERM, d/4) }},
 	{"pause", func(_ *fleet, n *node, d time.Duration) error {
 		n.signal(syscall.SIGSTOP)
 		time.Sleep(d)
@@ -65,39 +65,39 @@
 	}},
 	{"hangUp", func(_ *fleet, n *node, _ time.Duration) error { n.signal(syscall.SIGHUP); return nil }},
 	{"killAll", func(f *fleet, _ *node, d time.Duration) error { return f.killAll(d / 4) }},
-	storing("storeRefuses", standin.Refusing),
-	storing("storeSilent", standin.Silent),
-	storing("storeLosesAnswers", standin.Losing),
-	storing("storeSlow", standin.Slow),
+	storeFault("storeRefuses", standin.Refusing),
+	storeFault("storeSilent", standin.Silent),
+	storeFault("storeLosesAnswers", standin.Losing),
+	storeFault("storeSlow", standin.Slow),
 	{"storeForgets", func(f *fleet, _ *node, _ time.Duration) error { f.store.Forget(); return nil }},
-	proxied("storeCutThere", ofStore, CutThere),
-	proxied("storeCutBack", ofStore, CutBack),
-	proxied("storeSilenced", ofStore, Silenced),
-	proxied("endpointReset", ofEndpoint, Resetting),
-	proxied("endpointDelayed", ofEndpoint, Delayed),
-	proxied("endpointSilenced", ofEndpoint, Silenced),
-	proxied("callersReset", ofCallers, Resetting),
-	proxied("callersCutBack", ofCallers, CutBack),
-	{"keyRotated", func(f *fleet, _ *node, _ time.Duration) error { f.teams.rotate(f.store, f.record); return nil }},
+	proxyFault("storeCutThere", storeProxy, DroppingToTarget),
+	proxyFault("storeCutBack", storeProxy, DroppingFromTarget),
+	proxyFault("storeSilenced", storeProxy, Silenced),
+	proxyFault("endpointReset", endpointProxy, Resetting),
+	proxyFault("endpointDelayed", endpointProxy, Delayed),
+	proxyFault("endpointSilenced", endpointProxy, Silenced),
+	proxyFault("callersReset", callersProxy, Resetting),
+	proxyFault("callersCutBack", callersProxy, DroppingFromTarget),
+	{"keyRotated", func(f *fleet, _ *node, _ time.Duration) error { f.teams.rotateKey(f.store, f.record); return nil }},
 	{"routeAdded", func(f *fleet, _ *node, _ time.Duration) error { f.teams.addRoute(f.store); return nil }},
 	{"endpointLeaves", func(f *fleet, n *node, d time.Duration) error {
 		n.backend.Leave()
 		time.Sleep(d + Promises.Drain)
-		f.returned(n)
+		f.returnEndpoint(n)
 		return nil
 	}},
 }
 
-func (f *fleet) returned(n *node) {
+func (f *fleet) returnEndpoint(n *node) {
 	n.backend.Return(func(at time.Time) { f.record.Returned(n.instance, at) })
 }
 
-// exclusively restarts a node unless it is being restarted already.
-func (n *node) exclusively(s syscall.Signal, pause time.Duration) error {
-	if !n.busy.CompareAndSwap(false, true) {
+// restartExclusively restarts a node unless it is being restarted already.
+func (n *node) restartExclusively(s syscall.Signal, pause time.Duration) error {
+	if !n.restarting.CompareAndSwap(false, true) {
 		return nil
 	}
-	defer n.busy.Store(false)
+	defer n.restarting.Store(false)
 	// A paused process would not end by SIGTERM.
 	n.signal(syscall.SIGCONT)
 	return n.restart(s, pause)
@@ -110,7 +110,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			failed <- n.exclusively(syscall.SIGKILL, pause)
+			failed <- n.restartExclusively(syscall.SIGKILL, pause)
 		}()
 	}
 	all.Wait()
@@ -123,23 +123,23 @@
 	return nil
 }
 
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+func randomDuration(random *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(random.Int64N(int64(maximum-minimum)))
 }
 
-// trouble runs one row of faults until the context ends, and tells what it did.
-func (f *fleet) trouble(ctx context.Context, row uint64, told func(string)) error {
-	random := rand.New(rand.NewPCG(f.options.Seed, row))
-	begun := time.Now()
+// runFaultSequence runs one row of faults until the context ends, and tells what it did.
+func (f *fleet) runFaultSequence(ctx context.Context, sequence uint64, recordFault func(string)) error {
+	random := rand.New(rand.NewPCG(f.options.Seed, sequence))
+	started := time.Now()
 	for ctx.Err() == nil {
 		next := faults[random.IntN(len(faults))]
 		n := f.nodes[random.IntN(len(f.nodes))]
-		d := between(random, leastFault, mostFault)
-		told(fmt.Sprintf("%5.2f s row %d %s %s %d ms", time.Since(begun).Seconds(), row, next.name, n.name, d.Milliseconds()))
+		d := randomDuration(random, minFaultDuration, maxFaultDuration)
+		recordFault(fmt.Sprintf("%5.2f s row %d %s %s %d ms", time.Since(started).Seconds(), sequence, next.name, n.name, d.Milliseconds()))
 		if err := next.run(f, n, d); err != nil {
 			return err
 		}
-		time.Sleep(between(random, leastGap, mostGap))
+		time.Sleep(randomDuration(random, minGap, maxGap))
 	}
 	return nil
 }
--- a/internal/soaker/process.go
+++ b/internal/soaker/process.go
@@ -22,8 +22,8 @@
 	"github.com/jackdawtide/jackdawtide/platform/standin"
 )
 
-// grace is how long a process may take to end after SIGTERM before it is killed; nodes are told the same.
-const grace = 6 * time.Second
+// terminationGrace is how long a process may take to end after SIGTERM before it is killed; nodes are told the same.
+const terminationGrace = 6 * time.Second
 
 type node struct {
 	name, service, domain string
@@ -38,38 +38,38 @@
 	store, endpoint, callers *Proxy
 	control, outbound        string
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	ended    chan struct{}
-	expected bool
-	// busy tells that the process is being restarted.
-	busy atomic.Bool
+	mu           sync.Mutex
+	command      *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool
+	// restarting tells that the process is being restarted.
+	restarting atomic.Bool
 }
 
 const (
 	// firstPort and ports bound where nodes listen. They lie below the ports that the system gives to outgoing connections:
 	// one of those would now and then sit on a node's port while the node is down, and the node could not start again.
 	firstPort = 15000
-	ports     = 15000
-	// portTries bounds the search; far fewer ports than a tenth are ever in use.
-	portTries = 50
+	portCount = 15000
+	// maxPortAttempts bounds the search; far fewer ports than a tenth are ever in use.
+	maxPortAttempts = 50
 )
 
-// handedOut holds the ports that this process has given to nodes. A node listens on its ports some time after they were
+// allocatedPorts holds the ports that this process has given to nodes. A node listens on its ports some time after they were
 // found free, and two nodes that were given the same one fight for it: one run in twenty ended so.
-var handedOut = struct {
+var allocatedPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: map[int]bool{}}
 
 // freeAddress returns an address on which nothing listens, and which no other node was given.
 func freeAddress() (string, error) {
-	handedOut.Lock()
-	defer handedOut.Unlock()
+	allocatedPorts.Lock()
+	defer allocatedPorts.Unlock()
 	var last error
-	for range portTries {
-		port := firstPort + rand.IntN(ports)
-		if handedOut.ports[port] {
+	for range maxPortAttempts {
+		port := firstPort + rand.IntN(portCount)
+		if allocatedPorts.ports[port] {
 			continue
 		}
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
@@ -78,7 +78,7 @@
 			continue
 		}
 		defer func() { _ = l.Close() }()
-		handedOut.ports[port] = true
+		allocatedPorts.ports[port] = true
 		return l.Addr().String(), nil
 	}
 	return "", fmt.Errorf("find a free port: %w", last)
@@ -115,47 +115,47 @@
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", n.name, err)
 	}
-	n.command, n.ended, n.expected = c, make(chan struct{}), false
-	go n.wait(c, n.ended)
+	n.command, n.exited, n.exitExpected = c, make(chan struct{}), false
+	go n.wait(c, n.exited)
 	return nil
 }
 
-func (n *node) wait(c *exec.Cmd, ended chan struct{}) {
+func (n *node) wait(c *exec.Cmd, exited chan struct{}) {
 	err := c.Wait()
 	n.mu.Lock()
-	expected := n.expected
+	exitExpected := n.exitExpected
 	n.mu.Unlock()
-	if !expected {
+	if !exitExpected {
 		n.record.Exited(fmt.Sprintf("%s: %v", n.name, err))
 	}
-	close(ended)
+	close(exited)
 }
 
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		n.expected = true
+		n.exitExpected = true
 	}
 	// A process that has just ended needs no signal.
 	_ = n.command.Process.Signal(s)
 }
 
-// end waits for the process, and kills it when its grace time is over.
-func (n *node) end() {
+// awaitExit waits for the process, and kills it when its grace time is over.
+func (n *node) awaitExit() {
 	select {
-	case <-n.ended:
+	case <-n.exited:
 		return
-	case <-time.After(grace):
+	case <-time.After(terminationGrace):
 	}
 	n.signal(syscall.SIGKILL)
-	<-n.ended
+	<-n.exited
 }
 
 // restart ends the process and starts it again after a pause.
 func (n *node) restart(s syscall.Signal, pause time.Duration) error {
 	n.signal(s)
-	n.end()
+	n.awaitExit()
 	time.Sleep(pause)
 	return n.start()
 }
@@ -217,7 +217,7 @@
 			defer ending.Done()
 			n.signal(syscall.SIGCONT)
 			n.signal(syscall.SIGTERM)
-			n.end()
+			n.awaitExit()
 			n.store.Close()
 			n.endpoint.Close()
 			n.callers.Close()
--- a/internal/soaker/process_test.go
+++ b/internal/soaker/process_test.go
@@ -7,12 +7,12 @@
 )
 
 // Two nodes of a soak are given the same port: the one that is started later ends at once, and the soak blames the product.
-func TestAddressesAreHandedOutOnce(t *testing.T) {
-	given := map[string]bool{}
+func TestFreeAddressNeverRepeats(t *testing.T) {
+	allocated := map[string]bool{}
 	for range 600 {
 		address, err := freeAddress()
 		assert.NilError(t, err)
-		assert.Assert(t, !given[address], address)
-		given[address] = true
+		assert.Assert(t, !allocated[address], address)
+		allocated[address] = true
 	}
 }
--- a/internal/soaker/proxy.go
+++ b/internal/soaker/proxy.go
@@ -22,17 +22,17 @@
 	Passing Treatment = iota
 	// Delayed passes all bytes 200 ms late.
 	Delayed
-	// CutThere drops what goes to the far end, CutBack what comes back.
-	CutThere
-	CutBack
+	// DroppingToTarget drops what goes to the far end, CutBack what comes back.
+	DroppingToTarget
+	DroppingFromTarget
 	// Silenced drops both ways, also for connections that were open and after the fault is over.
 	Silenced
 	// Resetting resets all connections, open ones and new ones.
 	Resetting
 )
 
-// delayedBy is how late bytes pass while they are delayed; it is well above a round trip and below most timeouts.
-const delayedBy = 200 * time.Millisecond
+// addedDelay is how late bytes pass while they are delayed; it is well above a round trip and below most timeouts.
+const addedDelay = 200 * time.Millisecond
 
 // Proxy passes TCP connections on to one address.
 type Proxy struct {
@@ -40,13 +40,13 @@
 	target    string
 	treatment atomic.Int32
 	mu        sync.Mutex
-	open      map[*pair]bool
+	open      map[*connectionPair]bool
 }
 
-type pair struct {
+type connectionPair struct {
 	near, far net.Conn
-	// dead connections stay silent for good.
-	dead atomic.Bool
+	// silenced connections stay silent for good.
+	silenced atomic.Bool
 }
 
 // NewProxy listens on a free port of the loopback interface.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, target: target, open: map[*pair]bool{}}
+	p := &Proxy{listener: l, target: target, open: map[*connectionPair]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -73,10 +73,10 @@
 	for c := range p.open {
 		switch t {
 		case Silenced:
-			c.dead.Store(true)
+			c.silenced.Store(true)
 		case Resetting:
 			c.reset()
-		case Passing, Delayed, CutThere, CutBack:
+		case Passing, Delayed, DroppingToTarget, DroppingFromTarget:
 		}
 	}
 }
@@ -98,14 +98,14 @@
 }
 
 func (p *Proxy) serve(near net.Conn) {
-	c := &pair{near: near}
+	c := &connectionPair{near: near}
 	switch Treatment(p.treatment.Load()) {
 	case Resetting:
 		reset(near)
 		return
 	case Silenced:
-		c.dead.Store(true)
-	case Passing, Delayed, CutThere, CutBack:
+		c.silenced.Store(true)
+	case Passing, Delayed, DroppingToTarget, DroppingFromTarget:
 	}
 	var d net.Dialer
 	far, err := d.DialContext(context.Background(), "tcp", p.target)
@@ -118,8 +118,8 @@
 	p.open[c] = true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go func() { p.copy(c, c.far, c.near, CutThere); done <- struct{}{} }()
-	go func() { p.copy(c, c.near, c.far, CutBack); done <- struct{}{} }()
+	go func() { p.copy(c, c.far, c.near, DroppingToTarget); done <- struct{}{} }()
+	go func() { p.copy(c, c.near, c.far, DroppingFromTarget); done <- struct{}{} }()
 	<-done
 	c.close()
 	<-done
@@ -128,22 +128,22 @@
 	p.mu.Unlock()
 }
 
-const copyBuffer = 16 << 10
+const copyBufferBytes = 16 << 10
 
 // copy passes bytes on until an end closes; cut names the treatment that drops this direction.
-func (p *Proxy) copy(c *pair, to, from net.Conn, cut Treatment) {
-	buffer := make([]byte, copyBuffer)
+func (p *Proxy) copy(c *connectionPair, to, from net.Conn, dropping Treatment) {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		t := Treatment(p.treatment.Load())
-		if t == cut {
+		if t == dropping {
 			// What was lost leaves a hole in the stream, so nothing that comes later may pass.
-			c.dead.Store(true)
+			c.silenced.Store(true)
 		}
 		if t == Delayed {
-			time.Sleep(delayedBy)
+			time.Sleep(addedDelay)
 		}
-		if n > 0 && !c.dead.Load() {
+		if n > 0 && !c.silenced.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -154,12 +154,12 @@
 	}
 }
 
-func (c *pair) close() {
+func (c *connectionPair) close() {
 	_ = c.near.Close()
 	_ = c.far.Close()
 }
 
-func (c *pair) reset() {
+func (c *connectionPair) reset() {
 	reset(c.near)
 	reset(c.far)
 }
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -18,8 +18,8 @@
 const (
 	// warmUp is the time from the start of the processes to the first request, calmEnd how long callers go on after the
 	// last fault.
-	warmUp  = 3 * time.Second
-	calmEnd = 10 * time.Second
+	warmUp       = 3 * time.Second
+	recoveryTime = 10 * time.Second
 )
 
 // Promises are the terms by which a soak is judged; nodes are told the same figures.
@@ -39,7 +39,7 @@
 	f.storeURL = strings.TrimPrefix(server.URL, "http://")
 	f.record.Issued(steadyKey, "steady", 0, 0)
 	f.record.Issued(greedyKey, "greedy", greedyRate, greedyBurst)
-	f.teams.rotate(f.store, f.record)
+	f.teams.rotateKey(f.store, f.record)
 	announcing, stopAnnouncing := context.WithCancel(ctx)
 	defer stopAnnouncing()
 	defer f.close()
@@ -51,10 +51,10 @@
 	time.Sleep(warmUp)
 	report := Report{Seed: o.Seed}
 	stop := f.startCallers(ctx)
-	err := f.allTrouble(ctx, &report)
-	f.calm()
+	err := f.runAllFaultSequences(ctx, &report)
+	f.endFaults()
 	if err == nil {
-		wait(ctx, calmEnd)
+		wait(ctx, recoveryTime)
 	}
 	stop()
 	if err != nil {
@@ -75,7 +75,7 @@
 			random := rand.New(rand.NewPCG(f.options.Seed, uint64(1000+i*callersPerNode+caller)))
 			go func() {
 				defer callers.Done()
-				f.call(calling, n, caller, random)
+				f.runCaller(calling, n, caller, random)
 			}()
 		}
 	}
@@ -85,40 +85,40 @@
 	}
 }
 
-// allTrouble runs all rows of faults side by side.
-func (f *fleet) allTrouble(ctx context.Context, report *Report) error {
+// runAllFaultSequences runs all rows of faults side by side.
+func (f *fleet) runAllFaultSequences(ctx context.Context, report *Report) error {
 	limited, cancel := context.WithTimeout(ctx, f.options.Length)
 	defer cancel()
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	told := func(line string) {
+	recordFault := func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		report.Faults = append(report.Faults, line)
 	}
-	failed := make([]error, rows)
-	for row := range rows {
+	failed := make([]error, faultSequences)
+	for sequence := range faultSequences {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			failed[row] = f.trouble(limited, uint64(row), told)
+			failed[sequence] = f.runFaultSequence(limited, uint64(sequence), recordFault)
 		}()
 	}
 	all.Wait()
 	return errors.Join(failed...)
 }
 
-// calm ends every fault that overlapping rows may have left behind.
-func (f *fleet) calm() {
+// endFaults ends every fault that overlapping rows may have left behind.
+func (f *fleet) endFaults() {
 	f.store.SetMode(standin.Sound)
 	for _, n := range f.nodes {
 		n.signal(syscall.SIGCONT)
-		f.returned(n)
+		f.returnEndpoint(n)
 		for _, p := range []*Proxy{n.store, n.endpoint, n.callers} {
 			p.Set(Passing)
 		}
 	}
-	f.record.Calm(time.Now())
+	f.record.FaultsEnded(time.Now())
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/internal/soaker/traffic.go
+++ b/internal/soaker/traffic.go
@@ -18,10 +18,10 @@
 
 const (
 	host = "soak.example"
-	// pause is the time between two requests of one caller, callersPerNode how many callers each node has.
-	pause          = 25 * time.Millisecond
-	callersPerNode = 3
-	callTimeout    = 2 * time.Second
+	// requestInterval is the time between two requests of one caller, callersPerNode how many callers each node has.
+	requestInterval = 25 * time.Millisecond
+	callersPerNode  = 3
+	callTimeout     = 2 * time.Second
 	// greedyRate is the rate of the team that sends several times what it bought.
 	greedyRate  = 20
 	greedyBurst = 20
@@ -36,12 +36,12 @@
 
 // teams holds the keys in force; one team's keys are withdrawn and issued anew while its callers go on.
 type teams struct {
-	mu      sync.Mutex
-	version int64
-	roaming []string
-	// gone are the withdrawn keys, which callers go on to use now and then.
-	gone  []string
-	extra int
+	mu          sync.Mutex
+	version     int64
+	roamingKeys []string
+	// withdrawn are the withdrawn keys, which callers go on to use now and then.
+	withdrawn   []string
+	extraRoutes int
 }
 
 const (
@@ -53,7 +53,7 @@
 func (t *teams) publish(s *standin.Store) {
 	t.version += 1 + int64(rand.IntN(3))
 	all := append([]standin.Route(nil), routes...)
-	for i := range t.extra {
+	for i := range t.extraRoutes {
 		all = append(all, standin.Route{
 			Name: fmt.Sprintf("extra-%d", i), Host: host, Prefix: fmt.Sprintf("/extra%d/", i), Service: services[2],
 			Kind: "idempotent", TimeoutMs: 800,
@@ -62,58 +62,58 @@
 	standin.Configuration{Version: t.version, Routes: all, Teams: []standin.Team{
 		{Name: "steady", Keys: []string{steadyKey}},
 		{Name: "greedy", Keys: []string{greedyKey}, Rate: greedyRate, Burst: greedyBurst},
-		{Name: "roaming", Keys: t.roaming},
+		{Name: "roaming", Keys: t.roamingKeys},
 	}}.Publish(s)
 }
 
-// rotate issues a key and withdraws the one before the last, so that callers have time to change.
-func (t *teams) rotate(s *standin.Store, r *Record) {
+// rotateKey issues a key and withdraws the one before the last, so that callers have time to change.
+func (t *teams) rotateKey(s *standin.Store, r *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	key := fmt.Sprintf("roaming-%d", len(t.gone)+len(t.roaming))
+	key := fmt.Sprintf("roaming-%d", len(t.withdrawn)+len(t.roamingKeys))
 	r.Issued(key, "roaming", 0, 0)
-	t.roaming = append(t.roaming, key)
-	var dead string
-	if len(t.roaming) > 2 {
-		dead, t.roaming = t.roaming[0], t.roaming[1:]
+	t.roamingKeys = append(t.roamingKeys, key)
+	var oldKey string
+	if len(t.roamingKeys) > 2 {
+		oldKey, t.roamingKeys = t.roamingKeys[0], t.roamingKeys[1:]
 	}
 	t.publish(s)
-	if dead != "" {
-		r.Withdrawn(dead, time.Now())
-		t.gone = append(t.gone, dead)
+	if oldKey != "" {
+		r.Withdrawn(oldKey, time.Now())
+		t.withdrawn = append(t.withdrawn, oldKey)
 	}
 }
 
 func (t *teams) addRoute(s *standin.Store) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.extra++
+	t.extraRoutes++
 	t.publish(s)
 }
 
-// pick returns a team and one of its keys, now and then a withdrawn one.
-func (t *teams) pick(random *rand.Rand) (team, key string) {
+// pickKey returns a team and one of its keys, now and then a withdrawn one.
+func (t *teams) pickKey(random *rand.Rand) (team, key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch n := random.IntN(10); {
 	case n < 3:
 		return "greedy", greedyKey
-	case n < 5 && len(t.roaming) > 0:
-		return "roaming", t.roaming[len(t.roaming)-1]
-	case n == 5 && len(t.gone) > 0:
-		return "roaming", t.gone[len(t.gone)-1]
+	case n < 5 && len(t.roamingKeys) > 0:
+		return "roaming", t.roamingKeys[len(t.roamingKeys)-1]
+	case n == 5 && len(t.withdrawn) > 0:
+		return "roaming", t.withdrawn[len(t.withdrawn)-1]
 	default:
 		return "steady", steadyKey
 	}
 }
 
-// call runs one caller at a node until the context ends.
-func (f *fleet) call(ctx context.Context, n *node, caller int, random *rand.Rand) {
+// runCaller runs one caller at a node until the context ends.
+func (f *fleet) runCaller(ctx context.Context, n *node, caller int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersPerNode, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	var open sync.WaitGroup
-	defer open.Wait()
-	ticker := time.NewTicker(pause)
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -121,7 +121,7 @@
 			return
 		case <-ticker.C:
 		}
-		team, key := f.teams.pick(random)
+		team, key := f.teams.pickKey(random)
 		q := standin.Request{
 			Address: n.callers.Address(), Host: host, ID: fmt.Sprintf("%s-%d-%d", n.name, caller, i), Key: key, Timeout: callTimeout,
 		}
@@ -134,9 +134,9 @@
 		default:
 			q.Path = "/look/x"
 		}
-		open.Add(1)
+		pending.Add(1)
 		go func() {
-			defer open.Done()
+			defer pending.Done()
 			f.send(client, q, team, idempotent)
 		}()
 	}
--- a/internal/soaker/types.go
+++ b/internal/soaker/types.go
@@ -44,15 +44,15 @@
 	return fmt.Sprintf("option %s is %v, want %s", e.Option, e.Value, e.Want)
 }
 
-// mostNodes keeps a soak within a few hundred processes and half of a machine's memory, at some 30 MB a node.
-const mostNodes = 200
+// maxNodes keeps a soak within a few hundred processes and half of a machine's memory, at some 30 MB a node.
+const maxNodes = 200
 
 func (o Options) check() error {
 	switch {
 	case o.Program == "":
 		return OptionError{Option: "program", Value: `""`, Want: "the path of the built program"}
-	case o.Nodes < len(services) || o.Nodes > mostNodes:
-		return OptionError{Option: "nodes", Value: o.Nodes, Want: fmt.Sprintf("%d to %d", len(services), mostNodes)}
+	case o.Nodes < len(services) || o.Nodes > maxNodes:
+		return OptionError{Option: "nodes", Value: o.Nodes, Want: fmt.Sprintf("%d to %d", len(services), maxNodes)}
 	case o.Length <= 0:
 		return OptionError{Option: "length", Value: o.Length, Want: "a positive time"}
 	}
