--- a/internal/soaker/doc.go
+++ b/internal/soaker/doc.go
@@ -1,2 +1,2 @@
-// Package soaker runs real node processes under random faults and judges them by what callers and backend servers saw.
+// Package soaker runs real node processes under random faults and checks what callers and backend servers recorded.
 package soaker
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -1,7 +1,7 @@
 package soaker
 
-// The judge knows only what callers sent and got, what backend servers ran, and what operators had acknowledged. Each
-// promise is one check with a name; none of them asks a node anything.
+// The checks use only what callers sent and received, what backend servers ran, and which changes were acknowledged to
+// operators. Each promise is one named check; none of them queries a node.
 //
 // Example: an order that two backend servers ran gives Breach{Check: "ranTwice", ...}.
 
@@ -21,30 +21,31 @@
 	Key        string
 	Idempotent bool
 	At         time.Time
-	// Answered is when the answer came, or the caller gave up.
+	// Answered is when the answer arrived, or the caller timed out.
 	Answered time.Time
 	Answer   standin.Answer
 }
 
-// Breach is a promise that was broken.
+// Breach is one case of a broken promise.
 type Breach struct {
 	Check  string
 	Detail string
 }
 
-// Terms are the figures that the promises name.
+// Terms are the limits that the promises state.
 type Terms struct {
-	// Revoke is how long a withdrawn key may live, Drain how long a leaving endpoint may get requests.
+	// Revoke is how long a withdrawn key may still work, Drain how long a leaving endpoint may still receive requests.
 	Revoke, Drain time.Duration
-	// Window, Excess and Slack bound what a team may exceed its rate by.
+	// Window, Excess and Slack bound the excess of a team over its rate: in any window it may run rate×window+burst calls,
+	// raised by the ratio Excess and then by Slack calls.
 	Window time.Duration
 	Excess float64
 	Slack  float64
-	// RecoveredPart of the requests of the last seconds, when all faults are over, must be served.
+	// RecoveredPart is the ratio of requests that must be served once all faults are over and recoveryGrace has passed.
 	RecoveredPart float64
 }
 
-// Record gathers what happened; it is safe for concurrent use.
+// Record collects the events of a soak; it is safe for concurrent use.
 type Record struct {
 	mu         sync.Mutex
 	sent       map[string]Sent
@@ -54,13 +55,13 @@
 	rates      map[string]rate
 	leaveSpans map[string][]leaveSpan
 	exits      []string
-	// endFaults is from when on all faults are over.
+	// faultsEnded is when the last fault ended; zero while faults go on.
 	faultsEnded time.Time
 }
 
 type rate struct{ perSecond, burst float64 }
 
-// leaveSpan is a time in which an endpoint was acknowledged to be leaving.
+// leaveSpan is an interval in which an endpoint was acknowledged to be leaving.
 type leaveSpan struct{ from, to time.Time }
 
 // NewRecord returns an empty record.
@@ -71,21 +72,21 @@
 	}
 }
 
-// Sent notes a request that has ended for its caller.
+// Sent records a request that was answered or timed out.
 func (r *Record) Sent(s Sent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[s.ID] = s
 }
 
-// Ran notes a run at a backend server.
+// Ran records a run at a backend server.
 func (r *Record) Ran(run standin.Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 }
 
-// Issued notes that a key belongs to a team with a rate.
+// Issued records that a key belongs to a team with a rate.
 func (r *Record) Issued(key, team string, perSecond, burst float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,14 +94,14 @@
 	r.rates[team] = rate{perSecond: perSecond, burst: burst}
 }
 
-// Withdrawn notes that the store has acknowledged the withdrawal of a key.
+// Withdrawn records that the store has acknowledged the withdrawal of a key.
 func (r *Record) Withdrawn(key string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.withdrawn[key] = at
 }
 
-// Leaving notes that a node acknowledged an endpoint's leaving, and Returned that the endpoint will say it is back.
+// Leaving records that a node acknowledged an endpoint's leave.
 func (r *Record) Leaving(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// Returned notes that an endpoint is about to say that it is ready again.
+// Returned records that an endpoint is about to announce itself again.
 func (r *Record) Returned(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,21 +120,21 @@
 	}
 }
 
-// Exited notes that a process ended by itself.
+// Exited records that a process exited without being told to.
 func (r *Record) Exited(detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exits = append(r.exits, detail)
 }
 
-// FaultsEnded notes that all faults are over.
+// FaultsEnded records that all faults are over.
 func (r *Record) FaultsEnded(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultsEnded = at
 }
 
-// Counts returns how many requests were sent, answered in whole, and run.
+// Counts returns how many requests were sent, answered with success, and run.
 func (r *Record) Counts() (sent, served, runs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,7 +146,7 @@
 	return len(r.sent), served, len(r.runs)
 }
 
-// Judge returns all breaches, a few of each kind.
+// Judge returns the breaches found, at most maxBreachesPerCheck of each check.
 func (r *Record) Judge(t Terms) []Breach {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,7 +160,7 @@
 	return all
 }
 
-// maxBreachesPerCheck bounds the breaches of one check that are told.
+// maxBreachesPerCheck bounds the breaches that are reported of one check.
 const maxBreachesPerCheck = 5
 
 func (r *Record) wrongAnswers(Terms) (found []Breach) {
@@ -198,7 +199,7 @@
 	return found
 }
 
-// unknownRuns are runs that nobody sent, or for another team than the key's.
+// unknownRuns finds runs without a request of a caller, and runs for a team other than the key's.
 func (r *Record) unknownRuns(Terms) (found []Breach) {
 	for _, run := range r.runs {
 		s, ok := r.sent[run.Request]
@@ -221,14 +222,14 @@
 		if !ok {
 			continue
 		}
-		if at, withdrawn := r.withdrawn[s.Key]; withdrawn && s.At.Sub(at) > t.Revoke {
+		if at, isWithdrawn := r.withdrawn[s.Key]; isWithdrawn && s.At.Sub(at) > t.Revoke {
 			found = append(found, Breach{"withdrawnKey", fmt.Sprintf("%s was sent %s after its key was withdrawn", run.Request, s.At.Sub(at))})
 		}
 	}
 	return found
 }
 
-// rateExceeded counts runs by the time at which they began, in every window that begins with one.
+// rateExceeded counts the runs by their start time, in every window that ends with a run.
 func (r *Record) rateExceeded(t Terms) (found []Breach) {
 	times := map[string][]time.Time{}
 	for _, run := range r.runs {
@@ -278,23 +279,23 @@
 const recoveryGrace = 5 * time.Second
 
 func (r *Record) notRecovered(t Terms) []Breach {
-	sent, served := 0, 0
+	total, served := 0, 0
 	for _, s := range r.sent {
 		if r.faultsEnded.IsZero() || s.At.Before(r.faultsEnded.Add(recoveryGrace)) || r.rates[s.Team].perSecond > 0 || r.issued[s.Key] == "" {
 			continue
 		}
-		if _, withdrawn := r.withdrawn[s.Key]; withdrawn {
+		if _, isWithdrawn := r.withdrawn[s.Key]; isWithdrawn {
 			continue
 		}
-		sent++
+		total++
 		if s.Answer.Status/100 == 2 {
 			served++
 		}
 	}
-	if sent > 0 && float64(served) >= t.RecoveredPart*float64(sent) {
+	if total > 0 && float64(served) >= t.RecoveredPart*float64(total) {
 		return nil
 	}
-	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, sent)}}
+	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, total)}}
 }
 
 func (r *Record) unexpectedExits(Terms) (found []Breach) {
--- a/internal/soaker/judge_test.go
+++ b/internal/soaker/judge_test.go
@@ -20,7 +20,7 @@
 	return origin.Add(time.Duration(s * float64(time.Second)))
 }
 
-// recordWithoutBreaches is a record of a minute in which all promises hold.
+// recordWithoutBreaches is a record of one minute in which all promises hold.
 func recordWithoutBreaches() *Record {
 	r := NewRecord()
 	r.Issued("k", "parish", 0, 0)
@@ -35,7 +35,8 @@
 	return r
 }
 
-// A check that never fails proves nothing: each is given a record with one planted fault, and must find just that.
+// If a check could not fail, a soak would pass on a faulty fleet. Each check gets a record with one injected fault, and
+// exactly that check must report a breach.
 func TestEachCheckFindsItsFault(t *testing.T) {
 	sent := func(id string, at float64, status int) Sent {
 		return Sent{ID: id, Team: "parish", Key: "k", At: second(at), Answer: standin.Answer{Status: status, Whole: true}}
@@ -47,8 +48,8 @@
 		plant func(r *Record)
 		want  string
 	}{
-		"nothing": {func(*Record) {}, ""},
-		"another's answer": {func(r *Record) {
+		"no fault": {func(*Record) {}, ""},
+		"answer to another request": {func(r *Record) {
 			s := sent("x", 1, 200)
 			s.Answer.Whole = false
 			r.Sent(s)
@@ -66,39 +67,39 @@
 			r.Ran(ran("x", "i-1", 1))
 			r.Ran(ran("x", "i-2", 2))
 		}, ""},
-		"refused and run": {func(r *Record) { r.Sent(sent("x", 1, 503)); r.Ran(ran("x", "i-1", 1)) }, "falseNotRun"},
-		"sent by nobody":  {func(r *Record) { r.Ran(ran("x", "i-1", 1)) }, "ranForNobody"},
-		"of another team": {func(r *Record) { s := sent("x", 1, 200); s.Key = "g"; r.Sent(s); r.Ran(ran("x", "i-1", 1)) }, "wrongTeam"},
-		"with the key":    {func(r *Record) { r.Sent(sent("x", 1, 200)); n := ran("x", "i-1", 1); n.Key = "k"; r.Ran(n) }, "keySeen"},
-		"with a dead key": {func(r *Record) {
+		"refused as not run but ran":     {func(r *Record) { r.Sent(sent("x", 1, 503)); r.Ran(ran("x", "i-1", 1)) }, "falseNotRun"},
+		"run without a request":          {func(r *Record) { r.Ran(ran("x", "i-1", 1)) }, "ranForNobody"},
+		"run for another team":           {func(r *Record) { s := sent("x", 1, 200); s.Key = "g"; r.Sent(s); r.Ran(ran("x", "i-1", 1)) }, "wrongTeam"},
+		"key reached the backend server": {func(r *Record) { r.Sent(sent("x", 1, 200)); n := ran("x", "i-1", 1); n.Key = "k"; r.Ran(n) }, "keySeen"},
+		"key used long after its withdrawal": {func(r *Record) {
 			s := sent("z", 59.5, 200)
 			s.Key = "d"
 			r.Withdrawn("d", second(54))
 			r.Sent(s)
 			r.Ran(ran("z", "i-1", 59.6))
 		}, "withdrawnKey"},
-		"with a key just dying": {func(r *Record) {
+		"key used soon after its withdrawal": {func(r *Record) {
 			s := sent("z", 57, 200)
 			s.Key = "d"
 			r.Withdrawn("d", second(54))
 			r.Sent(s)
 			r.Ran(ran("z", "i-1", 59.6))
 		}, ""},
-		"over its rate": {func(r *Record) {
+		"team over its rate": {func(r *Record) {
 			for i := range 90 {
 				id := fmt.Sprint("g", i)
 				r.Sent(Sent{ID: id, Team: "greedy", Key: "g", At: second(1)})
 				r.Ran(standin.Run{Request: id, Instance: "i-1", Team: "greedy", At: second(1 + float64(i)*0.05)})
 			}
 		}, "rateExceeded"},
-		"after it left":      {func(r *Record) { r.Leaving("i-1", second(56)) }, "afterLeaving"},
-		"returned meanwhile": {func(r *Record) { r.Leaving("i-1", second(10)); r.Returned("i-1", second(11)) }, ""},
-		"still failing": {func(r *Record) {
+		"request after the endpoint left":     {func(r *Record) { r.Leaving("i-1", second(56)) }, "afterLeaving"},
+		"request after the endpoint returned": {func(r *Record) { r.Leaving("i-1", second(10)); r.Returned("i-1", second(11)) }, ""},
+		"requests fail after all faults ended": {func(r *Record) {
 			for i := range 20 {
 				r.Sent(sent(fmt.Sprint("f", i), 50, 502))
 			}
 		}, "notRecovered"},
-		"a process ended": {func(r *Record) { r.Exited("node 3: exit status 2") }, "ended"},
+		"a process exited": {func(r *Record) { r.Exited("node 3: exit status 2") }, "ended"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/soaker/plan.go
+++ b/internal/soaker/plan.go
@@ -1,7 +1,7 @@
 package soaker
 
-// Faults come in series and overlap: several rows of them run side by side, each drawing the next fault, the place and
-// the time from its own part of the seed.
+// Faults come in sequences that run concurrently, so that faults overlap. Each sequence draws the next fault, its node and
+// its duration from a random generator derived from the seed and the sequence's number.
 //
 // Example: seed 7, row 1: pause node-2 for 1.3 s, then lose the store's answers for 0.8 s, then kill node-4.
 
@@ -16,7 +16,7 @@
 	"github.com/jackdawtide/jackdawtide/platform/standin"
 )
 
-// faultSequences is how many faults may overlap.
+// faultSequences is the number of sequences, and so of faults that may overlap.
 const faultSequences = 3
 
 const (
@@ -26,7 +26,7 @@
 	maxGap           = 1500 * time.Millisecond
 )
 
-// fault is one kind of trouble; it returns when it is over.
+// fault is one kind of fault; run returns when the fault is over.
 type fault struct {
 	name string
 	run  func(f *fleet, n *node, d time.Duration) error
@@ -92,13 +92,13 @@
 	n.backend.Return(func(at time.Time) { f.record.Returned(n.instance, at) })
 }
 
-// restartExclusively restarts a node unless it is being restarted already.
+// restartExclusively restarts a node unless a restart of it is already in progress.
 func (n *node) restartExclusively(s syscall.Signal, pause time.Duration) error {
 	if !n.restarting.CompareAndSwap(false, true) {
 		return nil
 	}
 	defer n.restarting.Store(false)
-	// A paused process would not end by SIGTERM.
+	// A paused process would not act on SIGTERM.
 	n.signal(syscall.SIGCONT)
 	return n.restart(s, pause)
 }
@@ -127,7 +127,7 @@
 	return minimum + time.Duration(random.Int64N(int64(maximum-minimum)))
 }
 
-// runFaultSequence runs one row of faults until the context ends, and tells what it did.
+// runFaultSequence injects faults one after another until the context ends, and records each.
 func (f *fleet) runFaultSequence(ctx context.Context, sequence uint64, recordFault func(string)) error {
 	random := rand.New(rand.NewPCG(f.options.Seed, sequence))
 	started := time.Now()
--- a/internal/soaker/print.go
+++ b/internal/soaker/print.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Print writes the verdict in one line, and where promises were broken the faults and the breaches.
+// Print writes a summary in one line and, if promises were broken, the faults and the breaches.
 func (r Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %d requests sent, %d served, %d runs, %d faults, %d breaches\n",
 		r.Seed, r.Sent, r.Served, r.Runs, len(r.Faults), len(r.Breaches))
--- a/internal/soaker/process.go
+++ b/internal/soaker/process.go
@@ -1,9 +1,9 @@
 package soaker
 
-// A node runs as a process of its own, with proxies between it and the store, its endpoint and its callers. Only
-// processes that were started here are ever signalled, by the handle of their start.
+// Each node runs as a separate process, with proxies between it and the store, its endpoint and its callers. Only processes
+// started here are signalled, through the handle from their start.
 //
-// Example: n.signal(syscall.SIGSTOP) pauses the node, n.restart() starts it anew after it has ended.
+// Example: n.signal(syscall.SIGSTOP) pauses the node, n.restart(syscall.SIGTERM, pause) ends it and starts it again.
 
 import (
 	"context"
@@ -22,7 +22,8 @@
 	"github.com/jackdawtide/jackdawtide/platform/standin"
 )
 
-// terminationGrace is how long a process may take to end after SIGTERM before it is killed; nodes are told the same.
+// terminationGrace is how long a process may take to exit after SIGTERM before it is killed; the nodes' settings hold the
+// same value.
 const terminationGrace = 6 * time.Second
 
 type node struct {
@@ -42,27 +43,27 @@
 	command      *exec.Cmd
 	exited       chan struct{}
 	exitExpected bool
-	// restarting tells that the process is being restarted.
+	// restarting is set while a restart of the process is in progress.
 	restarting atomic.Bool
 }
 
 const (
-	// firstPort and ports bound where nodes listen. They lie below the ports that the system gives to outgoing connections:
-	// one of those would now and then sit on a node's port while the node is down, and the node could not start again.
+	// firstPort and portCount bound the ports on which nodes listen. The range lies below the ephemeral ports: an outgoing
+	// connection could otherwise occupy a node's port while the node is down, and the node could not restart.
 	firstPort = 15000
 	portCount = 15000
-	// maxPortAttempts bounds the search; far fewer ports than a tenth are ever in use.
+	// maxPortAttempts bounds the search; far fewer than a tenth of the ports are ever in use.
 	maxPortAttempts = 50
 )
 
-// allocatedPorts holds the ports that this process has given to nodes. A node listens on its ports some time after they were
-// found free, and two nodes that were given the same one fight for it: one run in twenty ended so.
+// allocatedPorts holds the ports that this process has given to nodes. A node listens on a port only some time after the
+// port was found free; without this record two nodes could be given the same one, which failed one run in twenty.
 var allocatedPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: map[int]bool{}}
 
-// freeAddress returns an address on which nothing listens, and which no other node was given.
+// freeAddress returns an address on which nothing listens and which was not given to another node.
 func freeAddress() (string, error) {
 	allocatedPorts.Lock()
 	defer allocatedPorts.Unlock()
@@ -137,11 +138,11 @@
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		n.exitExpected = true
 	}
-	// A process that has just ended needs no signal.
+	// The signal fails if the process has just exited, which is harmless.
 	_ = n.command.Process.Signal(s)
 }
 
-// awaitExit waits for the process, and kills it when its grace time is over.
+// awaitExit waits for the process to exit, and kills it when terminationGrace has passed.
 func (n *node) awaitExit() {
 	select {
 	case <-n.exited:
@@ -208,7 +209,7 @@
 	return n.start()
 }
 
-// close ends what was started.
+// close ends all processes, proxies and backend servers.
 func (f *fleet) close() {
 	var ending sync.WaitGroup
 	for _, n := range f.nodes {
--- a/internal/soaker/process_test.go
+++ b/internal/soaker/process_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two nodes of a soak are given the same port: the one that is started later ends at once, and the soak blames the product.
+// If two nodes of a soak got the same port, the one started later would exit at once, and the soak would report a fault of
+// the program under test.
 func TestFreeAddressNeverRepeats(t *testing.T) {
 	allocated := map[string]bool{}
 	for range 600 {
--- a/internal/soaker/proxy.go
+++ b/internal/soaker/proxy.go
@@ -1,10 +1,9 @@
 package soaker
 
-// Faults of the network come from a proxy on the loopback interface, so that the programs under test are the real ones.
-// A connection that is silenced stays open and carries nothing, as behind a partition; only a timeout shows it.
+// A proxy on the loopback interface injects network faults, so that the programs under test run unmodified. A silenced
+// connection stays open and carries no data, as during a network partition; only a timeout detects it.
 //
-// Example: p.Set(Silenced) stops what flows over all connections, p.Set(Passing) lets new ones through; silenced ones
-// stay silent.
+// Example: p.Set(Silenced) silences all connections, p.Set(Passing) lets new ones through; silenced ones stay silent.
 
 import (
 	"context"
@@ -14,7 +13,7 @@
 	"time"
 )
 
-// Treatment is what a proxy does to connections.
+// Treatment is what a proxy does to the data of its connections.
 type Treatment int32
 
 // The treatments of a connection.
@@ -22,19 +21,19 @@
 	Passing Treatment = iota
 	// Delayed passes all bytes 200 ms late.
 	Delayed
-	// DroppingToTarget drops what goes to the far end, CutBack what comes back.
+	// DroppingToTarget drops data sent to the target, DroppingFromTarget data sent by it.
 	DroppingToTarget
 	DroppingFromTarget
-	// Silenced drops both ways, also for connections that were open and after the fault is over.
+	// Silenced drops data in both directions; connections it affects stay silenced after the fault is over.
 	Silenced
 	// Resetting resets all connections, open ones and new ones.
 	Resetting
 )
 
-// addedDelay is how late bytes pass while they are delayed; it is well above a round trip and below most timeouts.
+// addedDelay is the delay that Delayed adds; it is well above a round-trip time and below most timeouts.
 const addedDelay = 200 * time.Millisecond
 
-// Proxy passes TCP connections on to one address.
+// Proxy forwards TCP connections to one address.
 type Proxy struct {
 	listener  net.Listener
 	target    string
@@ -45,7 +44,7 @@
 
 type connectionPair struct {
 	near, far net.Conn
-	// silenced connections stay silent for good.
+	// silenced connections carry no data for the rest of their life.
 	silenced atomic.Bool
 }
 
@@ -130,14 +129,14 @@
 
 const copyBufferBytes = 16 << 10
 
-// copy passes bytes on until an end closes; cut names the treatment that drops this direction.
+// copy forwards bytes until one side closes; dropping is the treatment that drops data in this direction.
 func (p *Proxy) copy(c *connectionPair, to, from net.Conn, dropping Treatment) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		t := Treatment(p.treatment.Load())
 		if t == dropping {
-			// What was lost leaves a hole in the stream, so nothing that comes later may pass.
+			// The dropped bytes leave a gap in the stream, so no later bytes may be forwarded.
 			c.silenced.Store(true)
 		}
 		if t == Delayed {
@@ -164,7 +163,7 @@
 	reset(c.far)
 }
 
-// reset closes a connection so that its far end sees a reset.
+// reset closes a connection with a TCP reset instead of a FIN.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -1,6 +1,6 @@
 package soaker
 
-// Run puts the system together, lets callers and faults loose on it, calms down, and judges.
+// Starts the system under test, runs callers and faults against it, ends the faults, and checks the recorded requests.
 
 import (
 	"context"
@@ -16,18 +16,18 @@
 )
 
 const (
-	// warmUp is the time from the start of the processes to the first request, calmEnd how long callers go on after the
-	// last fault.
+	// warmUp is the time from the start of the processes to the first request, recoveryTime how long callers continue after
+	// the last fault.
 	warmUp       = 3 * time.Second
 	recoveryTime = 10 * time.Second
 )
 
-// Promises are the terms by which a soak is judged; nodes are told the same figures.
+// Promises are the limits by which a soak is checked; the nodes are configured with the same values.
 var Promises = Terms{
 	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, RecoveredPart: 0.95,
 }
 
-// Run plays one soak and returns what was seen; an error means that it could not be played.
+// Run runs one soak and returns its report; an error means that the soak could not be completed.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if err := o.check(); err != nil {
 		return Report{}, err
@@ -65,7 +65,7 @@
 	return report, ctx.Err()
 }
 
-// startCallers returns what stops the callers and waits for their last answers.
+// startCallers starts all callers; stop ends them and waits for their last answers.
 func (f *fleet) startCallers(ctx context.Context) (stop func()) {
 	calling, cancel := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -85,7 +85,7 @@
 	}
 }
 
-// runAllFaultSequences runs all rows of faults side by side.
+// runAllFaultSequences runs all fault sequences concurrently.
 func (f *fleet) runAllFaultSequences(ctx context.Context, report *Report) error {
 	limited, cancel := context.WithTimeout(ctx, f.options.Length)
 	defer cancel()
@@ -108,7 +108,7 @@
 	return errors.Join(failed...)
 }
 
-// endFaults ends every fault that overlapping rows may have left behind.
+// endFaults ends every fault that overlapping sequences may have left in place.
 func (f *fleet) endFaults() {
 	f.store.SetMode(standin.Sound)
 	for _, n := range f.nodes {
--- a/internal/soaker/traffic.go
+++ b/internal/soaker/traffic.go
@@ -1,9 +1,9 @@
 package soaker
 
-// Callers keep their connections and send at a steady pace, whatever becomes of the requests: a caller that waited for
-// answers would send less just when the fleet is in trouble. They do not send a request again; each one is judged alone.
+// Callers reuse their connections and send at a constant rate whatever the outcome of the requests: a caller that waited for
+// answers would send less while the fleet is failing. Callers don't retry; each request is checked by itself.
 //
-// Example: an order without an answer is noted with status 0, and may have run once.
+// Example: an order without an answer is recorded with status 0, and may have run once.
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 
 const (
 	host = "soak.example"
-	// requestInterval is the time between two requests of one caller, callersPerNode how many callers each node has.
+	// requestInterval is the time between two requests of one caller, callersPerNode the number of callers at each node.
 	requestInterval = 25 * time.Millisecond
 	callersPerNode  = 3
 	callTimeout     = 2 * time.Second
-	// greedyRate is the rate of the team that sends several times what it bought.
+	// greedyRate is the rate of the team that sends several times its rate.
 	greedyRate  = 20
 	greedyBurst = 20
 )
@@ -34,12 +34,12 @@
 	{Name: "inner", Host: host, Prefix: "/inner/", Service: services[2], Kind: "idempotent", TimeoutMs: 800, Public: true},
 }
 
-// teams holds the keys in force; one team's keys are withdrawn and issued anew while its callers go on.
+// teams holds the keys in force; the keys of team "roaming" are replaced while its callers send.
 type teams struct {
 	mu          sync.Mutex
 	version     int64
 	roamingKeys []string
-	// withdrawn are the withdrawn keys, which callers go on to use now and then.
+	// withdrawn holds the withdrawn keys, which callers still use at times.
 	withdrawn   []string
 	extraRoutes int
 }
@@ -49,7 +49,7 @@
 	greedyKey = "greedy"
 )
 
-// publish writes the configuration as it now is.
+// publish writes the current configuration to the store.
 func (t *teams) publish(s *standin.Store) {
 	t.version += 1 + int64(rand.IntN(3))
 	all := append([]standin.Route(nil), routes...)
@@ -66,7 +66,7 @@
 	}}.Publish(s)
 }
 
-// rotateKey issues a key and withdraws the one before the last, so that callers have time to change.
+// rotateKey issues a key and withdraws the oldest if there are more than two, so that callers have time to change keys.
 func (t *teams) rotateKey(s *standin.Store, r *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +91,7 @@
 	t.publish(s)
 }
 
-// pickKey returns a team and one of its keys, now and then a withdrawn one.
+// pickKey returns a random team and one of its keys, at times a withdrawn one.
 func (t *teams) pickKey(random *rand.Rand) (team, key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/soaker/types.go
+++ b/internal/soaker/types.go
@@ -1,7 +1,7 @@
 package soaker
 
-// A soak is a fleet of real processes, callers that never stop, and a plan of faults that a seed decides. The same seed
-// gives the same plan; what the processes make of it may differ, as on real machines.
+// A soak is a fleet of real processes, callers that send without pause, and a plan of faults derived from a seed. The same
+// seed gives the same plan; the effects of the faults may differ, since the processes' timing does.
 //
 // Example: Run(ctx, Options{Program: "./jackdawtide", Seed: 7, Length: 30 * time.Second, Nodes: 6})
 
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Options set a soak up.
+// Options configure a soak.
 type Options struct {
-	// Program is the built program under test, Directory where settings and logs of its processes go.
+	// Program is the built program under test, Directory where settings and logs of its processes are written.
 	Program   string
 	Directory string
 	Seed      uint64
-	// Length is how long faults come; callers go on for some seconds more.
+	// Length is how long faults are injected; callers continue for recoveryTime after it.
 	Length time.Duration
 	// Nodes is how many nodes run, at least one for each service.
 	Nodes int
@@ -32,14 +32,14 @@
 	Breaches []Breach
 }
 
-// OptionError reports an option that can't be used.
+// OptionError reports an invalid option.
 type OptionError struct {
 	Option string
 	Value  any
 	Want   string
 }
 
-// Error names the option, its value and what it should be.
+// Error names the option, its value and the expected value.
 func (e OptionError) Error() string {
 	return fmt.Sprintf("option %s is %v, want %s", e.Option, e.Value, e.Want)
 }
