--- a/internal/faulter/faults.go
+++ b/internal/faulter/faults.go
@@ -227,7 +227,7 @@
 	began := time.Now()
 	b := r.fleet.Members[busiest].Backend
 	b.SetServiceTime(time.Hour)
-	b.Silence()
+	b.StopHeartbeats()
 	clock.Sleep(ctx, faultDuration)
 	r.figures.LastNewCallMs = milliseconds(r.lastStartAfter(began, func(i int) bool { return i == busiest }, ""))
 	return nil
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -145,11 +145,11 @@
 	slowDown(deep, sc.slow)
 	if sc.slowOne > 1 {
 		slowDown(deep[:1], sc.slowOne)
-		deep[0].Lie(0)
+		deep[0].SetReportedLoad(0)
 	}
 	clock.SleepUntil(ctx, start.Add(t.before+t.trigger))
 	slowDown(deep, 1)
-	deep[0].Lie(-1)
+	deep[0].SetReportedLoad(-1)
 }
 
 func slowDown(list []*responder.Server, factor float64) {
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -80,13 +80,13 @@
 	client   *http.Client
 
 	// serviceTime, failEvery and announcedLoad can be changed while it runs; a negative load means the truth.
-	serviceTime   atomic.Int64
-	failEvery     atomic.Int64
-	announcedLoad atomic.Int64
-	inUse         atomic.Int64
-	served        atomic.Int64
-	arrived       atomic.Int64
-	sawKey        atomic.Bool
+	serviceTime  atomic.Int64
+	failEvery    atomic.Int64
+	loadOverride atomic.Int64
+	inUse        atomic.Int64
+	served       atomic.Int64
+	arrived      atomic.Int64
+	sawKey       atomic.Bool
 
 	mu     sync.Mutex
 	runs   map[string]int
@@ -125,7 +125,7 @@
 		rnd:      rand.New(rand.NewPCG(o.Seed, o.Seed+1)),
 	}
 	s.serviceTime.Store(int64(o.ServiceTime))
-	s.announcedLoad.Store(-1)
+	s.loadOverride.Store(-1)
 	s.server = &http.Server{Handler: s, ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = s.server.Serve(l) }()
 	return s, nil
@@ -175,8 +175,8 @@
 // FailEvery makes every nth call end with a 500; zero stops that.
 func (s *Server) FailEvery(n int64) { s.failEvery.Store(n) }
 
-// Lie makes it report the load given in thousandths; a negative number makes it tell the truth again.
-func (s *Server) Lie(perMille int64) { s.announcedLoad.Store(perMille) }
+// SetReportedLoad makes it report the load given in thousandths; a negative number makes it tell the truth again.
+func (s *Server) SetReportedLoad(perMille int64) { s.loadOverride.Store(perMille) }
 
 // Served returns how many calls it answered in whole.
 func (s *Server) Served() int64 { return s.served.Load() }
@@ -205,15 +205,15 @@
 	return append([]RunStart(nil), s.starts...)
 }
 
-// Silence ends its heartbeats while it goes on listening, as a machine that hangs would.
-func (s *Server) Silence() { s.announcement.Stop() }
+// StopHeartbeats ends its heartbeats while it goes on listening, as a machine that hangs would.
+func (s *Server) StopHeartbeats() { s.announcement.Stop() }
 
 // InUse returns how many calls it works on now.
 func (s *Server) InUse() int64 { return s.inUse.Load() }
 
 func (s *Server) load() float64 {
-	if lie := s.announcedLoad.Load(); lie >= 0 {
-		return float64(lie) / 1000
+	if override := s.loadOverride.Load(); override >= 0 {
+		return float64(override) / 1000
 	}
 	load := float64(s.inUse.Load()) / float64(s.options.Slots)
 	if f := s.options.ReportedLoad; f > 0 {
@@ -225,7 +225,7 @@
 // ServeHTTP works on one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.arrived.Add(1)
-	s.note(r)
+	s.recordStart(r)
 	if s.options.IgnoreCancel {
 		r = r.WithContext(context.WithoutCancel(r.Context()))
 	}
@@ -284,7 +284,7 @@
 	return len(b), nil
 }
 
-func (s *Server) note(r *http.Request) {
+func (s *Server) recordStart(r *http.Request) {
 	if r.Header.Get("Authorization") != "" || strings.Contains(r.URL.RawQuery, "jt_") {
 		s.sawKey.Store(true)
 	}
