--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -1,9 +1,9 @@
-// Tests and measurements need a backend server with slots, a service time, a cold start, a load report that can
-// lie, and nested calls. It counts what it ran by request and keeps whether it ever saw a key, so that checks
-// can be made from its own account rather than from what the nodes say about themselves.
+// A stand-in for a backend server with slots, a service time, a cold start, a load report that can be wrong, and nested
+// calls. It records the starts of each request and whether it ever saw a key, so that checks can use its records
+// rather than what the nodes report about themselves.
 //
-// Example: a Server with Service "board" and Calls [{ice GET /bulletins}] works for ServiceTime, calls ice
-// through its node on behalf of the call it serves, and answers with both texts.
+// Example: a Server with Service "board" and Calls [{ice GET /bulletins}] works for ServiceTime, calls ice through its
+// node on behalf of the call it serves, and answers with its text and the nested one.
 
 package responder
 
@@ -24,7 +24,7 @@
 	"github.com/jackdawtide/jackdawtide/pkg/announcer"
 )
 
-// The header fields by which a node and its backend server speak of a call.
+// Header fields that a node and its backend server exchange about a call.
 const (
 	CallHeader        = "Jackdawtide-Call"
 	DeadlineHeader    = "Jackdawtide-Deadline-Ms"
@@ -40,7 +40,7 @@
 	Path    string
 }
 
-// RunStart is one call as it reached the backend server.
+// RunStart records one call that reached the backend server.
 type RunStart struct {
 	At          time.Time
 	Team        string
@@ -58,15 +58,15 @@
 	ConnectionLimit int
 	ServiceTime     time.Duration
 	ColdStart       time.Duration
-	// ReportedLoad multiplies the load that it reports; 0 and 1 tell the truth.
+	// ReportedLoad multiplies the load that it reports; 0 and 1 report the true load.
 	ReportedLoad float64
 	Calls        []Nested
 	Seed         uint64
-	// Call makes a nested call in some other way than through the node; nil goes through the node.
+	// Call replaces the way in which nested calls are made; nil makes them through the node.
 	Call func(r *http.Request, n Nested) (text string, status int)
-	// Admit is asked before a call takes a slot, and release is called after it; nil admits all.
+	// Admit decides before a call takes a slot whether to admit it; release is called after the call. Nil admits all.
 	Admit func() (release func(), ok bool)
-	// IgnoreCancel makes the backend server work on for callers that have gone.
+	// IgnoreCancel makes the backend server continue to work on calls whose caller has cancelled.
 	IgnoreCancel bool
 }
 
@@ -79,7 +79,7 @@
 	server   *http.Server
 	client   *http.Client
 
-	// serviceTime, failEvery and announcedLoad can be changed while it runs; a negative load means the truth.
+	// serviceTime, failEvery and loadOverride can be changed while it runs; a negative loadOverride reports the true load.
 	serviceTime  atomic.Int64
 	failEvery    atomic.Int64
 	loadOverride atomic.Int64
@@ -131,7 +131,7 @@
 	return s, nil
 }
 
-// Announce tells the node about the backend server.
+// Announce announces the backend server to its node.
 func (s *Server) Announce(ctx context.Context) error {
 	a, err := announcer.Announce(ctx, s.options.NodeURL, announcer.Backend{
 		Endpoint:        s.options.Endpoint,
@@ -148,20 +148,20 @@
 	return nil
 }
 
-// Address returns where it listens.
+// Address returns the address on which it listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Leave drains it and stops it.
+// Leave drains the backend server and stops it.
 func (s *Server) Leave(ctx context.Context) error {
 	err := s.announcement.Leave(ctx)
 	_ = s.server.Shutdown(ctx)
 	return err
 }
 
-// Drain leaves but goes on listening, so that work which still comes is seen.
+// Drain announces the leave but keeps listening, so that calls which still arrive are recorded.
 func (s *Server) Drain(ctx context.Context) error { return s.announcement.Leave(ctx) }
 
-// Crash stops it at once, with calls cut short and no word to the node.
+// Crash stops it at once: running calls are broken off, and the node is not notified.
 func (s *Server) Crash() {
 	if s.announcement != nil {
 		s.announcement.Stop()
@@ -175,19 +175,19 @@
 // FailEvery makes every nth call end with a 500; zero stops that.
 func (s *Server) FailEvery(n int64) { s.failEvery.Store(n) }
 
-// SetReportedLoad makes it report the load given in thousandths; a negative number makes it tell the truth again.
+// SetReportedLoad sets the load that it reports, in thousandths; a negative number restores the true load.
 func (s *Server) SetReportedLoad(perMille int64) { s.loadOverride.Store(perMille) }
 
-// Served returns how many calls it answered in whole.
+// Served returns how many calls were served to completion, including those that FailEvery makes fail.
 func (s *Server) Served() int64 { return s.served.Load() }
 
-// Arrived returns how many calls reached it, whatever became of them.
+// Arrived returns how many calls reached it, whatever their outcome.
 func (s *Server) Arrived() int64 { return s.arrived.Load() }
 
-// SawKey tells whether any call carried a team's key.
+// SawKey reports whether any call carried a team's key.
 func (s *Server) SawKey() bool { return s.sawKey.Load() }
 
-// Runs returns how often it started work on each idempotency id.
+// Runs returns how often each idempotency id reached it.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,17 +198,17 @@
 	return runs
 }
 
-// Starts returns every call that reached it, in order.
+// Starts returns all calls that reached it, in order of arrival.
 func (s *Server) Starts() []RunStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]RunStart(nil), s.starts...)
 }
 
-// StopHeartbeats ends its heartbeats while it goes on listening, as a machine that hangs would.
+// StopHeartbeats ends its heartbeats while it keeps listening, as a hanging machine does.
 func (s *Server) StopHeartbeats() { s.announcement.Stop() }
 
-// InUse returns how many calls it works on now.
+// InUse returns how many slots are in use.
 func (s *Server) InUse() int64 { return s.inUse.Load() }
 
 func (s *Server) load() float64 {
@@ -222,7 +222,7 @@
 	return load
 }
 
-// ServeHTTP works on one call.
+// ServeHTTP serves one call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.arrived.Add(1)
 	s.recordStart(r)
@@ -317,7 +317,8 @@
 	<-s.slots
 }
 
-// The time varies by a quarter around its mean; a cold backend server starts at three times that.
+// drawServiceTime varies the service time by a quarter around its mean; a cold backend server starts at three times the
+// mean and approaches it linearly over ColdStart.
 func (s *Server) drawServiceTime() time.Duration {
 	s.mu.Lock()
 	f := 0.75 + s.rnd.Float64()/2
