--- a/internal/demonstrator/outcome.go
+++ b/internal/demonstrator/outcome.go
@@ -13,7 +13,7 @@
 type phase uint8
 
 const (
-	calm phase = iota
+	steady phase = iota
 	changes
 	overload
 	settling
@@ -28,10 +28,10 @@
 	request    request
 	id         string
 	idempotent bool
-	// again marks the second sending of the same id.
-	again    bool
-	size     int
-	deadline time.Duration
+	// duplicate marks the second sending of the same id.
+	duplicate bool
+	size      int
+	deadline  time.Duration
 	// sent and ended count from the start of the traffic.
 	sent  time.Duration
 	ended time.Duration
@@ -50,8 +50,8 @@
 
 func (o *outcome) refused() bool { return o.failure == "" && o.reason != "" }
 
-// sighting is a node's own word on the configuration in force there.
-type sighting struct {
+// versionSample is a node's own word on the configuration in force there.
+type versionSample struct {
 	node    string
 	at      time.Duration
 	version identifier.Version
@@ -63,20 +63,20 @@
 	version identifier.Version
 }
 
-// account is everything that the promises are judged by.
-type account struct {
+// audit is everything that the promises are judged by.
+type audit struct {
 	outcomes []outcome
 	// runs counts the starts of each idempotency id, over all backend servers.
 	runs map[string]int
 	// keySeen names the backend servers that saw a key.
 	keySeen []string
 	// limits are the most generous rate and burst that each team had, in calls.
-	limits    map[identifier.Team]limit
-	allowance int
-	duration  time.Duration
+	limits         map[identifier.Team]limit
+	retryAllowance int
+	duration       time.Duration
 
-	switches  []change
-	sightings []sighting
+	switches       []change
+	versionSamples []versionSample
 	// stopped names the node that was stopped on purpose, which then tells nothing more.
 	stopped   string
 	stoppedAt time.Duration
@@ -85,8 +85,8 @@
 	withdrawn   identifier.Team
 	withdrawnAt time.Duration
 
-	drain  drainAccount
-	upload uploadAccount
+	drain  drainRecord
+	upload uploadRecord
 }
 
 type limit struct {
@@ -94,16 +94,16 @@
 	burst float64
 }
 
-// drainAccount counts what reached the drained backend server: before the drain, when no more should come, at the end.
-type drainAccount struct {
+// drainRecord counts what reached the drained backend server: before the drain, when no more should come, at the end.
+type drainRecord struct {
 	before  int64
 	settled int64
 	end     int64
 	failure string
 }
 
-// uploadAccount tells how an upload through a planned stop went.
-type uploadAccount struct {
+// uploadRecord tells how an upload through a planned stop went.
+type uploadRecord struct {
 	size    int
 	status  int
 	text    string
--- a/internal/demonstrator/promises.go
+++ b/internal/demonstrator/promises.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// soon bounds what has to happen "within seconds".
-	soon = 2 * time.Second
-	// urgentLeast is the part of urgent requests that must be answered under overload.
-	urgentLeast = 0.9
-	// shedLeast is the part of the least important requests that an overload worth the name makes the fleet shed.
-	shedLeast = 0.2
-	// shareTolerance is by how much a more important class may fare worse than a less important one, by chance.
-	shareTolerance = 0.03
-	// recoveredLeast is the part of the goodput before the overload that must be back after it.
-	recoveredLeast = 0.95
+	// maxChangeDelay bounds what has to happen "within seconds".
+	maxChangeDelay = 2 * time.Second
+	// minUrgentRatio is the part of urgent requests that must be answered under overload.
+	minUrgentRatio = 0.9
+	// minShedRatio is the part of the least important requests that an overload worth the name makes the fleet shed.
+	minShedRatio = 0.2
+	// ratioTolerance is by how much a more important class may fare worse than a less important one, by chance.
+	ratioTolerance = 0.03
+	// minRecoveredRatio is the part of the goodput before the overload that must be back after it.
+	minRecoveredRatio = 0.95
 )
 
 // Promise is one promise and whether it held.
@@ -38,12 +38,12 @@
 
 type check struct {
 	name, text string
-	judge      func(*account) (held bool, evidence string)
+	judge      func(*audit) (held bool, evidence string)
 }
 
 var checks = []check{
 	{"nothingLost", "Every request is answered or refused; none is lost or cut short.", judgeLost},
-	{"wholeAnswers", "Every caller gets the whole answer to its own request.", judgeWhole},
+	{"wholeAnswers", "Every caller gets the whole answer to its own request.", judgeComplete},
 	{"urgentLast", "Under overload the most important requests are shed last.", judgeUrgent},
 	{"rateHeld", "No team receives more than its rate and burst, over all VMs together.", judgeRate},
 	{"notRun", "A refusal that says \"not run\" is true.", judgeNotRun},
@@ -58,7 +58,7 @@
 	{"recovered", "Goodput is back soon after the overload.", judgeRecovered},
 }
 
-func judgeAll(a *account) []Promise {
+func judgeAll(a *audit) []Promise {
 	promises := make([]Promise, 0, len(checks))
 	for _, c := range checks {
 		held, evidence := c.judge(a)
@@ -67,7 +67,7 @@
 	return promises
 }
 
-func judgeLost(a *account) (bool, string) {
+func judgeLost(a *audit) (bool, string) {
 	lost, example := 0, ""
 	for _, o := range a.outcomes {
 		if o.failure != "" || !o.answered() && !o.refused() {
@@ -78,22 +78,22 @@
 	return lost == 0 && len(a.outcomes) > 0, fmt.Sprintf("%d of %d requests without an answer or a refusal%s", lost, len(a.outcomes), example)
 }
 
-func judgeWhole(a *account) (bool, string) {
+func judgeComplete(a *audit) (bool, string) {
 	wrong, answers := 0, 0
 	for _, o := range a.outcomes {
 		if !o.answered() || o.replayed {
 			continue
 		}
 		answers++
-		if !o.isWhole() {
+		if !o.isComplete() {
 			wrong++
 		}
 	}
 	return wrong == 0 && answers > 0, fmt.Sprintf("%d of %d answers were not whole or not the caller's own", wrong, answers)
 }
 
-// isWhole compares the answer with the request: its service, path, size and id, and each nested service's part.
-func (o *outcome) isWhole() bool {
+// isComplete compares the answer with the request: its service, path, size and id, and each nested service's part.
+func (o *outcome) isComplete() bool {
 	want := fmt.Sprintf("%s %s %s got %d bytes for %s", o.request.service, o.request.method, o.request.path, o.size, o.requestID)
 	if !strings.HasPrefix(o.text, want) {
 		return false
@@ -107,39 +107,39 @@
 }
 
 // judgeUrgent leaves out the team over its rate and the one without a key: they are refused for other reasons.
-func judgeUrgent(a *account) (bool, string) {
-	var sent, spared, shed [4]float64
+func judgeUrgent(a *audit) (bool, string) {
+	var sent, unaffected, shed [4]float64
 	for _, o := range a.outcomes {
 		if o.phase != overload || o.team == a.flooding || o.team == a.withdrawn {
 			continue
 		}
 		sent[o.class]++
-		if !o.fellToOverload() {
-			spared[o.class]++
+		if !o.failedFromOverload() {
+			unaffected[o.class]++
 		}
 		if o.reason == string(reducer.Shed) {
 			shed[o.class]++
 		}
 	}
-	held := sent[identifier.Low] > 0 && shed[identifier.Low] >= shedLeast*sent[identifier.Low]
+	held := sent[identifier.Low] > 0 && shed[identifier.Low] >= minShedRatio*sent[identifier.Low]
 	var parts []string
-	above := 1.0
+	minRatio := 1.0
 	for _, p := range identifier.Priorities {
 		if sent[p] == 0 {
 			continue
 		}
-		share := spared[p] / sent[p]
-		parts = append(parts, fmt.Sprintf("%s %.1f%%", p, 100*share))
-		held = held && share <= above+shareTolerance
-		above = min(above, share)
+		ratio := unaffected[p] / sent[p]
+		parts = append(parts, fmt.Sprintf("%s %.1f%%", p, 100*ratio))
+		held = held && ratio <= minRatio+ratioTolerance
+		minRatio = min(minRatio, ratio)
 	}
-	held = held && spared[identifier.Urgent] >= urgentLeast*sent[identifier.Urgent] && sent[identifier.Urgent] > 0
+	held = held && unaffected[identifier.Urgent] >= minUrgentRatio*sent[identifier.Urgent] && sent[identifier.Urgent] > 0
 	return held, "not shed under overload: " + strings.Join(parts, ", ")
 }
 
-// fellToOverload tells that a request got no answer because of the load, and not for a reason of its own, such as an
+// failedFromOverload tells that a request got no answer because of the load, and not for a reason of its own, such as an
 // idempotency id that is still in use.
-func (o *outcome) fellToOverload() bool {
+func (o *outcome) failedFromOverload() bool {
 	switch reducer.Reason(o.reason) {
 	case reducer.Shed, reducer.DeadlinePassed, reducer.NoBackend, reducer.Unreachable, reducer.LostAnswer, reducer.TooManyRequests, backendError:
 		return true
@@ -148,7 +148,7 @@
 	}
 }
 
-func judgeRate(a *account) (bool, string) {
+func judgeRate(a *audit) (bool, string) {
 	ran := make(map[identifier.Team]int)
 	counted := make(map[string]bool)
 	for _, o := range a.outcomes {
@@ -159,18 +159,18 @@
 	}
 	held := ran[a.flooding] > 0
 	for t, n := range ran {
-		held = held && float64(n) <= a.bound(t)
+		held = held && float64(n) <= a.maxCalls(t)
 	}
-	return held, fmt.Sprintf("%s, who asked for more: %d ran, at most %.0f were bought", a.flooding, ran[a.flooding], a.bound(a.flooding))
+	return held, fmt.Sprintf("%s, who asked for more: %d ran, at most %.0f were bought", a.flooding, ran[a.flooding], a.maxCalls(a.flooding))
 }
 
-func (a *account) bound(t identifier.Team) float64 {
+func (a *audit) maxCalls(t identifier.Team) float64 {
 	l := a.limits[t]
 	return l.burst + l.rate*a.duration.Seconds()
 }
 
-func judgeNotRun(a *account) (bool, string) {
-	said, wrong := 0, 0
+func judgeNotRun(a *audit) (bool, string) {
+	notRunCount, wrong := 0, 0
 	ranOtherwise := make(map[string]bool)
 	for _, o := range a.outcomes {
 		if !o.refused() || !o.notRun {
@@ -181,22 +181,22 @@
 		if !o.refused() || !o.notRun || ranOtherwise[o.id] {
 			continue
 		}
-		said++
+		notRunCount++
 		if a.runs[o.id] > 0 {
 			wrong++
 		}
 	}
-	return wrong == 0 && said > 0, fmt.Sprintf("%d of %d requests refused as not run had run", wrong, said)
+	return wrong == 0 && notRunCount > 0, fmt.Sprintf("%d of %d requests refused as not run had run", wrong, notRunCount)
 }
 
-func judgeOnce(a *account) (bool, string) {
+func judgeOnce(a *audit) (bool, string) {
 	ids, twice, replays, differing, example := 0, 0, 0, 0, ""
 	first := make(map[string]string)
 	for _, o := range a.outcomes {
 		if o.idempotent {
 			continue
 		}
-		if !o.again {
+		if !o.duplicate {
 			ids++
 			if a.runs[o.id] > 1 {
 				twice++
@@ -218,10 +218,10 @@
 	return held, fmt.Sprintf("%d of %d ids ran twice; %d of %d answers to a retry differed from the first%s", twice, ids, differing, replays, example)
 }
 
-func judgeRetries(a *account) (bool, string) {
-	most := 0
+func judgeRetries(a *audit) (bool, string) {
+	maxRuns := 0
 	for _, n := range a.runs {
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 	}
-	return most > 0 && most <= 1+a.allowance, fmt.Sprintf("the most often that one request was started is %d, its allowance is %d retries", most, a.allowance)
+	return maxRuns > 0 && maxRuns <= 1+a.retryAllowance, fmt.Sprintf("the most often that one request was started is %d, its allowance is %d retries", maxRuns, a.retryAllowance)
 }
--- a/internal/demonstrator/promises_test.go
+++ b/internal/demonstrator/promises_test.go
@@ -14,42 +14,42 @@
 	"github.com/jackdawtide/jackdawtide/internal/launcher"
 )
 
-// goodAccount is the account of a day on which every promise held.
-func goodAccount() *account {
-	a := &account{
-		runs:        map[string]int{},
-		limits:      map[identifier.Team]limit{"small": {rate: 1, burst: 2}, "large": {rate: 100, burst: 200}, "gone": {rate: 1, burst: 9}},
-		allowance:   3,
-		duration:    10 * time.Second,
-		switches:    []change{{at: time.Second, version: 2}},
-		flooding:    "small",
-		withdrawn:   "gone",
-		withdrawnAt: 2 * time.Second,
-		drain:       drainAccount{before: 5, settled: 6, end: 6},
-		upload:      uploadAccount{size: 9, status: 200, text: "got 9 bytes", answeredAfter: time.Second, stoppedAfter: 2 * time.Second},
+// goodAudit is the account of a day on which every promise held.
+func goodAudit() *audit {
+	a := &audit{
+		runs:           map[string]int{},
+		limits:         map[identifier.Team]limit{"small": {rate: 1, burst: 2}, "large": {rate: 100, burst: 200}, "gone": {rate: 1, burst: 9}},
+		retryAllowance: 3,
+		duration:       10 * time.Second,
+		switches:       []change{{at: time.Second, version: 2}},
+		flooding:       "small",
+		withdrawn:      "gone",
+		withdrawnAt:    2 * time.Second,
+		drain:          drainRecord{before: 5, settled: 6, end: 6},
+		upload:         uploadRecord{size: 9, status: 200, text: "got 9 bytes", answeredAfter: time.Second, stoppedAfter: 2 * time.Second},
 	}
 	search := request{method: "GET", service: "board", path: "/search", chain: []string{"ice"}}
 	booking := request{method: "POST", service: "board", path: "/bookings"}
-	a.add(outcome{team: "large", phase: calm, request: search, idempotent: true, class: identifier.Low}, "")
-	a.add(outcome{team: "small", phase: calm, request: search, idempotent: true, class: identifier.Low}, "")
-	a.add(outcome{team: "small", phase: calm, request: search, idempotent: true, class: identifier.Low}, "rateExceeded")
-	a.add(outcome{team: "gone", phase: calm, request: search, idempotent: true, class: identifier.Low}, "")
-	a.add(outcome{team: "gone", phase: calm, request: search, idempotent: true, class: identifier.Low, sent: 5 * time.Second}, "unknownKey")
-	a.add(outcome{team: "large", phase: overload, request: search, idempotent: true, class: identifier.Urgent}, "")
-	a.add(outcome{team: "large", phase: overload, request: search, idempotent: true, class: identifier.Low}, "shed")
-	a.add(outcome{team: "large", phase: recovered, request: search, idempotent: true, class: identifier.Low}, "")
-	a.add(outcome{team: "large", phase: calm, request: booking, class: identifier.High}, "")
-	again := a.outcomes[len(a.outcomes)-1]
-	again.again, again.replayed = true, true
-	a.outcomes = append(a.outcomes, again)
+	a.addOutcome(outcome{team: "large", phase: steady, request: search, idempotent: true, class: identifier.Low}, "")
+	a.addOutcome(outcome{team: "small", phase: steady, request: search, idempotent: true, class: identifier.Low}, "")
+	a.addOutcome(outcome{team: "small", phase: steady, request: search, idempotent: true, class: identifier.Low}, "rateExceeded")
+	a.addOutcome(outcome{team: "gone", phase: steady, request: search, idempotent: true, class: identifier.Low}, "")
+	a.addOutcome(outcome{team: "gone", phase: steady, request: search, idempotent: true, class: identifier.Low, sent: 5 * time.Second}, "unknownKey")
+	a.addOutcome(outcome{team: "large", phase: overload, request: search, idempotent: true, class: identifier.Urgent}, "")
+	a.addOutcome(outcome{team: "large", phase: overload, request: search, idempotent: true, class: identifier.Low}, "shed")
+	a.addOutcome(outcome{team: "large", phase: recovered, request: search, idempotent: true, class: identifier.Low}, "")
+	a.addOutcome(outcome{team: "large", phase: steady, request: booking, class: identifier.High}, "")
+	duplicate := a.outcomes[len(a.outcomes)-1]
+	duplicate.duplicate, duplicate.replayed = true, true
+	a.outcomes = append(a.outcomes, duplicate)
 	for i, v := range []identifier.Version{1, 2, 2} {
-		a.sightings = append(a.sightings, sighting{node: "n", at: time.Duration(i) * time.Second, version: v})
+		a.versionSamples = append(a.versionSamples, versionSample{node: "n", at: time.Duration(i) * time.Second, version: v})
 	}
 	return a
 }
 
-// add completes an outcome: refused for the reason, or answered where there is none.
-func (a *account) add(o outcome, reason string) {
+// addOutcome completes an outcome: refused for the reason, or answered where there is none.
+func (a *audit) addOutcome(o outcome, reason string) {
 	o.id = fmt.Sprint(len(a.outcomes))
 	o.requestID = "r" + o.id
 	o.deadline = time.Second
@@ -68,46 +68,46 @@
 
 // A check that cannot fail would let the demo print "held" over a fleet that breaks its word. So each promise is broken
 // here, once or more, in an account that is otherwise good, and exactly its own check must tell.
-func TestEachCheckFails(t *testing.T) {
-	last := func(a *account) *outcome { return &a.outcomes[len(a.outcomes)-1] }
-	tests := map[string]func(a *account){
-		"nothingLost cut short":       func(a *account) { a.outcomes[2].failure = "unexpected EOF" },
-		"nothingLost no reason":       func(a *account) { a.outcomes[2].reason = "" },
-		"wholeAnswers crossed":        func(a *account) { a.outcomes[0].requestID = "other" },
-		"wholeAnswers part missing":   func(a *account) { a.outcomes[0].text = "board GET /search got 0 bytes for r0" },
-		"wholeAnswers cut":            func(a *account) { a.outcomes[0].text = strings.TrimSuffix(a.outcomes[0].text, "x]") },
-		"urgentLast urgent shed":      func(a *account) { a.outcomes[5].status, a.outcomes[5].reason = 503, "shed" },
-		"urgentLast no overload":      func(a *account) { a.outcomes[6].reason = "deadline" },
-		"rateHeld":                    func(a *account) { a.limits["small"] = limit{burst: 0.5} },
-		"notRun":                      func(a *account) { a.runs["6"] = 1 },
-		"atMostOnce ran twice":        func(a *account) { a.runs["8"] = 2 },
-		"atMostOnce other answer":     func(a *account) { last(a).text = "board" },
-		"atMostOnce no retry":         func(a *account) { a.outcomes = a.outcomes[:len(a.outcomes)-1] },
-		"retriesBounded":              func(a *account) { a.runs["0"] = 5 },
-		"keyUnseen":                   func(a *account) { a.keySeen = []string{"127.0.0.1:1"} },
-		"keyWithdrawn still good":     func(a *account) { a.outcomes[3].sent = 5 * time.Second; a.outcomes[3].ended = 5 * time.Second },
-		"keyWithdrawn never good":     func(a *account) { a.withdrawnAt = -time.Second; a.outcomes[3].sent = 0 },
-		"inForce lags":                func(a *account) { a.sightings = a.sightings[:1] },
-		"inForce late":                func(a *account) { a.sightings[1].at = 4 * time.Second; a.sightings[2].at = 5 * time.Second },
-		"inForce reverts":             func(a *account) { a.sightings[2].version = 1 },
-		"drained":                     func(a *account) { a.drain.end++ },
-		"drained leave failed":        func(a *account) { a.drain.failure = "timeout" },
-		"plannedStop cut":             func(a *account) { a.upload.text = "got 8 bytes" },
-		"plannedStop refused":         func(a *account) { a.upload.status = 503 },
-		"plannedStop stop before end": func(a *account) { a.upload.stoppedAfter = 0 },
-		"deadlines":                   func(a *account) { a.outcomes[0].ended = 3 * time.Second },
-		"recovered":                   func(a *account) { a.outcomes[7].status, a.outcomes[7].reason = 503, "noBackendServer" },
+func TestEachBrokenPromiseIsDetected(t *testing.T) {
+	last := func(a *audit) *outcome { return &a.outcomes[len(a.outcomes)-1] }
+	tests := map[string]func(a *audit){
+		"nothingLost cut short":       func(a *audit) { a.outcomes[2].failure = "unexpected EOF" },
+		"nothingLost no reason":       func(a *audit) { a.outcomes[2].reason = "" },
+		"wholeAnswers crossed":        func(a *audit) { a.outcomes[0].requestID = "other" },
+		"wholeAnswers part missing":   func(a *audit) { a.outcomes[0].text = "board GET /search got 0 bytes for r0" },
+		"wholeAnswers cut":            func(a *audit) { a.outcomes[0].text = strings.TrimSuffix(a.outcomes[0].text, "x]") },
+		"urgentLast urgent shed":      func(a *audit) { a.outcomes[5].status, a.outcomes[5].reason = 503, "shed" },
+		"urgentLast no overload":      func(a *audit) { a.outcomes[6].reason = "deadline" },
+		"rateHeld":                    func(a *audit) { a.limits["small"] = limit{burst: 0.5} },
+		"notRun":                      func(a *audit) { a.runs["6"] = 1 },
+		"atMostOnce ran twice":        func(a *audit) { a.runs["8"] = 2 },
+		"atMostOnce other answer":     func(a *audit) { last(a).text = "board" },
+		"atMostOnce no retry":         func(a *audit) { a.outcomes = a.outcomes[:len(a.outcomes)-1] },
+		"retriesBounded":              func(a *audit) { a.runs["0"] = 5 },
+		"keyUnseen":                   func(a *audit) { a.keySeen = []string{"127.0.0.1:1"} },
+		"keyWithdrawn still good":     func(a *audit) { a.outcomes[3].sent = 5 * time.Second; a.outcomes[3].ended = 5 * time.Second },
+		"keyWithdrawn never good":     func(a *audit) { a.withdrawnAt = -time.Second; a.outcomes[3].sent = 0 },
+		"inForce lags":                func(a *audit) { a.versionSamples = a.versionSamples[:1] },
+		"inForce late":                func(a *audit) { a.versionSamples[1].at = 4 * time.Second; a.versionSamples[2].at = 5 * time.Second },
+		"inForce reverts":             func(a *audit) { a.versionSamples[2].version = 1 },
+		"drained":                     func(a *audit) { a.drain.end++ },
+		"drained leave failed":        func(a *audit) { a.drain.failure = "timeout" },
+		"plannedStop cut":             func(a *audit) { a.upload.text = "got 8 bytes" },
+		"plannedStop refused":         func(a *audit) { a.upload.status = 503 },
+		"plannedStop stop before end": func(a *audit) { a.upload.stoppedAfter = 0 },
+		"deadlines":                   func(a *audit) { a.outcomes[0].ended = 3 * time.Second },
+		"recovered":                   func(a *audit) { a.outcomes[7].status, a.outcomes[7].reason = 503, "noBackendServer" },
 	}
-	for _, p := range judgeAll(goodAccount()) {
+	for _, p := range judgeAll(goodAudit()) {
 		assert.Assert(t, p.Held, "%s: %s", p.Name, p.Evidence)
 	}
-	broken := map[string]bool{}
-	for name, plant := range tests {
+	covered := map[string]bool{}
+	for name, inject := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := goodAccount()
-			plant(a)
+			a := goodAudit()
+			inject(a)
 			want, _, _ := strings.Cut(name, " ")
-			broken[want] = true
+			covered[want] = true
 			var got []string
 			for _, p := range judgeAll(a) {
 				if !p.Held {
@@ -117,12 +117,12 @@
 			assert.DeepEqual(t, got, []string{want})
 		})
 	}
-	assert.Equal(t, len(broken), len(checks))
+	assert.Equal(t, len(covered), len(checks))
 }
 
 // A script reads the JSON and the exit code, a person the table; neither may say "held" when a promise was broken.
-func TestReportTells(t *testing.T) {
-	a := goodAccount()
+func TestReportShowsBrokenPromise(t *testing.T) {
+	a := goodAudit()
 	a.drain.end++
 	r := newReport(launcher.Plan{Deployment: "kitakaze"}, *a)
 	assert.Error(t, r.Err(), "promises broken: drained")
--- a/internal/demonstrator/report.go
+++ b/internal/demonstrator/report.go
@@ -41,7 +41,7 @@
 	Failed int `json:"failed"`
 }
 
-func newReport(plan launcher.Plan, a account) Report {
+func newReport(plan launcher.Plan, a audit) Report {
 	r := Report{
 		Deployment:     plan.Deployment,
 		FailureDomains: len(plan.Domains),
--- a/internal/demonstrator/scenario.go
+++ b/internal/demonstrator/scenario.go
@@ -23,38 +23,38 @@
 const (
 	// warmUp lets a fleet that is seconds old become an ordinary one: its banks start empty, and ids made just before
 	// their owner took over are answered as unknown.
-	warmUp         = 2 * time.Second
-	calmLength     = 2 * time.Second
-	changeLength   = 1500 * time.Millisecond
-	drainSettled   = 2 * time.Second
-	drainLength    = 1500 * time.Millisecond
-	overloadLength = 4 * time.Second
-	settleLength   = 1500 * time.Millisecond
-	recoveryLength = 1500 * time.Millisecond
-	watchInterval  = 100 * time.Millisecond
+	warmUp          = 2 * time.Second
+	steadyLength    = 2 * time.Second
+	changeLength    = 1500 * time.Millisecond
+	drainSettleTime = 2 * time.Second
+	drainLength     = 1500 * time.Millisecond
+	overloadLength  = 4 * time.Second
+	settleLength    = 1500 * time.Millisecond
+	recoveryLength  = 1500 * time.Millisecond
+	pollInterval    = 100 * time.Millisecond
 	// slowServiceTime is what a call to the overloaded service takes in place of its usual 4 ms.
 	slowServiceTime = 60 * time.Millisecond
 )
 
 // The upload goes on for some seconds, so that the node it passes through is stopped in the middle of it.
 const (
-	uploadParts = 24
-	uploadPart  = 64 << 10
-	uploadPause = 100 * time.Millisecond
-	stopAfter   = 800 * time.Millisecond
+	uploadPartCount    = 24
+	uploadPartBytes    = 64 << 10
+	uploadPartInterval = 100 * time.Millisecond
+	stopDelay          = 800 * time.Millisecond
 )
 
 type scenario struct {
-	fleet    *launcher.Fleet
-	plan     launcher.Plan
-	story    story
-	callers  *callers
-	backends []*responder.Server
-	slow     []*responder.Server
+	fleet        *launcher.Fleet
+	plan         launcher.Plan
+	workload     workload
+	callers      *callers
+	backends     []*responder.Server
+	slowBackends []*responder.Server
 
-	mu      sync.Mutex
-	account account
-	side    sync.WaitGroup
+	mu         sync.Mutex
+	audit      audit
+	background sync.WaitGroup
 }
 
 // Run launches a fleet shaped after the deployment, lives through the day and judges it.
@@ -71,42 +71,42 @@
 	if err := pause(ctx, warmUp); err != nil {
 		return Report{}, err
 	}
-	s := &scenario{fleet: fleet, plan: plan, story: storyOf(deployment)}
-	if err := s.live(ctx); err != nil {
+	s := &scenario{fleet: fleet, plan: plan, workload: workloadOf(deployment)}
+	if err := s.execute(ctx); err != nil {
 		return Report{}, err
 	}
-	return newReport(plan, s.account), nil
+	return newReport(plan, s.audit), nil
 }
 
-func (s *scenario) live(ctx context.Context) error {
-	entries := make([]string, 0, len(s.fleet.Members))
+func (s *scenario) execute(ctx context.Context) error {
+	nodeURLs := make([]string, 0, len(s.fleet.Members))
 	for _, m := range s.fleet.Members {
-		entries = append(entries, m.CallerURL())
+		nodeURLs = append(nodeURLs, m.CallerURL())
 		s.backends = append(s.backends, m.Backend)
-		if m.Service.Name == string(s.story.slow) {
-			s.slow = append(s.slow, m.Backend)
+		if m.Service.Name == string(s.workload.slowService) {
+			s.slowBackends = append(s.slowBackends, m.Backend)
 		}
 	}
-	s.callers = newCallers(s.fleet.Keys, entries)
+	s.callers = newCallers(s.fleet.Keys, nodeURLs)
 	s.callers.preset.Store(&s.plan.Presets[0])
-	s.account.flooding, s.account.withdrawn = s.story.flooding, s.story.withdrawn
+	s.audit.flooding, s.audit.withdrawn = s.workload.flooding, s.workload.withdrawn
 	traffic, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
-	for _, st := range s.story.streams {
+	for _, st := range s.workload.streams {
 		s.callers.run(traffic, st)
 	}
-	s.side.Go(func() { s.watch(traffic) })
+	s.background.Go(func() { s.pollVersions(traffic) })
 	err := s.steps(ctx)
 	stopTraffic()
 	s.callers.wait()
-	s.side.Wait()
-	s.close()
+	s.background.Wait()
+	s.collectRecords()
 	return err
 }
 
 func (s *scenario) steps(ctx context.Context) error {
 	for _, step := range []func(context.Context) error{
-		func(ctx context.Context) error { return pause(ctx, calmLength) },
+		func(ctx context.Context) error { return pause(ctx, steadyLength) },
 		func(ctx context.Context) error { s.callers.setPhase(changes); return s.switchTo(ctx, 1) },
 		s.withdraw,
 		s.drainAndStop,
@@ -126,33 +126,33 @@
 	if err != nil {
 		return err
 	}
-	s.account.switches = append(s.account.switches, change{at: s.callers.now(), version: v})
+	s.audit.switches = append(s.audit.switches, change{at: s.callers.now(), version: v})
 	s.callers.preset.Store(p)
 	return pause(ctx, changeLength)
 }
 
 func (s *scenario) withdraw(ctx context.Context) error {
-	if err := s.fleet.Withdraw(ctx, s.fleet.Keys[s.story.withdrawn]); err != nil {
+	if err := s.fleet.Withdraw(ctx, s.fleet.Keys[s.workload.withdrawn]); err != nil {
 		return err
 	}
-	s.account.withdrawnAt = s.callers.now()
+	s.audit.withdrawnAt = s.callers.now()
 	return nil
 }
 
 // drainAndStop lets one backend server leave, stops another's node under an upload, and replaces the first.
 func (s *scenario) drainAndStop(ctx context.Context) error {
-	s.side.Go(func() { s.uploadThroughStop(ctx) })
-	m, err := s.member(s.story.drained)
+	s.background.Go(func() { s.uploadThroughStop(ctx) })
+	m, err := s.member(s.workload.drained)
 	if err != nil {
 		return err
 	}
-	d := &s.account.drain
+	d := &s.audit.drain
 	leaving := m.Backend
 	d.before = leaving.Arrived()
 	if err := leaving.Drain(ctx); err != nil {
 		d.failure = err.Error()
 	}
-	if !clock.Sleep(ctx, drainSettled) {
+	if !clock.Sleep(ctx, drainSettleTime) {
 		return ctx.Err()
 	}
 	d.settled = leaving.Arrived()
@@ -182,11 +182,11 @@
 	for _, m := range s.fleet.Members {
 		usual[m.Backend] = m.Service.ServiceTime
 	}
-	for _, b := range s.slow {
+	for _, b := range s.slowBackends {
 		b.SetServiceTime(slowServiceTime)
 	}
 	err := pause(ctx, overloadLength)
-	for _, b := range s.slow {
+	for _, b := range s.slowBackends {
 		b.SetServiceTime(usual[b])
 	}
 	if err != nil {
@@ -200,36 +200,36 @@
 	return pause(ctx, recoveryLength)
 }
 
-// watch asks every node again and again which version is in force there.
-func (s *scenario) watch(ctx context.Context) {
+// pollVersions asks every node again and again which version is in force there.
+func (s *scenario) pollVersions(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, m := range s.fleet.Members {
 		c, err := inspector.NewClient(m.AdminURL(), http.DefaultClient)
 		if err != nil {
 			continue
 		}
-		group.Go(func() { s.watchNode(ctx, m.Name, c) })
+		group.Go(func() { s.pollNode(ctx, m.Name, c) })
 	}
 	group.Wait()
 }
 
-func (s *scenario) watchNode(ctx context.Context, name string, c *inspector.Client) {
-	for pause(ctx, watchInterval) == nil {
+func (s *scenario) pollNode(ctx context.Context, name string, c *inspector.Client) {
+	for pause(ctx, pollInterval) == nil {
 		st, err := c.Status(ctx)
 		if err != nil {
 			continue
 		}
 		s.mu.Lock()
-		s.account.sightings = append(s.account.sightings, sighting{
+		s.audit.versionSamples = append(s.audit.versionSamples, versionSample{
 			node: name, at: s.callers.now(), version: identifier.Version(st.Self.Version),
 		})
 		s.mu.Unlock()
 	}
 }
 
-// close gathers the accounts of callers and backend servers.
-func (s *scenario) close() {
-	a := &s.account
+// collectRecords gathers the accounts of callers and backend servers.
+func (s *scenario) collectRecords() {
+	a := &s.audit
 	a.outcomes = s.callers.outcomes
 	a.duration = s.callers.now()
 	a.runs = make(map[string]int)
@@ -243,7 +243,7 @@
 	}
 	a.limits = make(map[identifier.Team]limit)
 	for _, p := range s.plan.Presets[:2] {
-		a.allowance = max(a.allowance, int(p.RetryAllowance))
+		a.retryAllowance = max(a.retryAllowance, int(p.RetryAllowance))
 		for _, t := range p.Teams {
 			l := a.limits[t.Name]
 			l.rate = max(l.rate, float64(t.Rate)/float64(identifier.TokensPerCall))
@@ -253,7 +253,7 @@
 	}
 }
 
-// pause is clock.Sleep for steps that return an error.
+// interval is clock.Sleep for steps that return an error.
 func pause(ctx context.Context, d time.Duration) error {
 	clock.Sleep(ctx, d)
 	return ctx.Err()
--- a/internal/demonstrator/traffic.go
+++ b/internal/demonstrator/traffic.go
@@ -44,16 +44,16 @@
 	preset  atomic.Pointer[definer.Preset]
 
 	mu       sync.Mutex
-	entries  []string
+	nodeURLs []string
 	outcomes []outcome
-	group    sync.WaitGroup
+	pending  sync.WaitGroup
 }
 
-func newCallers(keys map[identifier.Team]string, entries []string) *callers {
+func newCallers(keys map[identifier.Team]string, nodeURLs []string) *callers {
 	return &callers{
-		keys:    keys,
-		entries: entries,
-		started: time.Now(),
+		keys:     keys,
+		nodeURLs: nodeURLs,
+		started:  time.Now(),
 		client: &http.Client{
 			Timeout:   callerTimeout,
 			Transport: &http.Transport{MaxIdleConnsPerHost: connections, IdleConnTimeout: callerTimeout},
@@ -65,20 +65,20 @@
 
 func (c *callers) setPhase(p phase) { c.phase.Store(uint32(p)) }
 
-// avoid takes a node off the callers' list.
-func (c *callers) avoid(entry string) {
+// removeNode takes a node off the callers' list.
+func (c *callers) removeNode(nodeURL string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.entries = slices.DeleteFunc(slices.Clone(c.entries), func(e string) bool { return e == entry })
+	c.nodeURLs = slices.DeleteFunc(slices.Clone(c.nodeURLs), func(e string) bool { return e == nodeURL })
 }
 
-func (c *callers) entry() string {
+func (c *callers) pickNodeURL() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.entries[rand.IntN(len(c.entries))]
+	return c.nodeURLs[rand.IntN(len(c.nodeURLs))]
 }
 
-func (c *callers) note(o outcome) {
+func (c *callers) recordOutcome(o outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes = append(c.outcomes, o)
@@ -86,42 +86,42 @@
 
 // run sends a stream's requests until ctx ends, and returns at once; wait waits for the last answers.
 func (c *callers) run(ctx context.Context, s stream) {
-	c.group.Go(func() {
+	c.pending.Go(func() {
 		next := time.Now()
 		for n := 0; ; n++ {
 			if !clock.SleepUntil(ctx, next) {
 				return
 			}
-			next = next.Add(c.pause(s))
-			c.group.Go(func() { c.send(s, s.repeats && n%2 == 0) })
+			next = next.Add(c.interval(s))
+			c.pending.Go(func() { c.send(s, s.duplicates && n%2 == 0) })
 		}
 	})
 }
 
-func (c *callers) pause(s stream) time.Duration {
+func (c *callers) interval(s stream) time.Duration {
 	rate := s.rate
-	if phase(c.phase.Load()) == overload && s.surge > 0 {
-		rate = s.surge
+	if phase(c.phase.Load()) == overload && s.surgeRate > 0 {
+		rate = s.surgeRate
 	}
 	return time.Duration(float64(time.Second) / rate)
 }
 
-func (c *callers) wait() { c.group.Wait() }
+func (c *callers) wait() { c.pending.Wait() }
 
-func (c *callers) send(s stream, twice bool) {
+func (c *callers) send(s stream, sendTwice bool) {
 	o := c.newOutcome(s)
-	if !twice {
-		c.note(c.call(o))
+	if !sendTwice {
+		c.recordOutcome(c.call(o))
 		return
 	}
 	// The second sending comes while the first is under way, by another node: the worst moment.
 	second := o
-	second.again = true
-	c.group.Go(func() {
+	second.duplicate = true
+	c.pending.Go(func() {
 		time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
-		c.note(c.call(second))
+		c.recordOutcome(c.call(second))
 	})
-	c.note(c.call(o))
+	c.recordOutcome(c.call(o))
 }
 
 func (c *callers) newOutcome(s stream) outcome {
@@ -157,12 +157,12 @@
 		o.failure = err.Error()
 		return o
 	}
-	o.take(resp, text)
+	o.readAnswer(resp, text)
 	return o
 }
 
 func (c *callers) post(o *outcome) (*http.Response, error) {
-	url := c.entry() + "/" + string(o.request.service) + o.request.path
+	url := c.pickNodeURL() + "/" + string(o.request.service) + o.request.path
 	req, err := http.NewRequest(o.request.method, url, bytes.NewReader(make([]byte, o.size)))
 	if err != nil {
 		return nil, err
@@ -173,13 +173,13 @@
 	return c.client.Do(req)
 }
 
-func (o *outcome) take(resp *http.Response, text []byte) {
+func (o *outcome) readAnswer(resp *http.Response, text []byte) {
 	o.status = resp.StatusCode
 	o.requestID = resp.Header.Get(deliverer.RequestIDHeader)
 	o.replayed = resp.Header.Get("Idempotent-Replayed") == "true"
 	o.text = string(text)
 	if resp.Header.Get("Content-Type") != "application/problem+json" {
-		o.takeError()
+		o.readBackendError()
 		return
 	}
 	var p struct {
@@ -199,7 +199,7 @@
 	backendErrorText = "nested call failed"
 )
 
-func (o *outcome) takeError() {
+func (o *outcome) readBackendError() {
 	if o.status != http.StatusOK && strings.HasPrefix(o.text, backendErrorText) {
 		o.reason = backendError
 	}
--- a/internal/demonstrator/upload.go
+++ b/internal/demonstrator/upload.go
@@ -11,32 +11,32 @@
 	"github.com/jackdawtide/jackdawtide/internal/deliverer"
 )
 
-// listenerGrace is how long callers take to learn that a node is not to be used any more.
-const listenerGrace = 100 * time.Millisecond
+// callerUpdateDelay is how long callers take to learn that a node is not to be used any more.
+const callerUpdateDelay = 100 * time.Millisecond
 
 func (s *scenario) uploadThroughStop(ctx context.Context) {
-	u := &s.account.upload
-	m, err := s.member(s.story.stopped)
+	u := &s.audit.upload
+	m, err := s.member(s.workload.stopped)
 	if err != nil {
 		u.failure = err.Error()
 		return
 	}
 	began := time.Now()
-	s.side.Go(func() {
-		if pause(ctx, stopAfter) != nil {
+	s.background.Go(func() {
+		if pause(ctx, stopDelay) != nil {
 			return
 		}
-		s.callers.avoid(m.CallerURL())
-		time.Sleep(listenerGrace)
+		s.callers.removeNode(m.CallerURL())
+		time.Sleep(callerUpdateDelay)
 		s.mu.Lock()
-		s.account.stopped, s.account.stoppedAt = m.Name, s.callers.now()
+		s.audit.stopped, s.audit.stoppedAt = m.Name, s.callers.now()
 		s.mu.Unlock()
 		if err := m.Node.Stop(ctx); err != nil {
 			u.stopFailure = err.Error()
 		}
 		u.stoppedAfter = time.Since(began)
 	})
-	u.size = uploadParts * uploadPart
+	u.size = uploadPartCount * uploadPartBytes
 	resp, err := s.upload(ctx, m.CallerURL())
 	if err != nil {
 		u.failure = err.Error()
@@ -51,24 +51,24 @@
 	u.answeredAfter = time.Since(began)
 }
 
-func (s *scenario) upload(ctx context.Context, entry string) (*http.Response, error) {
+func (s *scenario) upload(ctx context.Context, nodeURL string) (*http.Response, error) {
 	r, w := io.Pipe()
-	s.side.Go(func() {
-		part := make([]byte, uploadPart)
-		for range uploadParts {
+	s.background.Go(func() {
+		part := make([]byte, uploadPartBytes)
+		for range uploadPartCount {
 			if _, err := w.Write(part); err != nil {
 				return
 			}
-			time.Sleep(uploadPause)
+			time.Sleep(uploadPartInterval)
 		}
 		_ = w.Close()
 	})
-	q := s.story.upload
-	req, err := http.NewRequestWithContext(ctx, q.method, entry+"/"+string(q.service)+q.path, r)
+	q := s.workload.upload
+	req, err := http.NewRequestWithContext(ctx, q.method, nodeURL+"/"+string(q.service)+q.path, r)
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+s.fleet.Keys[s.story.uploader])
+	req.Header.Set("Authorization", "Bearer "+s.fleet.Keys[s.workload.uploader])
 	req.Header.Set(deliverer.DeadlineHeader, "20000")
 	return s.callers.client.Do(req)
 }
--- a/internal/demonstrator/story.go
+++ b/internal/demonstrator/workload.go
@@ -30,71 +30,71 @@
 	request  request
 	rate     float64
 	deadline time.Duration
-	// surge is the rate during the overload; 0 keeps the rate.
-	surge float64
-	// repeats makes the caller send every other request twice with the same idempotency id.
-	repeats bool
+	// surgeRate is the rate during the overload; 0 keeps the rate.
+	surgeRate float64
+	// duplicates makes the caller send every other request twice with the same idempotency id.
+	duplicates bool
 }
 
-// story is a deployment's day.
-type story struct {
+// workload is a deployment's day.
+type workload struct {
 	streams []stream
 	// flooding sends several times its rate, and withdrawn loses its key.
 	flooding  identifier.Team
 	withdrawn identifier.Team
-	// slow is the service that is overloaded, drained the endpoint that leaves, and stopped the node that does.
-	slow    identifier.Service
-	drained string
-	stopped string
-	upload  request
+	// slowService is the service that is overloaded, drained the endpoint that leaves, and stopped the node that does.
+	slowService identifier.Service
+	drained     string
+	stopped     string
+	upload      request
 	// uploader is the team that uploads through the planned stop.
 	uploader identifier.Team
 }
 
 const (
-	patient   = 2 * time.Second
-	impatient = 500 * time.Millisecond
-	smallBody = 2 << 10
+	longDeadline   = 2 * time.Second
+	shortDeadline  = 500 * time.Millisecond
+	smallBodyBytes = 2 << 10
 )
 
-// names are what a deployment calls the parts of the day.
-type names struct {
+// workloadNames are what a deployment calls the parts of the day.
+type workloadNames struct {
 	urgent, chained, booking, search, listing, upload request
 	urgentTeams                                       [2]identifier.Team
 	bookers, browsers, surging, flooding, withdrawn   identifier.Team
 	drained, stopped                                  string
 }
 
-func storyOf(deployment string) story {
+func workloadOf(deployment string) workload {
 	n := kitakaze
 	if deployment == "concordia" {
 		n = concordia
 	}
-	return story{
+	return workload{
 		streams: []stream{
-			{team: n.urgentTeams[0], request: n.urgent, rate: 30, deadline: patient},
-			{team: n.urgentTeams[1], request: n.urgent, rate: 20, deadline: patient},
-			{team: n.bookers, request: n.booking, rate: 12, deadline: patient, repeats: true},
-			{team: n.browsers, request: n.chained, rate: 40, deadline: patient},
-			{team: n.browsers, request: n.search, rate: 30, deadline: impatient},
-			{team: n.surging, request: n.search, rate: 30, surge: 300, deadline: impatient},
-			{team: n.flooding, request: n.search, rate: 200, deadline: impatient},
-			{team: n.withdrawn, request: n.listing, rate: 20, deadline: patient},
+			{team: n.urgentTeams[0], request: n.urgent, rate: 30, deadline: longDeadline},
+			{team: n.urgentTeams[1], request: n.urgent, rate: 20, deadline: longDeadline},
+			{team: n.bookers, request: n.booking, rate: 12, deadline: longDeadline, duplicates: true},
+			{team: n.browsers, request: n.chained, rate: 40, deadline: longDeadline},
+			{team: n.browsers, request: n.search, rate: 30, deadline: shortDeadline},
+			{team: n.surging, request: n.search, rate: 30, surgeRate: 300, deadline: shortDeadline},
+			{team: n.flooding, request: n.search, rate: 200, deadline: shortDeadline},
+			{team: n.withdrawn, request: n.listing, rate: 20, deadline: longDeadline},
 		},
-		flooding:  n.flooding,
-		withdrawn: n.withdrawn,
-		slow:      n.urgent.service,
-		drained:   n.drained,
-		stopped:   n.stopped,
-		upload:    n.upload,
-		uploader:  n.bookers,
+		flooding:    n.flooding,
+		withdrawn:   n.withdrawn,
+		slowService: n.urgent.service,
+		drained:     n.drained,
+		stopped:     n.stopped,
+		upload:      n.upload,
+		uploader:    n.bookers,
 	}
 }
 
-var kitakaze = names{
+var kitakaze = workloadNames{
 	urgent:      request{method: "GET", service: "ice", path: "/bulletins"},
 	chained:     request{method: "GET", service: "bookings", path: "/mine", chain: []string{"slotBoard", "ice"}},
-	booking:     request{method: "POST", service: "bookings", path: "/escorts", chain: []string{"slotBoard", "ice"}, maxBody: smallBody},
+	booking:     request{method: "POST", service: "bookings", path: "/escorts", chain: []string{"slotBoard", "ice"}, maxBody: smallBodyBytes},
 	search:      request{method: "GET", service: "slotBoard", path: "/search", chain: []string{"ice"}},
 	listing:     request{method: "GET", service: "slotBoard", path: "/slots", chain: []string{"ice"}},
 	upload:      request{method: "POST", service: "manifests", path: "/manifests"},
@@ -108,10 +108,10 @@
 	stopped:     "manifests-1",
 }
 
-var concordia = names{
+var concordia = workloadNames{
 	urgent:      request{method: "GET", service: "prayerTimes", path: "/fastTimes"},
 	chained:     request{method: "GET", service: "orders", path: "/mine", chain: []string{"portal", "prayerTimes"}},
-	booking:     request{method: "POST", service: "orders", path: "/orders", chain: []string{"portal", "prayerTimes"}, maxBody: smallBody},
+	booking:     request{method: "POST", service: "orders", path: "/orders", chain: []string{"portal", "prayerTimes"}, maxBody: smallBodyBytes},
 	search:      request{method: "GET", service: "portal", path: "/search", chain: []string{"prayerTimes"}},
 	listing:     request{method: "GET", service: "portal", path: "/observances", chain: []string{"prayerTimes"}},
 	upload:      request{method: "POST", service: "uploads", path: "/tables"},
