--- a/internal/demonstrator/changes.go
+++ b/internal/demonstrator/changes.go
@@ -1,4 +1,4 @@
-// The promises about changes to a running fleet: keys, presets, planned stops, and what is left of an overload.
+// Checks of the promises about changes to a running fleet: keys, presets, planned stops, and recovery from an overload.
 
 package demonstrator
 
@@ -107,7 +107,7 @@
 	return before > 0 && after >= minRecoveredRatio*before, fmt.Sprintf("answered %.1f%% before and %.1f%% after", 100*before, 100*after)
 }
 
-// goodputRatio is the part of the requests answered, of teams that keep to their rate.
+// goodputRatio is the ratio of requests answered, of teams that keep to their rate.
 func (a *audit) goodputRatio(p phase) float64 {
 	sent, answered := 0, 0
 	for _, o := range a.outcomes {
--- a/internal/demonstrator/demo_test.go
+++ b/internal/demonstrator/demo_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The demo is the first thing that a newcomer runs. It has to end soon and to hold what it shows.
+// A newcomer's first contact with the project is the demo, so it must end within 30 seconds and every promise must hold.
 func TestDemoHolds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
--- a/internal/demonstrator/doc.go
+++ b/internal/demonstrator/doc.go
@@ -1,2 +1,3 @@
-// Package demonstrator runs a small fleet through a bad day and checks, from its callers' and backend servers' own accounts, what they were promised.
+// Package demonstrator runs a small fleet through changes, a planned stop and an overload, and checks the promises to
+// callers from what callers and backend servers recorded.
 package demonstrator
--- a/internal/demonstrator/outcome.go
+++ b/internal/demonstrator/outcome.go
@@ -1,5 +1,5 @@
-// What a caller knows about one of its requests, and what backend servers know about all of them. The promises are
-// judged by these accounts alone.
+// The audit holds what callers recorded about each of their requests and what backend servers recorded about all of
+// them. The promises are checked by these records, and by the versions that nodes report.
 
 package demonstrator
 
@@ -9,7 +9,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-// phase is a part of the day.
+// phase is a part of the demo with its own load.
 type phase uint8
 
 const (
@@ -20,7 +20,7 @@
 	recovered
 )
 
-// outcome is what a caller knows about one request that it sent.
+// outcome is what a caller recorded about one request that it sent.
 type outcome struct {
 	team       identifier.Team
 	class      identifier.Priority
@@ -28,7 +28,7 @@
 	request    request
 	id         string
 	idempotent bool
-	// duplicate marks the second sending of the same id.
+	// duplicate marks the second sending of the same idempotency id.
 	duplicate bool
 	size      int
 	deadline  time.Duration
@@ -42,7 +42,7 @@
 	replayed  bool
 	requestID string
 	text      string
-	// failure is set where the caller got neither an answer nor a refusal.
+	// failure is set if the caller got neither an answer nor a refusal.
 	failure string
 }
 
@@ -50,7 +50,7 @@
 
 func (o *outcome) refused() bool { return o.failure == "" && o.reason != "" }
 
-// versionSample is a node's own word on the configuration in force there.
+// versionSample is the version of the configuration that a node reported as in force.
 type versionSample struct {
 	node    string
 	at      time.Duration
@@ -63,21 +63,21 @@
 	version identifier.Version
 }
 
-// audit is everything that the promises are judged by.
+// audit holds all records that the promises are checked by.
 type audit struct {
 	outcomes []outcome
 	// runs counts the starts of each idempotency id, over all backend servers.
 	runs map[string]int
 	// keySeen names the backend servers that saw a key.
 	keySeen []string
-	// limits are the most generous rate and burst that each team had, in calls.
+	// limits are the highest rate and burst that each team had under any preset, in calls.
 	limits         map[identifier.Team]limit
 	retryAllowance int
 	duration       time.Duration
 
 	switches       []change
 	versionSamples []versionSample
-	// stopped names the node that was stopped on purpose, which then tells nothing more.
+	// stopped names the node that was stopped as planned; it reports no versions afterwards.
 	stopped   string
 	stoppedAt time.Duration
 
@@ -94,7 +94,8 @@
 	burst float64
 }
 
-// drainRecord counts what reached the drained backend server: before the drain, when no more should come, at the end.
+// drainRecord counts the calls that reached the drained backend server: until the drain, until drainSettleTime after it,
+// from which on no more may arrive, and until the end.
 type drainRecord struct {
 	before  int64
 	settled int64
@@ -102,15 +103,15 @@
 	failure string
 }
 
-// uploadRecord tells how an upload through a planned stop went.
+// uploadRecord is the result of an upload through a planned stop.
 type uploadRecord struct {
 	size    int
 	status  int
 	text    string
 	failure string
-	// stopFailure tells what went wrong with the stop itself.
+	// stopFailure is the error of the stop.
 	stopFailure string
-	// stoppedAfter is when the node's stop returned, and answeredAfter when the upload's answer came.
+	// stoppedAfter is the time until the node's stop returned, answeredAfter the time until the upload was answered.
 	stoppedAfter  time.Duration
 	answeredAfter time.Duration
 }
--- a/internal/demonstrator/promises.go
+++ b/internal/demonstrator/promises.go
@@ -1,6 +1,5 @@
-// Each promise is judged by a function of its own from the account alone, so that a test can break each one and see
-// its check tell. A promise whose case did not arise counts as not held: a demo without overload shows nothing about
-// overload.
+// One function checks each promise, from the audit alone, so that a test can break each promise and see its check fail. A
+// promise whose case did not arise counts as not held: a demo without an overload shows nothing about overload.
 //
 // Example: a POST whose id was started twice breaks atMostOnce, with "1 of 240 ids ran twice" as the evidence.
 
@@ -16,15 +15,16 @@
 )
 
 const (
-	// maxChangeDelay bounds what has to happen "within seconds".
+	// maxChangeDelay bounds the time in which a change that is promised "within seconds" must take effect.
 	maxChangeDelay = 2 * time.Second
-	// minUrgentRatio is the part of urgent requests that must be answered under overload.
+	// minUrgentRatio is the ratio of urgent requests that must not fail from the overload.
 	minUrgentRatio = 0.9
-	// minShedRatio is the part of the least important requests that an overload worth the name makes the fleet shed.
+	// minShedRatio is the ratio of low-priority requests that must be shed; with fewer the fleet was not overloaded.
 	minShedRatio = 0.2
-	// ratioTolerance is by how much a more important class may fare worse than a less important one, by chance.
+	// ratioTolerance is how much lower the ratio of a more important class may be than that of a less important one, since
+	// requests of a class fail partly by chance.
 	ratioTolerance = 0.03
-	// minRecoveredRatio is the part of the goodput before the overload that must be back after it.
+	// minRecoveredRatio is the ratio of the goodput before the overload that must be reached again after it.
 	minRecoveredRatio = 0.95
 )
 
@@ -92,7 +92,7 @@
 	return wrong == 0 && answers > 0, fmt.Sprintf("%d of %d answers were not whole or not the caller's own", wrong, answers)
 }
 
-// isComplete compares the answer with the request: its service, path, size and id, and each nested service's part.
+// isComplete compares the answer with the request: its service, path, size and id, and each nested service's answer.
 func (o *outcome) isComplete() bool {
 	want := fmt.Sprintf("%s %s %s got %d bytes for %s", o.request.service, o.request.method, o.request.path, o.size, o.requestID)
 	if !strings.HasPrefix(o.text, want) {
@@ -106,7 +106,7 @@
 	return strings.HasSuffix(o.text, strings.Repeat("]", len(o.request.chain)))
 }
 
-// judgeUrgent leaves out the team over its rate and the one without a key: they are refused for other reasons.
+// judgeUrgent skips the team over its rate and the one whose key is withdrawn: they are refused for other reasons.
 func judgeUrgent(a *audit) (bool, string) {
 	var sent, unaffected, shed [4]float64
 	for _, o := range a.outcomes {
@@ -137,8 +137,8 @@
 	return held, "not shed under overload: " + strings.Join(parts, ", ")
 }
 
-// failedFromOverload tells that a request got no answer because of the load, and not for a reason of its own, such as an
-// idempotency id that is still in use.
+// failedFromOverload reports whether a request failed because of the load, and not for a reason such as an idempotency id
+// that is still in use.
 func (o *outcome) failedFromOverload() bool {
 	switch reducer.Reason(o.reason) {
 	case reducer.Shed, reducer.DeadlinePassed, reducer.NoBackend, reducer.Unreachable, reducer.LostAnswer, reducer.TooManyRequests, backendError:
--- a/internal/demonstrator/promises_test.go
+++ b/internal/demonstrator/promises_test.go
@@ -14,7 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/launcher"
 )
 
-// goodAudit is the account of a day on which every promise held.
+// goodAudit is an audit in which every promise held.
 func goodAudit() *audit {
 	a := &audit{
 		runs:           map[string]int{},
@@ -48,7 +48,7 @@
 	return a
 }
 
-// addOutcome completes an outcome: refused for the reason, or answered where there is none.
+// addOutcome completes an outcome and adds it: refused if a reason is given, otherwise answered.
 func (a *audit) addOutcome(o outcome, reason string) {
 	o.id = fmt.Sprint(len(a.outcomes))
 	o.requestID = "r" + o.id
@@ -66,37 +66,37 @@
 	a.outcomes = append(a.outcomes, o)
 }
 
-// A check that cannot fail would let the demo print "held" over a fleet that breaks its word. So each promise is broken
-// here, once or more, in an account that is otherwise good, and exactly its own check must tell.
+// If a check could not fail, the demo would print "held" over a fleet that breaks the promise. Each case breaks one promise
+// in an audit that is otherwise good, and exactly its check must fail.
 func TestEachBrokenPromiseIsDetected(t *testing.T) {
 	last := func(a *audit) *outcome { return &a.outcomes[len(a.outcomes)-1] }
 	tests := map[string]func(a *audit){
-		"nothingLost cut short":       func(a *audit) { a.outcomes[2].failure = "unexpected EOF" },
-		"nothingLost no reason":       func(a *audit) { a.outcomes[2].reason = "" },
-		"wholeAnswers crossed":        func(a *audit) { a.outcomes[0].requestID = "other" },
-		"wholeAnswers part missing":   func(a *audit) { a.outcomes[0].text = "board GET /search got 0 bytes for r0" },
-		"wholeAnswers cut":            func(a *audit) { a.outcomes[0].text = strings.TrimSuffix(a.outcomes[0].text, "x]") },
-		"urgentLast urgent shed":      func(a *audit) { a.outcomes[5].status, a.outcomes[5].reason = 503, "shed" },
-		"urgentLast no overload":      func(a *audit) { a.outcomes[6].reason = "deadline" },
-		"rateHeld":                    func(a *audit) { a.limits["small"] = limit{burst: 0.5} },
-		"notRun":                      func(a *audit) { a.runs["6"] = 1 },
-		"atMostOnce ran twice":        func(a *audit) { a.runs["8"] = 2 },
-		"atMostOnce other answer":     func(a *audit) { last(a).text = "board" },
-		"atMostOnce no retry":         func(a *audit) { a.outcomes = a.outcomes[:len(a.outcomes)-1] },
-		"retriesBounded":              func(a *audit) { a.runs["0"] = 5 },
-		"keyUnseen":                   func(a *audit) { a.keySeen = []string{"127.0.0.1:1"} },
-		"keyWithdrawn still good":     func(a *audit) { a.outcomes[3].sent = 5 * time.Second; a.outcomes[3].ended = 5 * time.Second },
-		"keyWithdrawn never good":     func(a *audit) { a.withdrawnAt = -time.Second; a.outcomes[3].sent = 0 },
-		"inForce lags":                func(a *audit) { a.versionSamples = a.versionSamples[:1] },
-		"inForce late":                func(a *audit) { a.versionSamples[1].at = 4 * time.Second; a.versionSamples[2].at = 5 * time.Second },
-		"inForce reverts":             func(a *audit) { a.versionSamples[2].version = 1 },
-		"drained":                     func(a *audit) { a.drain.end++ },
-		"drained leave failed":        func(a *audit) { a.drain.failure = "timeout" },
-		"plannedStop cut":             func(a *audit) { a.upload.text = "got 8 bytes" },
-		"plannedStop refused":         func(a *audit) { a.upload.status = 503 },
-		"plannedStop stop before end": func(a *audit) { a.upload.stoppedAfter = 0 },
-		"deadlines":                   func(a *audit) { a.outcomes[0].ended = 3 * time.Second },
-		"recovered":                   func(a *audit) { a.outcomes[7].status, a.outcomes[7].reason = 503, "noBackendServer" },
+		"nothingLost answer truncated":           func(a *audit) { a.outcomes[2].failure = "unexpected EOF" },
+		"nothingLost no reason":                  func(a *audit) { a.outcomes[2].reason = "" },
+		"wholeAnswers answer to another request": func(a *audit) { a.outcomes[0].requestID = "other" },
+		"wholeAnswers nested answer missing":     func(a *audit) { a.outcomes[0].text = "board GET /search got 0 bytes for r0" },
+		"wholeAnswers answer truncated":          func(a *audit) { a.outcomes[0].text = strings.TrimSuffix(a.outcomes[0].text, "x]") },
+		"urgentLast urgent shed":                 func(a *audit) { a.outcomes[5].status, a.outcomes[5].reason = 503, "shed" },
+		"urgentLast no overload":                 func(a *audit) { a.outcomes[6].reason = "deadline" },
+		"rateHeld":                               func(a *audit) { a.limits["small"] = limit{burst: 0.5} },
+		"notRun":                                 func(a *audit) { a.runs["6"] = 1 },
+		"atMostOnce ran twice":                   func(a *audit) { a.runs["8"] = 2 },
+		"atMostOnce other answer":                func(a *audit) { last(a).text = "board" },
+		"atMostOnce no retry":                    func(a *audit) { a.outcomes = a.outcomes[:len(a.outcomes)-1] },
+		"retriesBounded":                         func(a *audit) { a.runs["0"] = 5 },
+		"keyUnseen":                              func(a *audit) { a.keySeen = []string{"127.0.0.1:1"} },
+		"keyWithdrawn used after withdrawal":     func(a *audit) { a.outcomes[3].sent = 5 * time.Second; a.outcomes[3].ended = 5 * time.Second },
+		"keyWithdrawn never used before":         func(a *audit) { a.withdrawnAt = -time.Second; a.outcomes[3].sent = 0 },
+		"inForce lags":                           func(a *audit) { a.versionSamples = a.versionSamples[:1] },
+		"inForce late":                           func(a *audit) { a.versionSamples[1].at = 4 * time.Second; a.versionSamples[2].at = 5 * time.Second },
+		"inForce reverts":                        func(a *audit) { a.versionSamples[2].version = 1 },
+		"drained":                                func(a *audit) { a.drain.end++ },
+		"drained leave failed":                   func(a *audit) { a.drain.failure = "timeout" },
+		"plannedStop upload truncated":           func(a *audit) { a.upload.text = "got 8 bytes" },
+		"plannedStop refused":                    func(a *audit) { a.upload.status = 503 },
+		"plannedStop stop before end":            func(a *audit) { a.upload.stoppedAfter = 0 },
+		"deadlines":                              func(a *audit) { a.outcomes[0].ended = 3 * time.Second },
+		"recovered":                              func(a *audit) { a.outcomes[7].status, a.outcomes[7].reason = 503, "noBackendServer" },
 	}
 	for _, p := range judgeAll(goodAudit()) {
 		assert.Assert(t, p.Held, "%s: %s", p.Name, p.Evidence)
@@ -120,7 +120,7 @@
 	assert.Equal(t, len(covered), len(checks))
 }
 
-// A script reads the JSON and the exit code, a person the table; neither may say "held" when a promise was broken.
+// Scripts read the JSON and the exit code, people the table; none of them may say "held" if a promise was broken.
 func TestReportShowsBrokenPromise(t *testing.T) {
 	a := goodAudit()
 	a.drain.end++
--- a/internal/demonstrator/report.go
+++ b/internal/demonstrator/report.go
@@ -1,5 +1,4 @@
-// The report is what the demo prints: what callers saw, by team, by class and by class under overload, and the
-// promises.
+// The report is what the demo prints: the outcomes by team, by class and by class under overload, and the promises.
 
 package demonstrator
 
@@ -16,7 +15,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/launcher"
 )
 
-// Report is what the demo showed.
+// Report is the result of a demo.
 type Report struct {
 	Deployment     string    `json:"deployment"`
 	Nodes          int       `json:"nodes"`
@@ -29,12 +28,12 @@
 	Held           bool      `json:"held"`
 }
 
-// Row is what one group of callers saw.
+// Row counts the outcomes of one group of requests.
 type Row struct {
 	Name     string `json:"name"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"`
-	// Refused counts the refusals by reason, and NotRun those that said "not run".
+	// Refused counts the refusals by reason, and NotRun those that say "not run".
 	Refused map[string]int `json:"refused"`
 	NotRun  int            `json:"notRun"`
 	// Failed counts requests with neither an answer nor a refusal.
@@ -63,7 +62,7 @@
 	return r
 }
 
-// rows groups outcomes; a leading digit only orders the groups.
+// rows groups outcomes by name; leading digits of a name only set the order of the groups.
 func rows(outcomes []outcome, name func(outcome) string) []Row {
 	groups := make(map[string]*Row)
 	for _, o := range outcomes {
--- a/internal/demonstrator/scenario.go
+++ b/internal/demonstrator/scenario.go
@@ -1,5 +1,5 @@
-// The day in its order. Each step only does something to the fleet and keeps the times; whether the promises held is
-// judged afterwards, in promises.go.
+// The steps of the demo in order. A step acts on the fleet and records times; whether the promises held is checked
+// afterwards, in promises.go.
 //
 // Example: Run(ctx, "kitakaze") takes about 25 seconds and returns a Report.
 
@@ -19,10 +19,10 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// The lengths of the day's parts.
+// The lengths of the demo's steps.
 const (
-	// warmUp lets a fleet that is seconds old become an ordinary one: its banks start empty, and ids made just before
-	// their owner took over are answered as unknown.
+	// warmUp brings a new fleet to a steady state: its banks start empty, and requests with idempotency ids created just
+	// before the ids' owner took over are answered as unknown.
 	warmUp          = 2 * time.Second
 	steadyLength    = 2 * time.Second
 	changeLength    = 1500 * time.Millisecond
@@ -32,11 +32,11 @@
 	settleLength    = 1500 * time.Millisecond
 	recoveryLength  = 1500 * time.Millisecond
 	pollInterval    = 100 * time.Millisecond
-	// slowServiceTime is what a call to the overloaded service takes in place of its usual 4 ms.
+	// slowServiceTime is the service time of the overloaded service, which is usually 4 ms.
 	slowServiceTime = 60 * time.Millisecond
 )
 
-// The upload goes on for some seconds, so that the node it passes through is stopped in the middle of it.
+// The upload takes some seconds, so that its node is stopped in the middle of it.
 const (
 	uploadPartCount    = 24
 	uploadPartBytes    = 64 << 10
@@ -57,7 +57,7 @@
 	background sync.WaitGroup
 }
 
-// Run launches a fleet shaped after the deployment, lives through the day and judges it.
+// Run launches a scaled-down fleet of the deployment, runs the workload and the steps on it, and checks the promises.
 func Run(ctx context.Context, deployment string) (Report, error) {
 	plan, err := launcher.PlanOf(deployment)
 	if err != nil {
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// drainAndStop lets one backend server leave, stops another's node under an upload, and replaces the first.
+// drainAndStop drains one backend server, stops the node of another VM during an upload, and replaces the drained backend
+// server.
 func (s *scenario) drainAndStop(ctx context.Context) error {
 	s.background.Go(func() { s.uploadThroughStop(ctx) })
 	m, err := s.member(s.workload.drained)
@@ -200,7 +201,7 @@
 	return pause(ctx, recoveryLength)
 }
 
-// pollVersions asks every node again and again which version is in force there.
+// pollVersions polls every node for the version in force at it.
 func (s *scenario) pollVersions(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, m := range s.fleet.Members {
@@ -227,7 +228,7 @@
 	}
 }
 
-// collectRecords gathers the accounts of callers and backend servers.
+// collectRecords copies the records of callers and backend servers into the audit.
 func (s *scenario) collectRecords() {
 	a := &s.audit
 	a.outcomes = s.callers.outcomes
--- a/internal/demonstrator/traffic.go
+++ b/internal/demonstrator/traffic.go
@@ -1,6 +1,6 @@
-// Callers send by the clock, not one after the other: a caller who waits for each answer would hide an overload.
+// The load is open-loop: callers send at fixed times, since a caller that waits for each answer would hide an overload.
 //
-// Example: a stream of 30 a second sends every 33 ms, each request in a goroutine of its own and by another node.
+// Example: a stream of 30 a second sends every 33 ms, each request in its own goroutine through a random node.
 
 package demonstrator
 
@@ -35,7 +35,7 @@
 	maxAnswer     = 1 << 20
 )
 
-// callers send requests and keep the account of them.
+// callers send requests and record their outcomes.
 type callers struct {
 	keys    map[identifier.Team]string
 	client  *http.Client
@@ -65,7 +65,7 @@
 
 func (c *callers) setPhase(p phase) { c.phase.Store(uint32(p)) }
 
-// removeNode takes a node off the callers' list.
+// removeNode removes a node from those that callers send to.
 func (c *callers) removeNode(nodeURL string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +84,7 @@
 	c.outcomes = append(c.outcomes, o)
 }
 
-// run sends a stream's requests until ctx ends, and returns at once; wait waits for the last answers.
+// run starts to send a stream's requests until ctx ends, without blocking; wait waits for the last answers.
 func (c *callers) run(ctx context.Context, s stream) {
 	c.pending.Go(func() {
 		next := time.Now()
@@ -114,7 +114,7 @@
 		c.recordOutcome(c.call(o))
 		return
 	}
-	// The second sending comes while the first is under way, by another node: the worst moment.
+	// The duplicate is sent through another node while the first is in progress, when a double run is most likely.
 	second := o
 	second.duplicate = true
 	c.pending.Go(func() {
@@ -193,7 +193,7 @@
 	o.reason, o.notRun = p.Reason, p.NotRun
 }
 
-// backendError is the reason given here to an answer by which a backend server tells that its own nested call failed.
+// backendError is the reason recorded for an error answer of a backend server whose nested call failed.
 const (
 	backendError     = "backendServerError"
 	backendErrorText = "nested call failed"
--- a/internal/demonstrator/upload.go
+++ b/internal/demonstrator/upload.go
@@ -1,4 +1,4 @@
-// An upload is on its way through a node while that node is stopped as planned.
+// An upload passes through a node while that node is stopped as planned.
 
 package demonstrator
 
@@ -11,7 +11,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/deliverer"
 )
 
-// callerUpdateDelay is how long callers take to learn that a node is not to be used any more.
+// callerUpdateDelay is how long callers take to learn that a node is no longer to be used.
 const callerUpdateDelay = 100 * time.Millisecond
 
 func (s *scenario) uploadThroughStop(ctx context.Context) {
--- a/internal/demonstrator/workload.go
+++ b/internal/demonstrator/workload.go
@@ -1,6 +1,5 @@
-// Both deployments live through the same day, told with their own services and teams: an urgent lookup, a chain three
-// deep, a booking that must run at most once, a search that can wait, an upload, and one team that asks for far more
-// than it bought.
+// Both deployments run the same workload with different services and teams: an urgent lookup, a call chain of depth three,
+// a booking that must run at most once, a search of low urgency, an upload, and one team that sends far more than its rate.
 //
 // Example: in "kitakaze" the urgent lookup is GET /ice/bulletins, and surveyors are the team over its rate.
 
@@ -18,13 +17,13 @@
 	method  string
 	service identifier.Service
 	path    string
-	// chain are the services whose parts a whole answer holds.
+	// chain holds the services whose nested answers a complete answer contains.
 	chain []string
-	// maxBody is the size of the largest body sent; sizes vary, so that a crossed answer shows.
+	// maxBody is the largest body size; sizes vary at random, so that an answer to another request is detected.
 	maxBody int
 }
 
-// stream is one team's steady flow of one kind of request.
+// stream is one team's load of one kind of request, sent at a constant rate.
 type stream struct {
 	team     identifier.Team
 	request  request
@@ -36,18 +35,19 @@
 	duplicates bool
 }
 
-// workload is a deployment's day.
+// workload is what a deployment's callers send, and what the demo changes or overloads meanwhile.
 type workload struct {
 	streams []stream
-	// flooding sends several times its rate, and withdrawn loses its key.
+	// flooding is the team that sends several times its rate, withdrawn the team whose key is withdrawn.
 	flooding  identifier.Team
 	withdrawn identifier.Team
-	// slowService is the service that is overloaded, drained the endpoint that leaves, and stopped the node that does.
+	// slowService is the service that is overloaded, drained the endpoint that is drained, and stopped the VM whose node is
+	// stopped.
 	slowService identifier.Service
 	drained     string
 	stopped     string
 	upload      request
-	// uploader is the team that uploads through the planned stop.
+	// uploader is the team whose upload passes through the node while it is stopped.
 	uploader identifier.Team
 }
 
@@ -57,7 +57,7 @@
 	smallBodyBytes = 2 << 10
 )
 
-// workloadNames are what a deployment calls the parts of the day.
+// workloadNames are the requests, teams, endpoints and nodes of one deployment that fill the common workload.
 type workloadNames struct {
 	urgent, chained, booking, search, listing, upload request
 	urgentTeams                                       [2]identifier.Team
@@ -125,7 +125,7 @@
 	stopped:     "uploads-1",
 }
 
-// ruleOf returns the class of a request under a preset, and whether it may run twice.
+// ruleOf returns the priority class of a request under a preset, and whether the request is idempotent.
 func ruleOf(p definer.Preset, r request) (class identifier.Priority, idempotent bool) {
 	for _, s := range p.Services {
 		if s.Name != r.service {
