--- a/internal/demonstrator/demo_test.go
+++ b/internal/demonstrator/demo_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A newcomer's first contact with the project is the demo, so it must end within 30 seconds and every promise must hold.
+// A newcomer's first contact with the project is the demo, so it must end within 30 seconds and every promise must
+// hold.
 func TestDemoHolds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
--- a/internal/demonstrator/outcome.go
+++ b/internal/demonstrator/outcome.go
@@ -94,8 +94,8 @@
 	burst float64
 }
 
-// drainRecord counts the calls that reached the drained backend server: until the drain, until drainSettleTime after it,
-// from which on no more may arrive, and until the end.
+// drainRecord counts the calls that reached the drained backend server: until the drain, until drainSettleTime after
+// it, from which on no more may arrive, and until the end.
 type drainRecord struct {
 	before  int64
 	settled int64
--- a/internal/demonstrator/promises.go
+++ b/internal/demonstrator/promises.go
@@ -1,5 +1,5 @@
-// One function checks each promise, from the audit alone, so that a test can break each promise and see its check fail. A
-// promise whose case did not arise counts as not held: a demo without an overload shows nothing about overload.
+// One function checks each promise, from the audit alone, so that a test can break each promise and see its check fail.
+// A promise whose case did not arise counts as not held: a demo without an overload shows nothing about overload.
 //
 // Example: a POST whose id was started twice breaks atMostOnce, with "1 of 240 ids ran twice" as the evidence.
 
@@ -21,8 +21,8 @@
 	minUrgentRatio = 0.9
 	// minShedRatio is the ratio of low-priority requests that must be shed; with fewer the fleet was not overloaded.
 	minShedRatio = 0.2
-	// ratioTolerance is how much lower the ratio of a more important class may be than that of a less important one, since
-	// requests of a class fail partly by chance.
+	// ratioTolerance is how much lower the ratio of a more important class may be than that of a less important one,
+	// since requests of a class fail partly by chance.
 	ratioTolerance = 0.03
 	// minRecoveredRatio is the ratio of the goodput before the overload that must be reached again after it.
 	minRecoveredRatio = 0.95
@@ -137,8 +137,8 @@
 	return held, "not shed under overload: " + strings.Join(parts, ", ")
 }
 
-// failedFromOverload reports whether a request failed because of the load, and not for a reason such as an idempotency id
-// that is still in use.
+// failedFromOverload reports whether a request failed because of the load, and not for a reason such as an idempotency
+// id that is still in use.
 func (o *outcome) failedFromOverload() bool {
 	switch reducer.Reason(o.reason) {
 	case reducer.Shed, reducer.DeadlinePassed, reducer.NoBackend, reducer.Unreachable, reducer.LostAnswer, reducer.TooManyRequests, backendError:
--- a/internal/demonstrator/promises_test.go
+++ b/internal/demonstrator/promises_test.go
@@ -66,8 +66,8 @@
 	a.outcomes = append(a.outcomes, o)
 }
 
-// If a check could not fail, the demo would print "held" over a fleet that breaks the promise. Each case breaks one promise
-// in an audit that is otherwise good, and exactly its check must fail.
+// If a check could not fail, the demo would print "held" over a fleet that breaks the promise. Each case breaks one
+// promise in an audit that is otherwise good, and exactly its check must fail.
 func TestEachBrokenPromiseIsDetected(t *testing.T) {
 	last := func(a *audit) *outcome { return &a.outcomes[len(a.outcomes)-1] }
 	tests := map[string]func(a *audit){
--- a/internal/demonstrator/scenario.go
+++ b/internal/demonstrator/scenario.go
@@ -21,8 +21,8 @@
 
 // The lengths of the demo's steps.
 const (
-	// warmUp brings a new fleet to a steady state: its banks start empty, and requests with idempotency ids created just
-	// before the ids' owner took over are answered as unknown.
+	// warmUp brings a new fleet to a steady state: its banks start empty, and requests with idempotency ids created
+	// just before the ids' owner took over are answered as unknown.
 	warmUp          = 2 * time.Second
 	steadyLength    = 2 * time.Second
 	changeLength    = 1500 * time.Millisecond
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// drainAndStop drains one backend server, stops the node of another VM during an upload, and replaces the drained backend
-// server.
+// drainAndStop drains one backend server, stops the node of another VM during an upload, and replaces the drained
+// backend server.
 func (s *scenario) drainAndStop(ctx context.Context) error {
 	s.background.Go(func() { s.uploadThroughStop(ctx) })
 	m, err := s.member(s.workload.drained)
@@ -254,7 +254,7 @@
 	}
 }
 
-// interval is clock.Sleep for steps that return an error.
+// pause is clock.Sleep for steps that return an error.
 func pause(ctx context.Context, d time.Duration) error {
 	clock.Sleep(ctx, d)
 	return ctx.Err()
--- a/internal/demonstrator/traffic.go
+++ b/internal/demonstrator/traffic.go
@@ -114,7 +114,8 @@
 		c.recordOutcome(c.call(o))
 		return
 	}
-	// The duplicate is sent through another node while the first is in progress, when a double run is most likely.
+	// The duplicate is sent while the first is in progress, usually through another node: a double run is most likely
+	// then.
 	second := o
 	second.duplicate = true
 	c.pending.Go(func() {
--- a/internal/demonstrator/workload.go
+++ b/internal/demonstrator/workload.go
@@ -1,5 +1,6 @@
-// Both deployments run the same workload with different services and teams: an urgent lookup, a call chain of depth three,
-// a booking that must run at most once, a search of low urgency, an upload, and one team that sends far more than its rate.
+// Both deployments run the same workload with different services and teams: an urgent lookup, a call chain of depth
+// three, a booking that must run at most once, a search of low urgency, an upload, and one team that sends far more
+// than its rate.
 //
 // Example: in "kitakaze" the urgent lookup is GET /ice/bulletins, and surveyors are the team over its rate.
 
@@ -41,8 +42,8 @@
 	// flooding is the team that sends several times its rate, withdrawn the team whose key is withdrawn.
 	flooding  identifier.Team
 	withdrawn identifier.Team
-	// slowService is the service that is overloaded, drained the endpoint that is drained, and stopped the VM whose node is
-	// stopped.
+	// slowService is the service that is overloaded, drained the endpoint that is drained, and stopped the VM whose
+	// node is stopped.
 	slowService identifier.Service
 	drained     string
 	stopped     string
--- a/internal/faulter/faulter.go
+++ b/internal/faulter/faulter.go
@@ -81,7 +81,8 @@
 	return names
 }
 
-// maxParallelScenarios bounds the scenarios that run at a time; several can share a machine, since a scenario mostly waits.
+// maxParallelScenarios bounds the scenarios that run at a time; several can share a machine, since a scenario mostly
+// waits.
 const maxParallelScenarios = 3
 
 type scenarioResult struct {
--- a/internal/faulter/faulter_test.go
+++ b/internal/faulter/faulter_test.go
@@ -14,10 +14,10 @@
 // roundingTolerance is less than one call and more than the floating-point error accumulated over a run.
 const roundingTolerance = 0.01
 
-// An error in the coordination between nodes ends up visible to a caller: a team gets more than its rate, a booking runs
-// twice, a refusal says "not run" about a request that ran, or an old preset comes back. Real nodes run through faults
-// under load, and the records of callers and backend servers must show none of these. Times are logged but not checked,
-// since they depend on the machine.
+// An error in the coordination between nodes ends up visible to a caller: a team gets more than its rate, a booking
+// runs twice, a refusal says "not run" about a request that ran, or an old preset comes back. Real nodes run through
+// faults under load, and the records of callers and backend servers must show none of these. Times are logged but not
+// checked, since they depend on the machine.
 func TestFaultsBreakNoPromise(t *testing.T) {
 	judged := []string{"logOutage", "domainCut", "nodePaused", "hastyRestart"}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
@@ -38,8 +38,8 @@
 	assert.Equal(t, len(names), 0, "scenarios without figures: %v", names)
 }
 
-// If the computed figures missed a fault, TestFaultsBreakNoPromise would pass on a faulty fleet. Each kind of fault is put
-// into a hand-written audit; the figures must show it, and must show nothing for the same audit without it.
+// If the computed figures missed a fault, TestFaultsBreakNoPromise would pass on a faulty fleet. Each kind of fault is
+// put into a hand-written audit; the figures must show it, and must show nothing for the same audit without it.
 func TestJudgeFindsEachFault(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/faulter/faults.go
+++ b/internal/faulter/faults.go
@@ -102,7 +102,8 @@
 	return r.startNode(ctx, i)
 }
 
-// rollingRestart replaces every VM in turn, as a careful upgrade does: it proceeds only when each claim has a holder again.
+// rollingRestart replaces every VM in turn, as a careful upgrade does: it proceeds only when each claim has a holder
+// again.
 func rollingRestart(ctx context.Context, r *run) error { return r.restartAll(ctx, r.fleet.AwaitReady) }
 
 // hastyRestart replaces the next VM as soon as the one before it listens.
@@ -233,8 +234,8 @@
 	return nil
 }
 
-// lastStartAfter returns the time from since to the last start of a call of the team at the included backend servers; an
-// empty team means all teams.
+// lastStartAfter returns the time from since to the last start of a call of the team at the included backend servers;
+// an empty team means all teams.
 func (r *run) lastStartAfter(since time.Time, include func(i int) bool, team identifier.Team) time.Duration {
 	var last time.Duration
 	for i, m := range r.fleet.Members {
@@ -279,8 +280,8 @@
 	return nil
 }
 
-// pause suspends a node for longer than its leases while real time passes. Jumping the node's clock instead would let its
-// bank refill for a time that passed on no other node.
+// pause suspends a node for longer than its leases while real time passes. Jumping the node's clock instead would let
+// its bank refill for a time that passed on no other node.
 func (r *run) pause(member int) <-chan struct{} {
 	done := make(chan struct{})
 	node := r.fleet.Members[member].Node
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -24,8 +24,8 @@
 
 // rateExceeded is the largest excess, in calls, of any team in any window. A call is charged at some moment between its
 // sending and its start at a backend server, and that moment is not visible outside the nodes. The excess is therefore
-// computed for the charge times most favorable to the fleet: it is 0 if one token bucket for all VMs could have paid for
-// all starts.
+// computed for the charge times most favorable to the fleet: it is 0 if one token bucket for all VMs could have paid
+// for all starts.
 func (a audit) rateExceeded() float64 {
 	var largest float64
 	for _, t := range a.teams {
@@ -37,8 +37,8 @@
 // chargeWindow is the interval in which one call was charged to the bucket.
 type chargeWindow struct{ earliest, latest time.Time }
 
-// chargesOf joins the backend servers' starts with the callers' attempts. A request that was retried after a lost answer
-// is charged once. Without an answer the caller doesn't know the request id; such a call was sent at most
+// chargesOf joins the backend servers' starts with the callers' attempts. A request that was retried after a lost
+// answer is charged once. Without an answer the caller doesn't know the request id; such a call was sent at most
 // attemptTimeout before its start.
 func (a audit) chargesOf(team identifier.Team) []chargeWindow {
 	sent := make(map[string]time.Time)
@@ -94,8 +94,8 @@
 }
 
 // excess charges each call as soon as it was sent and the bucket has a token; among waiting calls the one that started
-// first is charged first. No other order gives a smaller excess. A call that has started is charged even if the bucket is
-// empty, and the largest resulting deficit is the excess.
+// first is charged first. No other order gives a smaller excess. A call that has started is charged even if the bucket
+// is empty, and the largest resulting deficit is the excess.
 func excess(t teamPlan, calls []chargeWindow) float64 {
 	if len(calls) == 0 {
 		return 0
@@ -194,7 +194,7 @@
 	return served / entitled, entitled > 0
 }
 
-// bookingsServed is the ratio of bookings of teams within their rate that got an answer on any attempt.
+// bookingsServed is the ratio of bookings of teams within their rate that succeeded on any attempt.
 func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
 	for _, s := range a.operations {
--- a/internal/faulter/load.go
+++ b/internal/faulter/load.go
@@ -1,6 +1,6 @@
-// The load is open-loop: the times of calls don't depend on the fleet's answers. A booking that was refused as not run, or
-// whose answer was lost, is retried with the same idempotency id at another node, as a careful caller does; one in ten is
-// sent to two nodes at once, as a careless caller does.
+// The load is open-loop: the times of calls don't depend on the fleet's answers. A booking that was refused as not run,
+// or whose answer was lost, is retried with the same idempotency id at another node, as a careful caller does; one in
+// ten is sent to two nodes at once, as a careless caller does.
 //
 // Example: the first attempt at VM 2 gets no answer, the second at VM 3 gets the recorded one: one run, two attempts.
 
@@ -153,7 +153,8 @@
 	l.operations = append(l.operations, s)
 }
 
-// isFinal reports whether a careful caller stops retrying: the team is over its rate, or a retry can't reveal the outcome.
+// isFinal reports whether a careful caller stops retrying: the team is over its rate, or a retry can't reveal the
+// outcome.
 func isFinal(reason string) bool { return reason == "rateExceeded" || reason == "outcomeUnknown" }
 
 // attemptAtReachableNode skips nodes that refuse the connection, as a client with a list of addresses does.
--- a/internal/faulter/plan.go
+++ b/internal/faulter/plan.go
@@ -40,8 +40,8 @@
 	bookingRatio float64
 }
 
-// overloadingTeam sends more than its rate, withinRateTeam stays within it. The first makes no bookings, so that each call
-// charged to it reaches a backend server and can be counted there.
+// overloadingTeam sends more than its rate, withinRateTeam stays within it. The first makes no bookings, so that each
+// call charged to it reaches a backend server and can be counted there.
 const (
 	overloadingTeam identifier.Team = "okhotskAgents"
 	withinRateTeam  identifier.Team = "captains"
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -1,5 +1,5 @@
-// A run is one scenario on its own fleet: the load lasts for the whole run, and the fault starts and ends during it. The
-// records of replaced backend servers still count.
+// A run is one scenario on its own fleet: the load lasts for the whole run, and the fault starts and ends during it.
+// The records of replaced backend servers still count.
 //
 // Example: r.stopNode(ctx, 2) is a planned stop of VM 2; r.startNode(ctx, 2) starts a new process at its addresses.
 
@@ -20,8 +20,8 @@
 const (
 	// burstUseTime is the time in which the overloading team uses up its burst.
 	burstUseTime = 1500 * time.Millisecond
-	// warmUpTime is the time after a fleet's start in which buckets fill and owners of idempotency ids become able to answer
-	// for them: a request older than the owner's takeover could have run under the previous owner.
+	// warmUpTime is the time after a fleet's start in which buckets fill and owners of idempotency ids become able to
+	// answer for them: a request older than the owner's takeover could have run under the previous owner.
 	warmUpTime = 2500 * time.Millisecond
 )
 
@@ -147,7 +147,8 @@
 	return m
 }
 
-// starts returns the starts that all backend servers recorded, replaced ones included, in order of time within a server.
+// starts returns the starts that all backend servers recorded, replaced ones included, in order of time within a
+// server.
 func (r *run) starts() []responder.RunStart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulter/scenario.go
+++ b/internal/faulter/scenario.go
@@ -1,5 +1,5 @@
-// A scenario is a load, a fault and a length. The lengths are as short as the fault allows: a takeover takes some eleven
-// seconds, for the promise term and the wait until slices that the previous holder granted have expired.
+// A scenario is a load, a fault and a length. The lengths are as short as the fault allows: a takeover takes some
+// eleven seconds, for the promise term and the wait until slices that the previous holder granted have expired.
 //
 // Example: {name: "domainCut", chooseNode: anyNode, length: 9 s, fault: domainCut}.
 
--- a/internal/faulter/watch.go
+++ b/internal/faulter/watch.go
@@ -1,5 +1,6 @@
 // The watcher samples the version of the configuration in force at every node. A reversal is counted when a node's
-// version decreases, or when a node first seen after a version was in force at every running node puts an older one in force.
+// version decreases, or when a node first seen after a version was in force at every running node puts an older one in
+// force.
 //
 // Example: a replaced VM that starts with version 11 after all others had version 12 in force counts as a reversal.
 
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -79,7 +79,8 @@
 	server   *http.Server
 	client   *http.Client
 
-	// serviceTime, failEvery and loadOverride can be changed while it runs; a negative loadOverride reports the true load.
+	// serviceTime, failEvery and loadOverride can be changed while it runs; a negative loadOverride reports the true
+	// load.
 	serviceTime  atomic.Int64
 	failEvery    atomic.Int64
 	loadOverride atomic.Int64
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -36,8 +36,8 @@
 type Terms struct {
 	// Revoke is how long a withdrawn key may still work, Drain how long a leaving endpoint may still receive requests.
 	Revoke, Drain time.Duration
-	// Window, Excess and Slack bound the excess of a team over its rate: in any window it may run rate×window+burst calls,
-	// raised by the ratio Excess and then by Slack calls.
+	// Window, Excess and Slack bound the excess of a team over its rate: in any window it may run rate×window+burst
+	// calls, raised by the ratio Excess and then by Slack calls.
 	Window time.Duration
 	Excess float64
 	Slack  float64
--- a/internal/soaker/plan.go
+++ b/internal/soaker/plan.go
@@ -1,7 +1,7 @@
 package soaker
 
-// Faults come in sequences that run concurrently, so that faults overlap. Each sequence draws the next fault, its node and
-// its duration from a random generator derived from the seed and the sequence's number.
+// Faults come in sequences that run concurrently, so that faults overlap. Each sequence draws the next fault, its node
+// and its duration from a random generator derived from the seed and the sequence's number.
 //
 // Example: seed 7, row 1: pause node-2 for 1.3 s, then lose the store's answers for 0.8 s, then kill node-4.
 
--- a/internal/soaker/process.go
+++ b/internal/soaker/process.go
@@ -1,7 +1,7 @@
 package soaker
 
-// Each node runs as a separate process, with proxies between it and the store, its endpoint and its callers. Only processes
-// started here are signalled, through the handle from their start.
+// Each node runs as a separate process, with proxies between it and the store, its endpoint and its callers. Only
+// processes started here are signalled, through the handle from their start.
 //
 // Example: n.signal(syscall.SIGSTOP) pauses the node, n.restart(syscall.SIGTERM, pause) ends it and starts it again.
 
@@ -22,8 +22,8 @@
 	"github.com/jackdawtide/jackdawtide/platform/standin"
 )
 
-// terminationGrace is how long a process may take to exit after SIGTERM before it is killed; the nodes' settings hold the
-// same value.
+// terminationGrace is how long a process may take to exit after SIGTERM before it is killed; the nodes' settings hold
+// the same value.
 const terminationGrace = 6 * time.Second
 
 type node struct {
@@ -48,16 +48,16 @@
 }
 
 const (
-	// firstPort and portCount bound the ports on which nodes listen. The range lies below the ephemeral ports: an outgoing
-	// connection could otherwise occupy a node's port while the node is down, and the node could not restart.
+	// firstPort and portCount bound the ports on which nodes listen. The range lies below the ephemeral ports: an
+	// outgoing connection could otherwise occupy a node's port while the node is down, and the node could not restart.
 	firstPort = 15000
 	portCount = 15000
 	// maxPortAttempts bounds the search; far fewer than a tenth of the ports are ever in use.
 	maxPortAttempts = 50
 )
 
-// allocatedPorts holds the ports that this process has given to nodes. A node listens on a port only some time after the
-// port was found free; without this record two nodes could be given the same one, which failed one run in twenty.
+// allocatedPorts holds the ports that this process has given to nodes. A node listens on a port only some time after
+// the port was found free; without this record two nodes could be given the same one, which failed one run in twenty.
 var allocatedPorts = struct {
 	sync.Mutex
 	ports map[int]bool
--- a/internal/soaker/process_test.go
+++ b/internal/soaker/process_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// If two nodes of a soak got the same port, the one started later would exit at once, and the soak would report a fault of
-// the program under test.
+// If two nodes of a soak got the same port, the one started later would exit at once, and the soak would report a fault
+// of the program under test.
 func TestFreeAddressNeverRepeats(t *testing.T) {
 	allocated := map[string]bool{}
 	for range 600 {
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// warmUp is the time from the start of the processes to the first request, recoveryTime how long callers continue after
-	// the last fault.
+	// warmUp is the time from the start of the processes to the first request, recoveryTime how long callers continue
+	// after the last fault.
 	warmUp       = 3 * time.Second
 	recoveryTime = 10 * time.Second
 )
--- a/internal/soaker/traffic.go
+++ b/internal/soaker/traffic.go
@@ -1,7 +1,8 @@
 package soaker
 
-// Callers reuse their connections and send at a constant rate whatever the outcome of the requests: a caller that waited for
-// answers would send less while the fleet is failing. Callers don't retry; each request is checked by itself.
+// Callers reuse their connections and send at a constant rate whatever the outcome of the requests: a caller that
+// waited for answers would send less while the fleet is failing. Callers don't retry; each request is checked by
+// itself.
 //
 // Example: an order without an answer is recorded with status 0, and may have run once.
 
@@ -18,7 +19,8 @@
 
 const (
 	host = "soak.example"
-	// requestInterval is the time between two requests of one caller, callersPerNode the number of callers at each node.
+	// requestInterval is the time between two requests of one caller, callersPerNode the number of callers at each
+	// node.
 	requestInterval = 25 * time.Millisecond
 	callersPerNode  = 3
 	callTimeout     = 2 * time.Second
--- a/internal/soaker/types.go
+++ b/internal/soaker/types.go
@@ -1,7 +1,7 @@
 package soaker
 
-// A soak is a fleet of real processes, callers that send without pause, and a plan of faults derived from a seed. The same
-// seed gives the same plan; the effects of the faults may differ, since the processes' timing does.
+// A soak is a fleet of real processes, callers that send without pause, and a plan of faults derived from a seed. The
+// same seed gives the same plan; the effects of the faults may differ, since the processes' timing does.
 //
 // Example: Run(ctx, Options{Program: "./jackdawtide", Seed: 7, Length: 30 * time.Second, Nodes: 6})
 
