--- a/internal/demonstrator/story.go
+++ b/internal/demonstrator/workload.go
@@ -1,6 +1,6 @@
-// Both deployments live through the same day, told with their own services and teams: an urgent lookup, a chain three
-// deep, a booking that must run at most once, a search that can wait, an upload, and one team that asks for far more
-// than it bought.
+// Both deployments run the same workload with different services and teams: an urgent lookup, a call chain of depth
+// three, a booking that must run at most once, a search of low urgency, an upload, and one team that sends far more
+// than its rate.
 //
 // Example: in "kitakaze" the urgent lookup is GET /ice/bulletins, and surveyors are the team over its rate.
 
@@ -18,83 +18,84 @@
 	method  string
 	service identifier.Service
 	path    string
-	// chain are the services whose parts a whole answer holds.
+	// chain holds the services whose nested answers a complete answer contains.
 	chain []string
-	// maxBody is the size of the largest body sent; sizes vary, so that a crossed answer shows.
+	// maxBody is the largest body size; sizes vary at random, so that an answer to another request is detected.
 	maxBody int
 }
 
-// stream is one team's steady flow of one kind of request.
+// stream is one team's load of one kind of request, sent at a constant rate.
 type stream struct {
 	team     identifier.Team
 	request  request
 	rate     float64
 	deadline time.Duration
-	// surge is the rate during the overload; 0 keeps the rate.
-	surge float64
-	// repeats makes the caller send every other request twice with the same idempotency id.
-	repeats bool
+	// surgeRate is the rate during the overload; 0 keeps the rate.
+	surgeRate float64
+	// duplicates makes the caller send every other request twice with the same idempotency id.
+	duplicates bool
 }
 
-// story is a deployment's day.
-type story struct {
+// workload is what a deployment's callers send, and what the demo changes or overloads meanwhile.
+type workload struct {
 	streams []stream
-	// flooding sends several times its rate, and withdrawn loses its key.
+	// flooding is the team that sends several times its rate, withdrawn the team whose key is withdrawn.
 	flooding  identifier.Team
 	withdrawn identifier.Team
-	// slow is the service that is overloaded, drained the endpoint that leaves, and stopped the node that does.
-	slow    identifier.Service
-	drained string
-	stopped string
-	upload  request
-	// uploader is the team that uploads through the planned stop.
+	// slowService is the service that is overloaded, drained the endpoint that is drained, and stopped the VM whose
+	// node is stopped.
+	slowService identifier.Service
+	drained     string
+	stopped     string
+	upload      request
+	// uploader is the team whose upload passes through the node while it is stopped.
 	uploader identifier.Team
 }
 
 const (
-	patient   = 2 * time.Second
-	impatient = 500 * time.Millisecond
-	smallBody = 2 << 10
+	longDeadline   = 2 * time.Second
+	shortDeadline  = 500 * time.Millisecond
+	smallBodyBytes = 2 << 10
 )
 
-// names are what a deployment calls the parts of the day.
-type names struct {
+// workloadNames are the requests, teams, endpoints and nodes of one deployment that fill the common workload.
+type workloadNames struct {
 	urgent, chained, booking, search, listing, upload request
 	urgentTeams                                       [2]identifier.Team
 	bookers, browsers, surging, flooding, withdrawn   identifier.Team
 	drained, stopped                                  string
 }
 
-func storyOf(deployment string) story {
+func workloadOf(deployment string) workload {
 	n := kitakaze
 	if deployment == "concordia" {
 		n = concordia
 	}
-	return story{
+	return workload{
 		streams: []stream{
-			{team: n.urgentTeams[0], request: n.urgent, rate: 30, deadline: patient},
-			{team: n.urgentTeams[1], request: n.urgent, rate: 20, deadline: patient},
-			{team: n.bookers, request: n.booking, rate: 12, deadline: patient, repeats: true},
-			{team: n.browsers, request: n.chained, rate: 40, deadline: patient},
-			{team: n.browsers, request: n.search, rate: 30, deadline: impatient},
-			{team: n.surging, request: n.search, rate: 30, surge: 300, deadline: impatient},
-			{team: n.flooding, request: n.search, rate: 200, deadline: impatient},
-			{team: n.withdrawn, request: n.listing, rate: 20, deadline: patient},
+			{team: n.urgentTeams[0], request: n.urgent, rate: 30, deadline: longDeadline},
+			{team: n.urgentTeams[1], request: n.urgent, rate: 20, deadline: longDeadline},
+			{team: n.bookers, request: n.booking, rate: 12, deadline: longDeadline, duplicates: true},
+			{team: n.browsers, request: n.chained, rate: 40, deadline: longDeadline},
+			{team: n.browsers, request: n.search, rate: 30, deadline: shortDeadline},
+			{team: n.surging, request: n.search, rate: 30, surgeRate: 300, deadline: shortDeadline},
+			{team: n.flooding, request: n.search, rate: 200, deadline: shortDeadline},
+			{team: n.withdrawn, request: n.listing, rate: 20, deadline: longDeadline},
 		},
-		flooding:  n.flooding,
-		withdrawn: n.withdrawn,
-		slow:      n.urgent.service,
-		drained:   n.drained,
-		stopped:   n.stopped,
-		upload:    n.upload,
-		uploader:  n.bookers,
+		flooding:    n.flooding,
+		withdrawn:   n.withdrawn,
+		slowService: n.urgent.service,
+		drained:     n.drained,
+		stopped:     n.stopped,
+		upload:      n.upload,
+		uploader:    n.bookers,
 	}
 }
 
-var kitakaze = names{
+var kitakaze = workloadNames{
 	urgent:      request{method: "GET", service: "ice", path: "/bulletins"},
 	chained:     request{method: "GET", service: "bookings", path: "/mine", chain: []string{"slotBoard", "ice"}},
-	booking:     request{method: "POST", service: "bookings", path: "/escorts", chain: []string{"slotBoard", "ice"}, maxBody: smallBody},
+	booking:     request{method: "POST", service: "bookings", path: "/escorts", chain: []string{"slotBoard", "ice"}, maxBody: smallBodyBytes},
 	search:      request{method: "GET", service: "slotBoard", path: "/search", chain: []string{"ice"}},
 	listing:     request{method: "GET", service: "slotBoard", path: "/slots", chain: []string{"ice"}},
 	upload:      request{method: "POST", service: "manifests", path: "/manifests"},
@@ -108,10 +109,10 @@
 	stopped:     "manifests-1",
 }
 
-var concordia = names{
+var concordia = workloadNames{
 	urgent:      request{method: "GET", service: "prayerTimes", path: "/fastTimes"},
 	chained:     request{method: "GET", service: "orders", path: "/mine", chain: []string{"portal", "prayerTimes"}},
-	booking:     request{method: "POST", service: "orders", path: "/orders", chain: []string{"portal", "prayerTimes"}, maxBody: smallBody},
+	booking:     request{method: "POST", service: "orders", path: "/orders", chain: []string{"portal", "prayerTimes"}, maxBody: smallBodyBytes},
 	search:      request{method: "GET", service: "portal", path: "/search", chain: []string{"prayerTimes"}},
 	listing:     request{method: "GET", service: "portal", path: "/observances", chain: []string{"prayerTimes"}},
 	upload:      request{method: "POST", service: "uploads", path: "/tables"},
@@ -125,7 +126,7 @@
 	stopped:     "uploads-1",
 }
 
-// ruleOf returns the class of a request under a preset, and whether it may run twice.
+// ruleOf returns the priority class of a request under a preset, and whether the request is idempotent.
 func ruleOf(p definer.Preset, r request) (class identifier.Priority, idempotent bool) {
 	for _, s := range p.Services {
 		if s.Name != r.service {
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -1,7 +1,7 @@
-// The verdict comes from what the callers and the backend servers wrote down, never from what the nodes say of
-// themselves. The backend servers' starts are joined to the callers' attempts by the request's id.
+// The figures are computed from the records of callers and backend servers, never from what nodes report about
+// themselves. A start at a backend server is joined to a caller's attempt by the request id.
 //
-// Example: a refusal with notRun=true for request R is false if any backend server has a start of R.
+// Example: a refusal with notRun=true for request R is false if any backend server recorded a start of R.
 
 package faulter
 
@@ -13,101 +13,103 @@
 	"github.com/jackdawtide/jackdawtide/internal/responder"
 )
 
-// account is all that was written down in a run.
-type account struct {
-	teams    []teamPlan
-	start    time.Time
-	length   time.Duration
-	sendings []sending
-	starts   []responder.RunStart
+// audit holds everything recorded in a run.
+type audit struct {
+	teams      []teamPlan
+	start      time.Time
+	length     time.Duration
+	operations []operation
+	starts     []responder.RunStart
 }
 
-// rateExceeded is the largest excess, in calls, of any team in any window. A call is paid for somewhere between its sending
-// and its start at a backend server, and nobody outside the nodes sees when. So it is asked whether there is any choice
-// of moments at which one bucket for all VMs could have paid for all starts; only what no choice can explain counts.
-func (a account) rateExceeded() float64 {
+// rateExceeded is the largest excess, in calls, of any team in any window. A call is charged at some moment between its
+// sending and its start at a backend server, and that moment is not visible outside the nodes. The excess is therefore
+// computed for the charge times most favorable to the fleet: it is 0 if one token bucket for all VMs could have paid
+// for all starts.
+func (a audit) rateExceeded() float64 {
 	var largest float64
 	for _, t := range a.teams {
-		largest = max(largest, excess(t, a.paymentsOf(t.name)))
+		largest = max(largest, excess(t, a.chargesOf(t.name)))
 	}
 	return largest
 }
 
-// payment is the time within which one call was paid for.
-type payment struct{ from, by time.Time }
+// chargeWindow is the interval in which one call was charged to the bucket.
+type chargeWindow struct{ earliest, latest time.Time }
 
-// paymentsOf joins the backend servers' starts to the callers' sendings. A request that was retried after a lost answer
-// is paid for once. Where the answer never came, its caller does not know the request's id; such a call was sent at
-// most a caller's patience before.
-func (a account) paymentsOf(team identifier.Team) []payment {
+// chargesOf joins the backend servers' starts with the callers' attempts. A request that was retried after a lost
+// answer is charged once. Without an answer the caller doesn't know the request id; such a call was sent at most
+// attemptTimeout before its start.
+func (a audit) chargesOf(team identifier.Team) []chargeWindow {
 	sent := make(map[string]time.Time)
-	for _, s := range a.sendings {
+	for _, s := range a.operations {
 		for _, t := range s.attempts {
 			sent[t.request] = t.sent
 		}
 	}
 	seen := make(map[string]bool)
-	var list []payment
+	var list []chargeWindow
 	for _, s := range a.starts {
 		if s.Team != string(team) || seen[s.Request] {
 			continue
 		}
 		seen[s.Request] = true
-		from, known := sent[s.Request]
+		earliest, known := sent[s.Request]
 		if !known || s.Request == "" {
-			from = s.At.Add(-attemptTimeout)
+			earliest = s.At.Add(-attemptTimeout)
 		}
-		list = append(list, payment{from: from, by: s.At})
+		list = append(list, chargeWindow{earliest: earliest, latest: s.At})
 	}
-	slices.SortFunc(list, func(x, y payment) int { return x.from.Compare(y.from) })
+	slices.SortFunc(list, func(x, y chargeWindow) int { return x.earliest.Compare(y.earliest) })
 	return list
 }
 
-func (a account) startsOf(team identifier.Team) []time.Time {
+func (a audit) startsOf(team identifier.Team) []time.Time {
 	var list []time.Time
-	for _, p := range a.paymentsOf(team) {
-		list = append(list, p.by)
+	for _, p := range a.chargesOf(team) {
+		list = append(list, p.latest)
 	}
 	slices.SortFunc(list, time.Time.Compare)
 	return list
 }
 
-// bucket is one token bucket for a whole team.
+// bucket is a single token bucket for all VMs of a team.
 type bucket struct {
 	team  teamPlan
 	at    time.Time
 	level float64
 }
 
-func (b *bucket) moveTo(at time.Time) {
+func (b *bucket) advanceTo(at time.Time) {
 	if at.After(b.at) {
 		b.level = min(b.team.burst, b.level+b.team.rate*at.Sub(b.at).Seconds())
 		b.at = at
 	}
 }
 
-// full is when the bucket can pay for the next call.
-func (b *bucket) full() time.Time {
-	// A nanosecond's part of a token is less than rounding can lose.
+// nextTokenAt is when the bucket can pay for the next call.
+func (b *bucket) nextTokenAt() time.Time {
+	// A microsecond more makes up for rounding, which may otherwise leave the token incomplete.
 	return b.at.Add(time.Duration((1 - b.level) / b.team.rate * float64(time.Second))).Add(time.Microsecond)
 }
 
-// excess pays for each call as soon as it was sent and the bucket allows, the one that started first before the others;
-// no other order does better. A call that has started is paid for in any case, and what is missing at worst is the excess.
-func excess(t teamPlan, calls []payment) float64 {
+// excess charges each call as soon as it was sent and the bucket has a token; among waiting calls the one that started
+// first is charged first. No other order gives a smaller excess. A call that has started is charged even if the bucket
+// is empty, and the largest resulting deficit is the excess.
+func excess(t teamPlan, calls []chargeWindow) float64 {
 	if len(calls) == 0 {
 		return 0
 	}
-	b := &bucket{team: t, at: calls[0].from, level: t.burst}
-	var waiting []payment
+	b := &bucket{team: t, at: calls[0].earliest, level: t.burst}
+	var waiting []chargeWindow
 	var worst float64
 	for len(calls) > 0 || len(waiting) > 0 {
-		b.moveTo(nextMoment(b, calls, waiting))
-		for len(calls) > 0 && !calls[0].from.After(b.at) {
+		b.advanceTo(nextEventTime(b, calls, waiting))
+		for len(calls) > 0 && !calls[0].earliest.After(b.at) {
 			waiting = insert(waiting, calls[0])
 			calls = calls[1:]
 		}
-		for len(waiting) > 0 && (b.level >= 1 || !waiting[0].by.After(b.at)) {
+		for len(waiting) > 0 && (b.level >= 1 || !waiting[0].latest.After(b.at)) {
 			waiting = waiting[1:]
 			b.level--
 			worst = max(worst, -b.level)
@@ -116,8 +118,8 @@
 	return worst
 }
 
-// nextMoment is when something can happen: a call is sent, one that waits starts, or the bucket can pay for it.
-func nextMoment(b *bucket, calls, waiting []payment) time.Time {
+// nextEventTime is the earliest of: the next call is sent, a waiting call starts, or the bucket can pay for it.
+func nextEventTime(b *bucket, calls, waiting []chargeWindow) time.Time {
 	var next time.Time
 	consider := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
@@ -125,22 +127,22 @@
 		}
 	}
 	if len(calls) > 0 {
-		consider(calls[0].from)
+		consider(calls[0].earliest)
 	}
 	if len(waiting) > 0 {
-		consider(waiting[0].by)
-		consider(b.full())
+		consider(waiting[0].latest)
+		consider(b.nextTokenAt())
 	}
 	return next
 }
 
-func insert(waiting []payment, p payment) []payment {
-	i, _ := slices.BinarySearchFunc(waiting, p, func(x, y payment) int { return x.by.Compare(y.by) })
+func insert(waiting []chargeWindow, p chargeWindow) []chargeWindow {
+	i, _ := slices.BinarySearchFunc(waiting, p, func(x, y chargeWindow) int { return x.latest.Compare(y.latest) })
 	return slices.Insert(waiting, i, p)
 }
 
-// doubleRuns counts the runs beyond the first of each idempotency id, over all backend servers.
-func (a account) doubleRuns() int {
+// doubleRuns counts the starts beyond the first of each idempotency id, over all backend servers.
+func (a audit) doubleRuns() int {
 	runs := make(map[string]int)
 	double := 0
 	for _, s := range a.starts {
@@ -155,14 +157,14 @@
 	return double
 }
 
-// falseNotRun counts the refusals that say "not run" of a request that a backend server has a start of.
-func (a account) falseNotRun() int {
+// falseNotRun counts the refusals that say "not run" about a request that a backend server started.
+func (a audit) falseNotRun() int {
 	started := make(map[string]bool)
 	for _, s := range a.starts {
 		started[s.Request] = true
 	}
 	n := 0
-	for _, s := range a.sendings {
+	for _, s := range a.operations {
 		for _, t := range s.attempts {
 			if t.notRun && started[t.request] {
 				n++
@@ -172,15 +174,15 @@
 	return n
 }
 
-// rateServed is what reached the backend servers of the teams that sent more than their rate, as a part of their rate.
-// The first seconds don't count: in them the burst is used up.
-func (a account) rateServed() (float64, bool) {
+// rateServed is the ratio of calls started to the rate, for teams that send more than their rate. It skips the first
+// seconds, in which the burst is used up.
+func (a audit) rateServed() (float64, bool) {
 	var served, entitled float64
 	for _, t := range a.teams {
-		if t.load < 1 {
+		if t.loadRatio < 1 {
 			continue
 		}
-		from := a.start.Add(settling)
+		from := a.start.Add(burstUseTime)
 		to := a.start.Add(a.length)
 		for _, at := range a.startsOf(t.name) {
 			if at.After(from) && at.Before(to) {
@@ -192,11 +194,11 @@
 	return served / entitled, entitled > 0
 }
 
-// bookingsServed is the part of the bookings of teams within their rate that were answered in the end.
-func (a account) bookingsServed() (float64, bool) {
+// bookingsServed is the ratio of bookings of teams within their rate that succeeded on any attempt.
+func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
-	for _, s := range a.sendings {
-		if s.id == "" || !a.isWithin(s.team) {
+	for _, s := range a.operations {
+		if s.id == "" || !a.isWithinRate(s.team) {
 			continue
 		}
 		all++
@@ -207,13 +209,13 @@
 	return served / all, all > 0
 }
 
-// wrongful is the part of the attempts of teams within their rate that were refused or got no answer. The second of
-// two attempts made at once is the caller's own fault and doesn't count, nor does a retry.
-func (a account) wrongful() (ratio float64, reasons map[string]int, ok bool) {
+// wrongfulRefusals is the ratio of first attempts of teams within their rate that were refused or got no answer. It
+// doesn't count retries, nor a refusal because the same idempotency id was sent twice at once, which the caller caused.
+func (a audit) wrongfulRefusals() (ratio float64, reasons map[string]int, ok bool) {
 	var all, refused float64
 	reasons = make(map[string]int)
-	for _, s := range a.sendings {
-		if !a.isWithin(s.team) || len(s.attempts) == 0 {
+	for _, s := range a.operations {
+		if !a.isWithinRate(s.team) || len(s.attempts) == 0 {
 			continue
 		}
 		all++
@@ -238,7 +240,7 @@
 	}
 }
 
-func (a account) isWithin(team identifier.Team) bool {
+func (a audit) isWithinRate(team identifier.Team) bool {
 	i := slices.IndexFunc(a.teams, func(t teamPlan) bool { return t.name == team })
-	return i >= 0 && a.teams[i].load < 1
+	return i >= 0 && a.teams[i].loadRatio < 1
 }
--- a/internal/faulter/load.go
+++ b/internal/faulter/load.go
@@ -1,8 +1,8 @@
-// The load is open-loop: calls come when they come, however the fleet fares. A booking that was refused as not run, or
-// whose answer got lost, is sent again with the same id to another node, as a careful caller would; one in ten is sent
-// twice at once, as a careless one would.
+// The load is open-loop: the times of calls don't depend on the fleet's answers. A booking that was refused as not run,
+// or whose answer was lost, is retried with the same idempotency id at another node, as a careful caller does; one in
+// ten is sent to two nodes at once, as a careless caller does.
 //
-// Example: the first try at VM 2 gets no answer, the second at VM 3 gets the recorded one: one run, two attempts.
+// Example: the first attempt at VM 2 gets no answer, the second at VM 3 gets the recorded one: one run, two attempts.
 
 package faulter
 
@@ -27,13 +27,13 @@
 
 const (
 	attemptTimeout = 2500 * time.Millisecond
-	tries          = 4
-	firstPause     = 100 * time.Millisecond
-	// crossed is the part of the bookings that are sent twice at once.
-	crossed = 0.1
+	maxAttempts    = 4
+	firstBackoff   = 100 * time.Millisecond
+	// duplicateSendRatio is the ratio of bookings that are sent twice at once.
+	duplicateSendRatio = 0.1
 )
 
-// attempt is one sending, as its caller saw it.
+// attempt is one attempt of an operation, as its caller saw it.
 type attempt struct {
 	sent     time.Time
 	done     time.Time
@@ -43,21 +43,21 @@
 	reason   string
 	notRun   bool
 	replayed bool
-	// notConnected tells that nobody listened, so nothing was sent.
+	// notConnected means that the connection failed, so nothing was sent.
 	notConnected bool
 }
 
 func (a attempt) succeeded() bool { return a.status == http.StatusOK }
 
-// sending is one thing that a caller wants done, with all its attempts.
-type sending struct {
+// operation is one logical call of a team, with all its attempts.
+type operation struct {
 	team     identifier.Team
 	at       time.Duration
 	id       string
 	attempts []attempt
 }
 
-func (s sending) succeeded() bool {
+func (s operation) succeeded() bool {
 	for _, a := range s.attempts {
 		if a.succeeded() {
 			return true
@@ -66,27 +66,27 @@
 	return false
 }
 
-// spread says at which VM a call comes in.
-type spread func(at time.Duration, r *rand.Rand) int
+// nodeChoice selects the VM whose node a call is sent to.
+type nodeChoice func(at time.Duration, r *rand.Rand) int
 
-func anywhere(_ time.Duration, r *rand.Rand) int { return r.IntN(vms) }
+func anyNode(_ time.Duration, r *rand.Rand) int { return r.IntN(vms) }
 
-func atOneNode(time.Duration, *rand.Rand) int { return 1 }
+func oneNode(time.Duration, *rand.Rand) int { return 1 }
 
-func atTwoDomains(_ time.Duration, r *rand.Rand) int { return r.IntN(2) }
+func nodesOfTwoDomains(_ time.Duration, r *rand.Rand) int { return r.IntN(2) }
 
-func moving(at time.Duration, _ *rand.Rand) int { return int(at/time.Second) % vms }
+func rotatingNode(at time.Duration, _ *rand.Rand) int { return int(at/time.Second) % vms }
 
-// load sends the calls of all teams for a time and collects what became of them.
+// load sends the calls of all teams for a time and collects their results.
 type load struct {
 	run    *run
 	client *http.Client
 	start  time.Time
 	length time.Duration
 
-	mu       sync.Mutex
-	sendings []sending
-	group    sync.WaitGroup
+	mu         sync.Mutex
+	operations []operation
+	group      sync.WaitGroup
 }
 
 func newLoad(r *run, length time.Duration) *load {
@@ -97,7 +97,7 @@
 	}
 }
 
-// send returns when the last answer is in.
+// send returns after the last answer.
 func (l *load) send(ctx context.Context) {
 	l.start = time.Now()
 	var streams sync.WaitGroup
@@ -113,53 +113,54 @@
 func (l *load) stream(ctx context.Context, t teamPlan, r *rand.Rand) {
 	var at time.Duration
 	for {
-		at += time.Duration(r.ExpFloat64() / (t.rate * t.load) * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / (t.rate * t.loadRatio) * float64(time.Second))
 		if at >= l.length || !clock.SleepUntil(ctx, l.start.Add(at)) {
 			return
 		}
-		s := sending{team: t.name, at: at}
-		if r.Float64() < t.booking {
+		s := operation{team: t.name, at: at}
+		if r.Float64() < t.bookingRatio {
 			s.id = uuid.Must(uuid.NewV7()).String()
 		}
-		node := l.run.scenario.spread(at, r)
-		twice := s.id != "" && r.Float64() < crossed
-		l.group.Go(func() { l.pursue(ctx, s, node, twice) })
+		node := l.run.scenario.chooseNode(at, r)
+		sendTwice := s.id != "" && r.Float64() < duplicateSendRatio
+		l.group.Go(func() { l.runOperation(ctx, s, node, sendTwice) })
 	}
 }
 
-func (l *load) pursue(ctx context.Context, s sending, node int, twice bool) {
+func (l *load) runOperation(ctx context.Context, s operation, node int, sendTwice bool) {
 	var second attempt
 	var group sync.WaitGroup
-	if twice {
+	if sendTwice {
 		from := (node + 1) % vms
-		group.Go(func() { second, _ = l.tryUp(ctx, s, from) })
+		group.Go(func() { second, _ = l.attemptAtReachableNode(ctx, s, from) })
 	}
-	for i := range tries {
+	for i := range maxAttempts {
 		var a attempt
-		a, node = l.tryUp(ctx, s, node)
+		a, node = l.attemptAtReachableNode(ctx, s, node)
 		s.attempts = append(s.attempts, a)
 		if s.id == "" || a.succeeded() || isFinal(a.reason) {
 			break
 		}
-		time.Sleep(firstPause << i)
+		time.Sleep(firstBackoff << i)
 		node = (node + 1) % vms
 	}
 	group.Wait()
-	if twice {
+	if sendTwice {
 		s.attempts = append(s.attempts, second)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sendings = append(l.sendings, s)
+	l.operations = append(l.operations, s)
 }
 
-// isFinal tells that a careful caller doesn't ask again: it is over its rate, or no answer can tell more.
+// isFinal reports whether a careful caller stops retrying: the team is over its rate, or a retry can't reveal the
+// outcome.
 func isFinal(reason string) bool { return reason == "rateExceeded" || reason == "outcomeUnknown" }
 
-// tryUp passes over nodes that take no connection, as any client with a list of addresses does.
-func (l *load) tryUp(ctx context.Context, s sending, node int) (attempt, int) {
+// attemptAtReachableNode skips nodes that refuse the connection, as a client with a list of addresses does.
+func (l *load) attemptAtReachableNode(ctx context.Context, s operation, node int) (attempt, int) {
 	for range vms {
-		a := l.try(ctx, s, node)
+		a := l.attemptAt(ctx, s, node)
 		if !a.notConnected {
 			return a, node
 		}
@@ -168,7 +169,7 @@
 	return attempt{node: node}, node
 }
 
-func (l *load) try(ctx context.Context, s sending, node int) attempt {
+func (l *load) attemptAt(ctx context.Context, s operation, node int) attempt {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	a := attempt{sent: time.Now(), node: node}
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -1,7 +1,7 @@
-// A run is one scenario on a fleet of its own: the load goes on from beginning to end, and the fault comes and goes
-// beside it. The nodes and backend servers that were replaced stay in the account.
+// A run is one scenario on its own fleet: the load lasts for the whole run, and the fault starts and ends during it.
+// The records of replaced backend servers still count.
 //
-// Example: r.stopNode(ctx, 2) is a planned stop of VM 2; r.startNode(ctx, 2) puts a new process at its addresses.
+// Example: r.stopNode(ctx, 2) is a planned stop of VM 2; r.startNode(ctx, 2) starts a new process at its addresses.
 
 package faulter
 
@@ -18,30 +18,30 @@
 )
 
 const (
-	// settling is the time in which the overloading team uses up its burst.
-	settling = 1500 * time.Millisecond
-	// filling is the time after a fleet's start in which buckets fill and owners of ids come of age: what was asked
-	// for before an owner took over could have run under another.
-	filling = 2500 * time.Millisecond
+	// burstUseTime is the time in which the overloading team uses up its burst.
+	burstUseTime = 1500 * time.Millisecond
+	// warmUpTime is the time after a fleet's start in which buckets fill and owners of idempotency ids become able to
+	// answer for them: a request older than the owner's takeover could have run under the previous owner.
+	warmUpTime = 2500 * time.Millisecond
 )
 
 type run struct {
 	scenario scenario
 	seed     uint64
 	fleet    *launcher.Fleet
-	// callers are the addresses of the VMs' nodes, which stay the same over restarts.
+	// callers are the addresses at which the VMs' nodes accept calls; they stay the same over restarts.
 	callers []string
 	watcher *watcher
 	load    *load
 	began   time.Time
 
 	mu sync.Mutex
-	// down are the VMs whose node doesn't run, cut those that nothing reaches.
-	down    map[int]bool
-	cut     map[identifier.FailureDomain]bool
-	retired []*responder.Server
-	figures Figures
-	failure error
+	// down holds the VMs whose node doesn't run, partitioned the failure domains that are cut off from the others.
+	down             map[int]bool
+	partitioned      map[identifier.FailureDomain]bool
+	replacedBackends []*responder.Server
+	figures          Figures
+	failure          error
 }
 
 func newRun(ctx context.Context, s scenario, seed uint64) (*run, error) {
@@ -50,12 +50,12 @@
 		return nil, fmt.Errorf("launch the fleet: %w", err)
 	}
 	r := &run{
-		scenario: s,
-		seed:     seed,
-		fleet:    f,
-		down:     make(map[int]bool),
-		cut:      make(map[identifier.FailureDomain]bool),
-		figures:  Figures{Scenario: s.name, Seed: seed},
+		scenario:    s,
+		seed:        seed,
+		fleet:       f,
+		down:        make(map[int]bool),
+		partitioned: make(map[identifier.FailureDomain]bool),
+		figures:     Figures{Scenario: s.name, Seed: seed},
 	}
 	for _, m := range f.Members {
 		r.callers = append(r.callers, m.CallerURL())
@@ -65,9 +65,9 @@
 	return r, nil
 }
 
-// do runs the scenario and returns its figures.
-func (r *run) do(ctx context.Context) (Figures, error) {
-	clock.Sleep(ctx, filling)
+// execute runs the scenario and returns its figures.
+func (r *run) execute(ctx context.Context) (Figures, error) {
+	clock.Sleep(ctx, warmUpTime)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.watcher.watch(ctx)
@@ -76,8 +76,8 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if clock.Sleep(ctx, settling) && r.scenario.fault != nil {
-			r.fail(r.scenario.fault(ctx, r))
+		if clock.Sleep(ctx, burstUseTime) && r.scenario.fault != nil {
+			r.recordFailure(r.scenario.fault(ctx, r))
 		}
 	}()
 	r.load.send(ctx)
@@ -86,33 +86,33 @@
 	if r.failure != nil {
 		return Figures{}, r.failure
 	}
-	r.judge(before, after)
+	r.computeFigures(before, after)
 	return r.figures, ctx.Err()
 }
 
-func (r *run) fail(err error) {
+func (r *run) recordFailure(err error) {
 	if err != nil && r.failure == nil {
 		r.failure = err
 	}
 }
 
-func (r *run) judge(before, after meters) {
-	a := account{
-		teams:    r.scenario.teams,
-		start:    r.load.start,
-		length:   r.load.length,
-		sendings: r.load.sendings,
-		starts:   r.starts(),
+func (r *run) computeFigures(before, after meters) {
+	a := audit{
+		teams:      r.scenario.teams,
+		start:      r.load.start,
+		length:     r.load.length,
+		operations: r.load.operations,
+		starts:     r.starts(),
 	}
 	f := &r.figures
-	f.Calls = len(a.sendings)
+	f.Calls = len(a.operations)
 	f.RateExceeded = a.rateExceeded()
 	f.DoubleRuns = a.doubleRuns()
 	f.FalseNotRun = a.falseNotRun()
 	f.Reverted = r.watcher.reversals()
 	f.RateServedRatio = optional(a.rateServed())
 	f.BookingsServedRatio = optional(a.bookingsServed())
-	wrongful, reasons, ok := a.wrongful()
+	wrongful, reasons, ok := a.wrongfulRefusals()
 	f.WrongfulRefusalRatio = optional(wrongful, ok)
 	f.Reasons = reasons
 	seconds := after.at.Sub(before.at).Seconds()
@@ -127,8 +127,8 @@
 	return &v
 }
 
-// meters are counts at one moment. The bytes of nodes that were replaced are lost with them, so the figure is a lower
-// bound where nodes are restarted.
+// meters are counters read at one moment. The byte counts of replaced nodes are lost, so the derived figure is a lower
+// bound in scenarios that restart nodes.
 type meters struct {
 	at      time.Time
 	appends uint64
@@ -147,12 +147,13 @@
 	return m
 }
 
-// starts are the records of all backend servers that there were, each call once in order of time within a server.
+// starts returns the starts that all backend servers recorded, replaced ones included, in order of time within a
+// server.
 func (r *run) starts() []responder.RunStart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []responder.RunStart
-	for _, b := range r.retired {
+	for _, b := range r.replacedBackends {
 		list = append(list, b.Starts()...)
 	}
 	for _, m := range r.fleet.Members {
@@ -171,13 +172,13 @@
 	return n.ID(), n.Dump().Status.Version, true
 }
 
-// allHave tells whether the version is in force at every node that runs and isn't cut off.
-func (r *run) allHave(v identifier.Version) bool {
+// inForceEverywhere reports whether the version is in force at every node that runs and isn't partitioned.
+func (r *run) inForceEverywhere(v identifier.Version) bool {
 	for i, m := range r.fleet.Members {
 		r.mu.Lock()
-		cut := r.cut[m.Domain]
+		partitioned := r.partitioned[m.Domain]
 		r.mu.Unlock()
-		if cut {
+		if partitioned {
 			continue
 		}
 		if _, have, ok := r.versionAt(i); ok && have < v {
@@ -193,7 +194,7 @@
 	r.down[i] = down
 }
 
-// stopNode is a planned stop; it returns how long that took.
+// stopNode stops the node as planned and returns the time that the stop took.
 func (r *run) stopNode(ctx context.Context, i int) (time.Duration, error) {
 	began := time.Now()
 	r.setDown(i, true)
@@ -217,23 +218,23 @@
 func (r *run) startBackend(ctx context.Context, i int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retired = append(r.retired, r.fleet.Members[i].Backend)
+	r.replacedBackends = append(r.replacedBackends, r.fleet.Members[i].Backend)
 	return r.fleet.StartBackend(ctx, r.fleet.Members[i])
 }
 
-func (r *run) cutOff(d identifier.FailureDomain, cut bool) {
+func (r *run) setPartitioned(d identifier.FailureDomain, partitioned bool) {
 	r.mu.Lock()
-	r.cut[d] = cut
+	r.partitioned[d] = partitioned
 	r.mu.Unlock()
-	if cut {
+	if partitioned {
 		r.fleet.Partition(d)
 		return
 	}
 	r.fleet.Heal(d)
 }
 
-// busiest returns the VM whose backend server got most calls so far.
-func (r *run) busiest() int {
+// busiestMember returns the VM whose backend server received the most calls so far.
+func (r *run) busiestMember() int {
 	best, most := 0, int64(-1)
 	for i, m := range r.fleet.Members {
 		if n := m.Backend.Arrived(); n > most {
@@ -243,8 +244,8 @@
 	return best
 }
 
-// mostClaims returns the VM whose node has authority for most claims.
-func (r *run) mostClaims() int {
+// memberWithMostClaims returns the VM whose node has authority for the most claims.
+func (r *run) memberWithMostClaims() int {
 	best, most := 0, -1
 	for i, m := range r.fleet.Members {
 		held := 0
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -145,11 +145,11 @@
 	scaleServiceTime(servers, sc.slowFactor)
 	if sc.slowEndpointFactor > 1 {
 		scaleServiceTime(servers[:1], sc.slowEndpointFactor)
-		servers[0].Lie(0)
+		servers[0].SetReportedLoad(0)
 	}
 	clock.SleepUntil(ctx, start.Add(t.before+t.trigger))
 	scaleServiceTime(servers, 1)
-	servers[0].Lie(-1)
+	servers[0].SetReportedLoad(-1)
 }
 
 func scaleServiceTime(list []*responder.Server, factor float64) {
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -1,7 +1,7 @@
 package soaker
 
-// The judge knows only what callers sent and got, what backend servers ran, and what operators had acknowledged. Each
-// promise is one check with a name; none of them asks a node anything.
+// The checks use only what callers sent and received, what backend servers ran, and which changes were acknowledged to
+// operators. Each promise is one named check; none of them queries a node.
 //
 // Example: an order that two backend servers ran gives Breach{Check: "ranTwice", ...}.
 
@@ -21,71 +21,72 @@
 	Key        string
 	Idempotent bool
 	At         time.Time
-	// Answered is when the answer came, or the caller gave up.
+	// Answered is when the answer arrived, or the caller timed out.
 	Answered time.Time
 	Answer   standin.Answer
 }
 
-// Breach is a promise that was broken.
+// Breach is one case of a broken promise.
 type Breach struct {
 	Check  string
 	Detail string
 }
 
-// Terms are the figures that the promises name.
+// Terms are the limits that the promises state.
 type Terms struct {
-	// Revoke is how long a withdrawn key may live, Drain how long a leaving endpoint may get requests.
+	// Revoke is how long a withdrawn key may still work, Drain how long a leaving endpoint may still receive requests.
 	Revoke, Drain time.Duration
-	// Window, Excess and Slack bound what a team may exceed its rate by.
+	// Window, Excess and Slack bound the excess of a team over its rate: in any window it may run rate×window+burst
+	// calls, raised by the ratio Excess and then by Slack calls.
 	Window time.Duration
 	Excess float64
 	Slack  float64
-	// RecoveredPart of the requests of the last seconds, when all faults are over, must be served.
+	// RecoveredPart is the ratio of requests that must be served once all faults are over and recoveryGrace has passed.
 	RecoveredPart float64
 }
 
-// Record gathers what happened; it is safe for concurrent use.
+// Record collects the events of a soak; it is safe for concurrent use.
 type Record struct {
-	mu        sync.Mutex
-	sent      map[string]Sent
-	runs      []standin.Run
-	withdrawn map[string]time.Time
-	issued    map[string]string
-	rates     map[string]rate
-	left      map[string][]span
-	exits     []string
-	// calm is from when on all faults are over.
-	calm time.Time
+	mu         sync.Mutex
+	sent       map[string]Sent
+	runs       []standin.Run
+	withdrawn  map[string]time.Time
+	issued     map[string]string
+	rates      map[string]rate
+	leaveSpans map[string][]leaveSpan
+	exits      []string
+	// faultsEnded is when the last fault ended; zero while faults go on.
+	faultsEnded time.Time
 }
 
 type rate struct{ perSecond, burst float64 }
 
-// span is a time in which an endpoint was acknowledged to be leaving.
-type span struct{ from, to time.Time }
+// leaveSpan is an interval in which an endpoint was acknowledged to be leaving.
+type leaveSpan struct{ from, to time.Time }
 
 // NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{
 		sent: map[string]Sent{}, withdrawn: map[string]time.Time{}, issued: map[string]string{}, rates: map[string]rate{},
-		left: map[string][]span{},
+		leaveSpans: map[string][]leaveSpan{},
 	}
 }
 
-// Sent notes a request that has ended for its caller.
+// Sent records a request that was answered or timed out.
 func (r *Record) Sent(s Sent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[s.ID] = s
 }
 
-// Ran notes a run at a backend server.
+// Ran records a run at a backend server.
 func (r *Record) Ran(run standin.Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 }
 
-// Issued notes that a key belongs to a team with a rate.
+// Issued records that a key belongs to a team with a rate.
 func (r *Record) Issued(key, team string, perSecond, burst float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,47 +94,47 @@
 	r.rates[team] = rate{perSecond: perSecond, burst: burst}
 }
 
-// Withdrawn notes that the store has acknowledged the withdrawal of a key.
+// Withdrawn records that the store has acknowledged the withdrawal of a key.
 func (r *Record) Withdrawn(key string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.withdrawn[key] = at
 }
 
-// Leaving notes that a node acknowledged an endpoint's leaving, and Returned that the endpoint will say it is back.
+// Leaving records that a node acknowledged an endpoint's leave.
 func (r *Record) Leaving(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	spans := r.left[instance]
+	spans := r.leaveSpans[instance]
 	if n := len(spans); n == 0 || !spans[n-1].to.IsZero() {
-		r.left[instance] = append(spans, span{from: at})
+		r.leaveSpans[instance] = append(spans, leaveSpan{from: at})
 	}
 }
 
-// Returned notes that an endpoint is about to say that it is ready again.
+// Returned records that an endpoint is about to announce itself again.
 func (r *Record) Returned(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if spans := r.left[instance]; len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
+	if spans := r.leaveSpans[instance]; len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
 		spans[len(spans)-1].to = at
 	}
 }
 
-// Exited notes that a process ended by itself.
+// Exited records that a process exited without being told to.
 func (r *Record) Exited(detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exits = append(r.exits, detail)
 }
 
-// Calm notes that all faults are over.
-func (r *Record) Calm(at time.Time) {
+// FaultsEnded records that all faults are over.
+func (r *Record) FaultsEnded(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calm = at
+	r.faultsEnded = at
 }
 
-// Counts returns how many requests were sent, answered in whole, and run.
+// Counts returns how many requests were sent, answered with success, and run.
 func (r *Record) Counts() (sent, served, runs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,22 +146,22 @@
 	return len(r.sent), served, len(r.runs)
 }
 
-// Judge returns all breaches, a few of each kind.
+// Judge returns the breaches found, at most maxBreachesPerCheck of each check.
 func (r *Record) Judge(t Terms) []Breach {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []Breach
 	for _, check := range []func(Terms) []Breach{
-		r.wrongAnswers, r.ranTwice, r.falseNotRun, r.strangers, r.keys, r.rateExceeded, r.afterLeaving, r.notRecovered, r.ended,
+		r.wrongAnswers, r.ranTwice, r.falseNotRun, r.unknownRuns, r.keyBreaches, r.rateExceeded, r.afterLeaving, r.notRecovered, r.unexpectedExits,
 	} {
 		found := check(t)
-		all = append(all, found[:min(len(found), mostOfAKind)]...)
+		all = append(all, found[:min(len(found), maxBreachesPerCheck)]...)
 	}
 	return all
 }
 
-// mostOfAKind bounds the breaches of one check that are told.
-const mostOfAKind = 5
+// maxBreachesPerCheck bounds the breaches that are reported of one check.
+const maxBreachesPerCheck = 5
 
 func (r *Record) wrongAnswers(Terms) (found []Breach) {
 	for _, s := range r.sent {
@@ -198,8 +199,8 @@
 	return found
 }
 
-// strangers are runs that nobody sent, or for another team than the key's.
-func (r *Record) strangers(Terms) (found []Breach) {
+// unknownRuns finds runs without a request of a caller, and runs for a team other than the key's.
+func (r *Record) unknownRuns(Terms) (found []Breach) {
 	for _, run := range r.runs {
 		s, ok := r.sent[run.Request]
 		switch {
@@ -212,7 +213,7 @@
 	return found
 }
 
-func (r *Record) keys(t Terms) (found []Breach) {
+func (r *Record) keyBreaches(t Terms) (found []Breach) {
 	for _, run := range r.runs {
 		if run.Key != "" {
 			found = append(found, Breach{"keySeen", fmt.Sprintf("%s reached %s with a key", run.Request, run.Instance)})
@@ -221,14 +222,14 @@
 		if !ok {
 			continue
 		}
-		if at, gone := r.withdrawn[s.Key]; gone && s.At.Sub(at) > t.Revoke {
+		if at, isWithdrawn := r.withdrawn[s.Key]; isWithdrawn && s.At.Sub(at) > t.Revoke {
 			found = append(found, Breach{"withdrawnKey", fmt.Sprintf("%s was sent %s after its key was withdrawn", run.Request, s.At.Sub(at))})
 		}
 	}
 	return found
 }
 
-// rateExceeded counts runs by the time at which they began, in every window that begins with one.
+// rateExceeded counts the runs by their start time, in every window that ends with a run.
 func (r *Record) rateExceeded(t Terms) (found []Breach) {
 	times := map[string][]time.Time{}
 	for _, run := range r.runs {
@@ -264,40 +265,40 @@
 		if !ok {
 			continue
 		}
-		for _, gone := range r.left[run.Instance] {
-			over := !gone.to.IsZero() && run.At.After(gone.to)
-			if !over && s.At.After(gone.from.Add(t.Drain)) {
-				found = append(found, Breach{"afterLeaving", fmt.Sprintf("%s reached %s, %s after it left", s.ID, run.Instance, run.At.Sub(gone.from))})
+		for _, leave := range r.leaveSpans[run.Instance] {
+			returned := !leave.to.IsZero() && run.At.After(leave.to)
+			if !returned && s.At.After(leave.from.Add(t.Drain)) {
+				found = append(found, Breach{"afterLeaving", fmt.Sprintf("%s reached %s, %s after it left", s.ID, run.Instance, run.At.Sub(leave.from))})
 			}
 		}
 	}
 	return found
 }
 
-// calmDown is how long after the last fault requests may still fail.
-const calmDown = 5 * time.Second
+// recoveryGrace is how long after the last fault requests may still fail.
+const recoveryGrace = 5 * time.Second
 
 func (r *Record) notRecovered(t Terms) []Breach {
-	asked, served := 0, 0
+	total, served := 0, 0
 	for _, s := range r.sent {
-		if r.calm.IsZero() || s.At.Before(r.calm.Add(calmDown)) || r.rates[s.Team].perSecond > 0 || r.issued[s.Key] == "" {
+		if r.faultsEnded.IsZero() || s.At.Before(r.faultsEnded.Add(recoveryGrace)) || r.rates[s.Team].perSecond > 0 || r.issued[s.Key] == "" {
 			continue
 		}
-		if _, gone := r.withdrawn[s.Key]; gone {
+		if _, isWithdrawn := r.withdrawn[s.Key]; isWithdrawn {
 			continue
 		}
-		asked++
+		total++
 		if s.Answer.Status/100 == 2 {
 			served++
 		}
 	}
-	if asked > 0 && float64(served) >= t.RecoveredPart*float64(asked) {
+	if total > 0 && float64(served) >= t.RecoveredPart*float64(total) {
 		return nil
 	}
-	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, asked)}}
+	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, total)}}
 }
 
-func (r *Record) ended(Terms) (found []Breach) {
+func (r *Record) unexpectedExits(Terms) (found []Breach) {
 	for _, e := range r.exits {
 		found = append(found, Breach{"ended", e})
 	}
--- a/internal/soaker/process_test.go
+++ b/internal/soaker/process_test.go
@@ -6,13 +6,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two nodes of a soak are given the same port: the one that is started later ends at once, and the soak blames the product.
-func TestAddressesAreHandedOutOnce(t *testing.T) {
-	given := map[string]bool{}
+// If two nodes of a soak got the same port, the one started later would exit at once, and the soak would report a fault
+// of the program under test.
+func TestFreeAddressNeverRepeats(t *testing.T) {
+	allocated := map[string]bool{}
 	for range 600 {
 		address, err := freeAddress()
 		assert.NilError(t, err)
-		assert.Assert(t, !given[address], address)
-		given[address] = true
+		assert.Assert(t, !allocated[address], address)
+		allocated[address] = true
 	}
 }
--- a/internal/soaker/proxy.go
+++ b/internal/soaker/proxy.go
@@ -1,10 +1,9 @@
 package soaker
 
-// Faults of the network come from a proxy on the loopback interface, so that the programs under test are the real ones.
-// A connection that is silenced stays open and carries nothing, as behind a partition; only a timeout shows it.
+// A proxy on the loopback interface injects network faults, so that the programs under test run unmodified. A silenced
+// connection stays open and carries no data, as during a network partition; only a timeout detects it.
 //
-// Example: p.Set(Silenced) stops what flows over all connections, p.Set(Passing) lets new ones through; silenced ones
-// stay silent.
+// Example: p.Set(Silenced) silences all connections, p.Set(Passing) lets new ones through; silenced ones stay silent.
 
 import (
 	"context"
@@ -14,7 +13,7 @@
 	"time"
 )
 
-// Treatment is what a proxy does to connections.
+// Treatment is what a proxy does to the data of its connections.
 type Treatment int32
 
 // The treatments of a connection.
@@ -22,31 +21,31 @@
 	Passing Treatment = iota
 	// Delayed passes all bytes 200 ms late.
 	Delayed
-	// CutThere drops what goes to the far end, CutBack what comes back.
-	CutThere
-	CutBack
-	// Silenced drops both ways, also for connections that were open and after the fault is over.
+	// DroppingToTarget drops data sent to the target, DroppingFromTarget data sent by it.
+	DroppingToTarget
+	DroppingFromTarget
+	// Silenced drops data in both directions; connections it affects stay silenced after the fault is over.
 	Silenced
 	// Resetting resets all connections, open ones and new ones.
 	Resetting
 )
 
-// delayedBy is how late bytes pass while they are delayed; it is well above a round trip and below most timeouts.
-const delayedBy = 200 * time.Millisecond
+// addedDelay is the delay that Delayed adds; it is well above a round-trip time and below most timeouts.
+const addedDelay = 200 * time.Millisecond
 
-// Proxy passes TCP connections on to one address.
+// Proxy forwards TCP connections to one address.
 type Proxy struct {
 	listener  net.Listener
 	target    string
 	treatment atomic.Int32
 	mu        sync.Mutex
-	open      map[*pair]bool
+	open      map[*connectionPair]bool
 }
 
-type pair struct {
+type connectionPair struct {
 	near, far net.Conn
-	// dead connections stay silent for good.
-	dead atomic.Bool
+	// silenced connections carry no data for the rest of their life.
+	silenced atomic.Bool
 }
 
 // NewProxy listens on a free port of the loopback interface.
@@ -55,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, target: target, open: map[*pair]bool{}}
+	p := &Proxy{listener: l, target: target, open: map[*connectionPair]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -73,10 +72,10 @@
 	for c := range p.open {
 		switch t {
 		case Silenced:
-			c.dead.Store(true)
+			c.silenced.Store(true)
 		case Resetting:
 			c.reset()
-		case Passing, Delayed, CutThere, CutBack:
+		case Passing, Delayed, DroppingToTarget, DroppingFromTarget:
 		}
 	}
 }
@@ -98,14 +97,14 @@
 }
 
 func (p *Proxy) serve(near net.Conn) {
-	c := &pair{near: near}
+	c := &connectionPair{near: near}
 	switch Treatment(p.treatment.Load()) {
 	case Resetting:
 		reset(near)
 		return
 	case Silenced:
-		c.dead.Store(true)
-	case Passing, Delayed, CutThere, CutBack:
+		c.silenced.Store(true)
+	case Passing, Delayed, DroppingToTarget, DroppingFromTarget:
 	}
 	var d net.Dialer
 	far, err := d.DialContext(context.Background(), "tcp", p.target)
@@ -118,8 +117,8 @@
 	p.open[c] = true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go func() { p.copy(c, c.far, c.near, CutThere); done <- struct{}{} }()
-	go func() { p.copy(c, c.near, c.far, CutBack); done <- struct{}{} }()
+	go func() { p.copy(c, c.far, c.near, DroppingToTarget); done <- struct{}{} }()
+	go func() { p.copy(c, c.near, c.far, DroppingFromTarget); done <- struct{}{} }()
 	<-done
 	c.close()
 	<-done
@@ -128,22 +127,22 @@
 	p.mu.Unlock()
 }
 
-const copyBuffer = 16 << 10
+const copyBufferBytes = 16 << 10
 
-// copy passes bytes on until an end closes; cut names the treatment that drops this direction.
-func (p *Proxy) copy(c *pair, to, from net.Conn, cut Treatment) {
-	buffer := make([]byte, copyBuffer)
+// copy forwards bytes until one side closes; dropping is the treatment that drops data in this direction.
+func (p *Proxy) copy(c *connectionPair, to, from net.Conn, dropping Treatment) {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		t := Treatment(p.treatment.Load())
-		if t == cut {
-			// What was lost leaves a hole in the stream, so nothing that comes later may pass.
-			c.dead.Store(true)
+		if t == dropping {
+			// The dropped bytes leave a gap in the stream, so no later bytes may be forwarded.
+			c.silenced.Store(true)
 		}
 		if t == Delayed {
-			time.Sleep(delayedBy)
+			time.Sleep(addedDelay)
 		}
-		if n > 0 && !c.dead.Load() {
+		if n > 0 && !c.silenced.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -154,17 +153,17 @@
 	}
 }
 
-func (c *pair) close() {
+func (c *connectionPair) close() {
 	_ = c.near.Close()
 	_ = c.far.Close()
 }
 
-func (c *pair) reset() {
+func (c *connectionPair) reset() {
 	reset(c.near)
 	reset(c.far)
 }
 
-// reset closes a connection so that its far end sees a reset.
+// reset closes a connection with a TCP reset instead of a FIN.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -1,6 +1,6 @@
 package soaker
 
-// Run puts the system together, lets callers and faults loose on it, calms down, and judges.
+// Starts the system under test, runs callers and faults against it, ends the faults, and checks the recorded requests.
 
 import (
 	"context"
@@ -16,18 +16,18 @@
 )
 
 const (
-	// warmUp is the time from the start of the processes to the first request, calmEnd how long callers go on after the
-	// last fault.
-	warmUp  = 3 * time.Second
-	calmEnd = 10 * time.Second
+	// warmUp is the time from the start of the processes to the first request, recoveryTime how long callers continue
+	// after the last fault.
+	warmUp       = 3 * time.Second
+	recoveryTime = 10 * time.Second
 )
 
-// Promises are the terms by which a soak is judged; nodes are told the same figures.
+// Promises are the limits by which a soak is checked; the nodes are configured with the same values.
 var Promises = Terms{
 	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, RecoveredPart: 0.95,
 }
 
-// Run plays one soak and returns what was seen; an error means that it could not be played.
+// Run runs one soak and returns its report; an error means that the soak could not be completed.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if err := o.check(); err != nil {
 		return Report{}, err
@@ -39,7 +39,7 @@
 	f.storeURL = strings.TrimPrefix(server.URL, "http://")
 	f.record.Issued(steadyKey, "steady", 0, 0)
 	f.record.Issued(greedyKey, "greedy", greedyRate, greedyBurst)
-	f.teams.rotate(f.store, f.record)
+	f.teams.rotateKey(f.store, f.record)
 	announcing, stopAnnouncing := context.WithCancel(ctx)
 	defer stopAnnouncing()
 	defer f.close()
@@ -51,10 +51,10 @@
 	time.Sleep(warmUp)
 	report := Report{Seed: o.Seed}
 	stop := f.startCallers(ctx)
-	err := f.allTrouble(ctx, &report)
-	f.calm()
+	err := f.runAllFaultSequences(ctx, &report)
+	f.endFaults()
 	if err == nil {
-		wait(ctx, calmEnd)
+		wait(ctx, recoveryTime)
 	}
 	stop()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return report, ctx.Err()
 }
 
-// startCallers returns what stops the callers and waits for their last answers.
+// startCallers starts all callers; stop ends them and waits for their last answers.
 func (f *fleet) startCallers(ctx context.Context) (stop func()) {
 	calling, cancel := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -75,7 +75,7 @@
 			random := rand.New(rand.NewPCG(f.options.Seed, uint64(1000+i*callersPerNode+caller)))
 			go func() {
 				defer callers.Done()
-				f.call(calling, n, caller, random)
+				f.runCaller(calling, n, caller, random)
 			}()
 		}
 	}
@@ -85,40 +85,40 @@
 	}
 }
 
-// allTrouble runs all rows of faults side by side.
-func (f *fleet) allTrouble(ctx context.Context, report *Report) error {
+// runAllFaultSequences runs all fault sequences concurrently.
+func (f *fleet) runAllFaultSequences(ctx context.Context, report *Report) error {
 	limited, cancel := context.WithTimeout(ctx, f.options.Length)
 	defer cancel()
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	told := func(line string) {
+	recordFault := func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		report.Faults = append(report.Faults, line)
 	}
-	failed := make([]error, rows)
-	for row := range rows {
+	failed := make([]error, faultSequences)
+	for sequence := range faultSequences {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			failed[row] = f.trouble(limited, uint64(row), told)
+			failed[sequence] = f.runFaultSequence(limited, uint64(sequence), recordFault)
 		}()
 	}
 	all.Wait()
 	return errors.Join(failed...)
 }
 
-// calm ends every fault that overlapping rows may have left behind.
-func (f *fleet) calm() {
+// endFaults ends every fault that overlapping sequences may have left in place.
+func (f *fleet) endFaults() {
 	f.store.SetMode(standin.Healthy)
 	for _, n := range f.nodes {
 		n.signal(syscall.SIGCONT)
-		f.returned(n)
+		f.returnEndpoint(n)
 		for _, p := range []*Proxy{n.store, n.endpoint, n.callers} {
 			p.Set(Passing)
 		}
 	}
-	f.record.Calm(time.Now())
+	f.record.FaultsEnded(time.Now())
 }
 
 func wait(ctx context.Context, d time.Duration) {
