--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -94,8 +94,8 @@
 	leaving     bool
 	outstanding clock.Duration
 	lastTick    clock.Time
-	attempt     uint64
-	number      uint64
+	lastAttempt uint64
+	lastRequest uint64
 }
 
 // New returns a Claimer that has read no record and knows no members.
@@ -234,14 +234,14 @@
 // appendRecord assigns the record an attempt number and stores when it was sent.
 func (c *Claimer) appendRecord(l *claim, r Claim, now clock.Time, effects []Effect) []Effect {
 	const attemptsKept = 16
-	c.attempt++
+	c.lastAttempt++
 	r.Name = l.name
 	r.By = c.options.Self
-	r.Attempt = c.attempt
+	r.Attempt = c.lastAttempt
 	if len(l.attempts) == attemptsKept {
 		l.attempts = slices.Delete(l.attempts, 0, 1)
 	}
-	l.attempts = append(l.attempts, attempt{number: c.attempt, sentAt: now})
+	l.attempts = append(l.attempts, attempt{number: c.lastAttempt, sentAt: now})
 	l.nextAppendAt = now.Add(c.options.AppendRetry)
 	return append(effects, Append{Record: r})
 }
--- a/internal/claimer/holder.go
+++ b/internal/claimer/holder.go
@@ -71,8 +71,8 @@
 	if a.witness == "" || a.number != 0 && now < a.sentAt.Add(c.options.PromiseTerm/promisesPerTerm) {
 		return effects
 	}
-	c.number++
-	a.number = c.number
+	c.lastRequest++
+	a.number = c.lastRequest
 	a.sentAt = now
 	r := PromiseRequest{Name: l.name, Epoch: a.epoch, Number: a.number, Leaving: leaving}
 	return append(effects, Send{To: a.witness, Message: r})
--- a/internal/deduplicator/handover.go
+++ b/internal/deduplicator/handover.go
@@ -32,7 +32,7 @@
 
 // Export freezes a claim and returns its records in parts; repeated calls return the same records.
 func (o *Owner) Export(h Hold, now clock.Time) []Handover {
-	s := o.slotOf(h)
+	s := o.heldClaimOf(h)
 	s.frozen = true
 	records := make([]*record, 0, len(s.records))
 	for _, r := range s.records {
@@ -95,7 +95,7 @@
 
 // adoptStaged adopts the records of a complete handover from the epoch just before; any other handover lacks what was
 // decided in between. It reports whether records were adopted.
-func (o *Owner) adoptStaged(s *slot, beginEpoch identifier.Epoch) bool {
+func (o *Owner) adoptStaged(s *heldClaim, beginEpoch identifier.Epoch) bool {
 	g := o.staged[s.claim]
 	if g == nil || g.epoch+1 > beginEpoch {
 		return false
@@ -118,10 +118,10 @@
 }
 
 // adoptRecord adds a record even beyond MaxRecords, since without it the id could run again.
-func (o *Owner) adoptRecord(s *slot, h HandoverRecord, arrived clock.Time) {
+func (o *Owner) adoptRecord(s *heldClaim, h HandoverRecord, arrived clock.Time) {
 	r := &record{
-		key:  recordKey{team: h.Team, id: h.ID},
-		slot: s, fingerprint: h.Fingerprint, attempt: h.Attempt, state: h.State,
+		key:       recordKey{team: h.Team, id: h.ID},
+		heldClaim: s, fingerprint: h.Fingerprint, attempt: h.Attempt, state: h.State,
 		beganAt: arrived.Add(-h.Age), expires: h.Expires, outcome: h.Outcome,
 	}
 	o.addRecord(r)
--- a/internal/deduplicator/messages.go
+++ b/internal/deduplicator/messages.go
@@ -84,7 +84,7 @@
 	Epoch       identifier.Epoch
 	Part, Parts int
 	Records     []HandoverRecord
-	// UnknownUpTo, OpaqueUntil, LatestWall and RefusedAt are the sender's values of the fields of its slot.
+	// UnknownUpTo, OpaqueUntil, LatestWall and RefusedAt are the sender's values of the fields of its heldClaim.
 	UnknownUpTo clock.Wall
 	OpaqueUntil clock.Wall
 	LatestWall  clock.Wall
--- a/internal/deduplicator/owner.go
+++ b/internal/deduplicator/owner.go
@@ -56,7 +56,7 @@
 
 type record struct {
 	key         recordKey
-	slot        *slot
+	heldClaim   *heldClaim
 	fingerprint Fingerprint
 	attempt     Attempt
 	state       RecordState
@@ -65,8 +65,8 @@
 	outcome     *Outcome
 }
 
-// slot is the owner's state of one claim in one unbroken hold.
-type slot struct {
+// heldClaim is the owner's state of one claim in one unbroken hold.
+type heldClaim struct {
 	claim   Claim
 	epoch   identifier.Epoch
 	records map[recordKey]*record
@@ -84,12 +84,12 @@
 
 // Owner is the state of the holder's side for all claims; create it with NewOwner.
 type Owner struct {
-	options OwnerOptions
-	slots   map[Claim]*slot
-	staged  map[Claim]*staged
-	expiry  expiryHeap
-	bodies  bodyQueue
-	records int
+	options    OwnerOptions
+	heldClaims map[Claim]*heldClaim
+	staged     map[Claim]*staged
+	expiry     expiryHeap
+	bodies     bodyQueue
+	records    int
 }
 
 // NewOwner returns an Owner without records.
@@ -101,7 +101,7 @@
 	o.VerdictTimeout = orDefault(o.VerdictTimeout, DefaultVerdictTimeout)
 	o.MaxRecords = orDefault(o.MaxRecords, DefaultMaxRecords)
 	o.MaxBodyBytes = orDefault(o.MaxBodyBytes, DefaultMaxBodyBytes)
-	return &Owner{options: o, slots: map[Claim]*slot{}, staged: map[Claim]*staged{}}
+	return &Owner{options: o, heldClaims: map[Claim]*heldClaim{}, staged: map[Claim]*staged{}}
 }
 
 func orDefault[T int | clock.Duration](v, d T) T {
@@ -111,20 +111,20 @@
 	return v
 }
 
-// slotOf returns the state for a hold. It starts with empty state if the hold was interrupted, since another node may
-// have allowed ids in between. Epochs of one unbroken hold share the state; otherwise ids that this owner allowed in
+// heldClaimOf returns the state for a hold. It starts with empty state if the hold was interrupted, since another
+// node may have allowed ids in between. Epochs of one unbroken hold share the state; otherwise ids that this owner allowed in
 // the previous epoch would run again.
-func (o *Owner) slotOf(h Hold) *slot {
-	s := o.slots[h.Claim]
+func (o *Owner) heldClaimOf(h Hold) *heldClaim {
+	s := o.heldClaims[h.Claim]
 	if s != nil && s.epoch >= h.beginEpoch() && s.epoch <= h.Epoch {
 		s.epoch = h.Epoch
 		return s
 	}
 	if s != nil {
-		o.dropSlot(s)
+		o.dropHeldClaim(s)
 	}
-	s = &slot{claim: h.Claim, epoch: h.Epoch, records: map[recordKey]*record{}}
-	o.slots[h.Claim] = s
+	s = &heldClaim{claim: h.Claim, epoch: h.Epoch, records: map[recordKey]*record{}}
+	o.heldClaims[h.Claim] = s
 	if o.adoptStaged(s, h.beginEpoch()) {
 		return s
 	}
@@ -137,24 +137,24 @@
 
 // Release drops the state of a claim that is no longer held.
 func (o *Owner) Release(c Claim) {
-	if s := o.slots[c]; s != nil {
-		o.dropSlot(s)
+	if s := o.heldClaims[c]; s != nil {
+		o.dropHeldClaim(s)
 	}
 }
 
-func (o *Owner) dropSlot(s *slot) {
+func (o *Owner) dropHeldClaim(s *heldClaim) {
 	for k, r := range s.records {
 		o.records--
 		o.dropBody(r)
-		r.slot = nil
+		r.heldClaim = nil
 		delete(s.records, k)
 	}
-	delete(o.slots, s.claim)
+	delete(o.heldClaims, s.claim)
 }
 
 // Begin decides on an attempt to run an id. asked is when its entry first asked; h must be held at this time.
 func (o *Owner) Begin(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, asked clock.Wall, now clock.Time, wall clock.Wall) Judgement {
-	s := o.slotOf(h)
+	s := o.heldClaimOf(h)
 	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		return Judgement{Verdict: Moving}
@@ -170,7 +170,7 @@
 	if j := o.judgeCapacity(s, id, asked, wall); j.Verdict != Run {
 		return j
 	}
-	r := &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now}
+	r := &record{key: key, heldClaim: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now}
 	r.expires = o.expiresAt(id, s.latestWall)
 	o.addRecord(r)
 	return Judgement{Verdict: Run}
@@ -179,7 +179,7 @@
 // judgeCapacity refuses new ids as not run once MaxRecords is reached. An attempt whose entry asked before such a
 // refusal may be a delayed one of the refused id; if it were allowed later, when there is room, the refusal would
 // become untrue. An opaque id may have run before the window, so its refusal doesn't state whether it has run.
-func (o *Owner) judgeCapacity(s *slot, id ID, asked, wall clock.Wall) Judgement {
+func (o *Owner) judgeCapacity(s *heldClaim, id ID, asked, wall clock.Wall) Judgement {
 	if o.records >= o.options.MaxRecords {
 		s.refusedAt = max(s.refusedAt, wall)
 		return Judgement{Verdict: Full, NotRun: id.Timed}
@@ -251,7 +251,7 @@
 }
 
 // judgeNew returns Run for an id without a record if it can be allowed, otherwise the reason against it.
-func (o *Owner) judgeNew(s *slot, id ID, wall clock.Wall) Verdict {
+func (o *Owner) judgeNew(s *heldClaim, id ID, wall clock.Wall) Verdict {
 	if !id.Timed {
 		if s.latestWall <= s.opaqueUntil {
 			return Unknown
@@ -273,7 +273,7 @@
 // Finish records how an attempt ended; a holder without a record of the id creates one. It reports whether the report
 // can be acknowledged.
 func (o *Owner) Finish(h Hold, team identifier.Team, id ID, f Fingerprint, a Attempt, outcome Outcome, now clock.Time, wall clock.Wall) bool {
-	s := o.slotOf(h)
+	s := o.heldClaimOf(h)
 	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		// The records are being handed over; the next holder gets the report when it is repeated.
@@ -287,7 +287,7 @@
 		if expires < s.latestWall || o.records >= o.options.MaxRecords {
 			return true
 		}
-		r = &record{key: key, slot: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now, expires: expires}
+		r = &record{key: key, heldClaim: s, fingerprint: f, attempt: a, state: StateRunning, beganAt: now, expires: expires}
 		o.addRecord(r)
 	}
 	if r.attempt != a && r.state != StateUnknown {
@@ -317,7 +317,7 @@
 // Abandon records that an attempt sent nothing, so that another attempt may run. It reports whether the report can be
 // acknowledged.
 func (o *Owner) Abandon(h Hold, team identifier.Team, id ID, a Attempt, wall clock.Wall) bool {
-	s := o.slotOf(h)
+	s := o.heldClaimOf(h)
 	s.latestWall = max(s.latestWall, wall)
 	if s.frozen {
 		return false
@@ -341,7 +341,7 @@
 }
 
 func (o *Owner) addRecord(r *record) {
-	r.slot.records[r.key] = r
+	r.heldClaim.records[r.key] = r
 	o.records++
 	heap.Push(&o.expiry, expiryEntry{at: r.expires, record: r})
 }
--- a/internal/deduplicator/retention.go
+++ b/internal/deduplicator/retention.go
@@ -35,15 +35,15 @@
 	return last
 }
 
-// dropExpired drops the records whose ids their slots refuse as expired from now on.
+// dropExpired drops the records whose ids their held claims refuse as expired from now on.
 func (o *Owner) dropExpired(wall clock.Wall) {
 	for len(o.expiry) > 0 && o.expiry[0].at < wall {
 		r := o.expiry[0].record
-		if r.slot == nil {
+		if r.heldClaim == nil {
 			heap.Pop(&o.expiry)
 			continue
 		}
-		r.slot.latestWall = max(r.slot.latestWall, wall)
+		r.heldClaim.latestWall = max(r.heldClaim.latestWall, wall)
 		if r.expires >= wall {
 			// The record is of an opaque id that was abandoned and begun again, so it expires later.
 			o.expiry[0].at = r.expires
@@ -51,10 +51,10 @@
 			continue
 		}
 		heap.Pop(&o.expiry)
-		delete(r.slot.records, r.key)
+		delete(r.heldClaim.records, r.key)
 		o.records--
 		o.dropBody(r)
-		r.slot = nil
+		r.heldClaim = nil
 	}
 }
 
--- a/internal/exchanger/table.go
+++ b/internal/exchanger/table.go
@@ -138,11 +138,11 @@
 // isForwardedTo reports whether a question to the target forwards the report. Reports of all nodes are forwarded to another
 // failure domain; within the own domain only those that its collector may lack: reports received from the reporting node
 // itself or from another domain.
-func (h heldReport) isForwardedTo(asked Member, domain identifier.FailureDomain) bool {
-	if h.source == asked.Node || h.report.Member.Node == asked.Node {
+func (h heldReport) isForwardedTo(target Member, ownDomain identifier.FailureDomain) bool {
+	if h.source == target.Node || h.report.Member.Node == target.Node {
 		return false
 	}
-	return asked.Domain != domain || h.fromOtherDomain || h.source == h.report.Member.Node
+	return target.Domain != ownDomain || h.fromOtherDomain || h.source == h.report.Member.Node
 }
 
 // Answer returns the reports changed since the asking node's cursor, without the node's own report and, unless the cursor
--- a/internal/gossiper/relayer.go
+++ b/internal/gossiper/relayer.go
@@ -197,12 +197,12 @@
 func (g *Gossiper) probeUrgently(d identifier.FailureDomain, now clock.Time) []Effect {
 	o := g.relayer.remotes[d]
 	t := g.relayer.tables[d]
-	silenceDue := now.Sub(o.lastContact) >= o.silenceThreshold(urgentProbeDelay, 0)
-	if t == nil || now < o.nextUrgentProbe || !(silenceDue || o.remainingProbes > 0) {
+	urgentDelayPassed := now.Sub(o.lastContact) >= o.silenceThreshold(urgentProbeDelay, 0)
+	if t == nil || now < o.nextUrgentProbe || !(urgentDelayPassed || o.remainingProbes > 0) {
 		return nil
 	}
 	o.nextUrgentProbe = now.Add(urgentProbeInterval)
-	if o.remainingProbes > 0 && !silenceDue {
+	if o.remainingProbes > 0 && !urgentDelayPassed {
 		o.remainingProbes--
 		return g.probeDomain(d)
 	}
--- a/internal/granter/asker.go
+++ b/internal/granter/asker.go
@@ -194,14 +194,14 @@
 			have += s.left
 		}
 	}
-	store := p.currentDemand(now) * identifier.Tokens(lookahead) / identifier.Tokens(clock.Second)
+	lookaheadTokens := p.currentDemand(now) * identifier.Tokens(lookahead) / identifier.Tokens(clock.Second)
 	parked := identifier.Tokens(len(p.waiters)) * identifier.TokensPerCall
-	if parked == 0 && have >= store/2 {
+	if parked == 0 && have >= lookaheadTokens/2 {
 		return 0
 	}
 	// Rounding up would let a node with rare calls take a second call's tokens that another node needs.
-	store -= store % identifier.TokensPerCall
-	return max(store+parked-have, 0)
+	lookaheadTokens -= lookaheadTokens % identifier.TokensPerCall
+	return max(lookaheadTokens+parked-have, 0)
 }
 
 // receiveGrant accepts only the answer to the latest request, and no grant of an epoch known to be superseded. The
--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -41,10 +41,10 @@
 
 // client is the bank's record of one node's purse.
 type client struct {
-	node   identifier.Node
-	number uint64
-	demand identifier.Tokens
-	askAt  clock.Time
+	node          identifier.Node
+	requestNumber uint64
+	demand        identifier.Tokens
+	askedAt       clock.Time
 	// unmetAt is the time of the last request that got no tokens.
 	unmetAt clock.Time
 	slices  []outstanding
@@ -208,12 +208,12 @@
 	}
 	a := g.account(b, m.Team, now)
 	c := a.client(from)
-	if m.Number <= c.number {
+	if m.Number <= c.requestNumber {
 		return // repeated or out of order: a second grant would not exceed the rate, but its tokens would be wasted
 	}
-	c.number = m.Number
+	c.requestNumber = m.Number
 	c.demand = m.Demand
-	c.askAt = now
+	c.askedAt = now
 	for _, r := range m.Returned {
 		a.returnSlice(c, r)
 	}
@@ -286,7 +286,7 @@
 func (a *account) demand(now clock.Time) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, c := range a.clients {
-		if now < c.askAt.Add(demandTerm) {
+		if now < c.askedAt.Add(demandTerm) {
 			sum += c.demand
 		}
 	}
@@ -314,7 +314,7 @@
 		g.advance(a, now)
 		g.tickBorrower(b, a, now)
 		a.clients = slices.DeleteFunc(a.clients, func(c *client) bool {
-			return len(c.slices) == 0 && now >= c.askAt.Add(clientRetention)
+			return len(c.slices) == 0 && now >= c.askedAt.Add(clientRetention)
 		})
 	}
 }
