--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -68,9 +68,9 @@
 	unmetAt     clock.Time
 	wantedAt    clock.Time
 
-	lent     []*lent
-	lenders  []*lender
-	recallAt clock.Time
+	borrowers []*borrower
+	lenders   []*lender
+	recallAt  clock.Time
 }
 
 type bank struct {
@@ -308,7 +308,7 @@
 
 func (g *Granter) tickBank(b *bank, now clock.Time) {
 	for _, a := range b.sortedAccounts {
-		unused := len(a.lent)+len(a.lenders)+len(a.clients) == 0
+		unused := len(a.borrowers)+len(a.lenders)+len(a.clients) == 0
 		if unused {
 			continue
 		}
--- a/internal/granter/borrower.go
+++ b/internal/granter/borrower.go
@@ -16,7 +16,7 @@
 
 const (
 	// loanRequestsPerTerm is how often a lender is asked within a loan term. After an answer without a new loan it is
-	// asked again after borrowRetryPeriod if purses need tokens.
+	// pending again after borrowRetryPeriod if purses need tokens.
 	loanRequestsPerTerm = 8
 	borrowRetryPeriod   = 20 * clock.Millisecond
 	// loanAnswerTimeout is how long a lender's answer is expected; meanwhile purses are told to retry soon.
@@ -37,13 +37,13 @@
 
 // lender is the borrower's record of another domain's bank.
 type lender struct {
-	domain identifier.FailureDomain
-	node   identifier.Node
-	loans  []borrowedLoan
-	number uint64
-	askAt  clock.Time
-	asked  bool
-	nextAt clock.Time
+	domain        identifier.FailureDomain
+	node          identifier.Node
+	loans         []borrowedLoan
+	requestNumber uint64
+	askedAt       clock.Time
+	pending       bool
+	nextRequestAt clock.Time
 }
 
 func (a *account) borrowedCap() (sum identifier.Tokens) {
@@ -103,7 +103,7 @@
 			continue
 		}
 		l := a.lender(d.name, h.node)
-		if now >= l.nextAt {
+		if now >= l.nextRequestAt {
 			g.sendLoanRequest(a, l, g.missingRate(a, now), now)
 		}
 	}
@@ -117,8 +117,8 @@
 
 // sendLoanRequest abandons the previous request if it is still unanswered, and reports that to the lender.
 func (g *Granter) sendLoanRequest(a *account, l *lender, want identifier.Tokens, now clock.Time) {
-	if l.asked {
-		lost := HeldLoan{Number: l.number, Back: Unapplied}
+	if l.pending {
+		lost := HeldLoan{Number: l.requestNumber, Back: Unapplied}
 		until := now.Add(returnedLoanRetention)
 		l.loans = append(l.loans, borrowedLoan{HeldLoan: lost, until: until, reportedUntil: until})
 	}
@@ -126,10 +126,10 @@
 	for _, n := range l.loans {
 		m.Held = append(m.Held, n.HeldLoan)
 	}
-	l.number = m.Number
-	l.askAt = now
-	l.asked = want > 0
-	l.nextAt = now.Add(g.options.LoanTerm / loanRequestsPerTerm)
+	l.requestNumber = m.Number
+	l.askedAt = now
+	l.pending = want > 0
+	l.nextRequestAt = now.Add(g.options.LoanTerm / loanRequestsPerTerm)
 	g.send(l.node, m)
 }
 
@@ -140,15 +140,15 @@
 	}
 	a := g.account(b, m.Team, now)
 	for _, l := range a.lenders {
-		if l.node == from && l.domain == m.Domain && l.asked && l.number == m.Number {
+		if l.node == from && l.domain == m.Domain && l.pending && l.requestNumber == m.Number {
 			g.acceptLoan(a, l, m, now)
 		}
 	}
 }
 
 func (g *Granter) acceptLoan(a *account, l *lender, m Loan, now clock.Time) {
-	l.asked = false
-	until := l.askAt.Add(g.options.shorten(g.options.LoanTerm) - g.options.SliceTerm)
+	l.pending = false
+	until := l.askedAt.Add(g.options.shorten(g.options.LoanTerm) - g.options.SliceTerm)
 	if m.Extended {
 		for i := range l.loans {
 			if n := &l.loans[i]; n.Cap > 0 || n.Rate > 0 {
@@ -158,7 +158,7 @@
 		}
 	}
 	if m.Cap == 0 && m.Rate == 0 {
-		l.nextAt = min(l.nextAt, now.Add(borrowRetryPeriod))
+		l.nextRequestAt = min(l.nextRequestAt, now.Add(borrowRetryPeriod))
 		return
 	}
 	if now >= until {
@@ -232,7 +232,7 @@
 // awaitsLoan reports whether a lender's answer is expected any moment, so that purses should retry soon.
 func (a *account) awaitsLoan(now clock.Time) bool {
 	for _, l := range a.lenders {
-		if l.asked && now < l.askAt.Add(loanAnswerTimeout) {
+		if l.pending && now < l.askedAt.Add(loanAnswerTimeout) {
 			return true
 		}
 	}
@@ -251,11 +251,11 @@
 		case !current:
 		case idle && a.returnLoans(l, 0, 0, now):
 			g.sendLoanRequest(a, l, 0, now)
-		case !idle && now >= l.nextAt:
+		case !idle && now >= l.nextRequestAt:
 			g.sendLoanRequest(a, l, g.missingRate(a, now), now)
 		}
 	}
 	a.lenders = slices.DeleteFunc(a.lenders, func(l *lender) bool {
-		return len(l.loans) == 0 && idle && now >= l.askAt.Add(clientRetention)
+		return len(l.loans) == 0 && idle && now >= l.askedAt.Add(clientRetention)
 	})
 }
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -139,7 +139,7 @@
 	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
 		for _, a := range b.sortedAccounts {
-			for _, l := range a.lent {
+			for _, l := range a.borrowers {
 				for _, n := range l.loans {
 					longestLeft = max(longestLeft, n.until.Sub(now))
 				}
--- a/internal/granter/lender.go
+++ b/internal/granter/lender.go
@@ -42,16 +42,16 @@
 	until          clock.Time
 }
 
-// lent is the lender's record of one borrower and its loans.
-type lent struct {
-	node     identifier.Node
-	number   uint64
-	wantRate identifier.Tokens
-	askAt    clock.Time
-	loans    []lentLoan
+// borrower is the lender's record of one borrower and its loans.
+type borrower struct {
+	node          identifier.Node
+	requestNumber uint64
+	wantRate      identifier.Tokens
+	askedAt       clock.Time
+	loans         []lentLoan
 }
 
-func (l *lent) held() (capacity, rate identifier.Tokens) {
+func (l *borrower) held() (capacity, rate identifier.Tokens) {
 	for _, n := range l.loans {
 		capacity += n.cap
 		rate += n.rate
@@ -60,7 +60,7 @@
 }
 
 func (a *account) lentCap() (sum identifier.Tokens) {
-	for _, l := range a.lent {
+	for _, l := range a.borrowers {
 		c, _ := l.held()
 		sum += c
 	}
@@ -68,7 +68,7 @@
 }
 
 func (a *account) lentRate() (sum identifier.Tokens) {
-	for _, l := range a.lent {
+	for _, l := range a.borrowers {
 		_, r := l.held()
 		sum += r
 	}
@@ -76,22 +76,22 @@
 }
 
 func (a *account) dropLent(now clock.Time) {
-	for _, l := range a.lent {
+	for _, l := range a.borrowers {
 		l.loans = slices.DeleteFunc(l.loans, func(n lentLoan) bool { return now >= n.until })
 	}
-	a.lent = slices.DeleteFunc(a.lent, func(l *lent) bool {
-		return len(l.loans) == 0 && now >= l.askAt.Add(clientRetention)
+	a.borrowers = slices.DeleteFunc(a.borrowers, func(l *borrower) bool {
+		return len(l.loans) == 0 && now >= l.askedAt.Add(clientRetention)
 	})
 }
 
-func (a *account) borrower(n identifier.Node) *lent {
-	i, ok := slices.BinarySearchFunc(a.lent, n, func(l *lent, n identifier.Node) int {
+func (a *account) borrower(n identifier.Node) *borrower {
+	i, ok := slices.BinarySearchFunc(a.borrowers, n, func(l *borrower, n identifier.Node) int {
 		return strings.Compare(string(l.node), string(n))
 	})
 	if !ok {
-		a.lent = slices.Insert(a.lent, i, &lent{node: n})
+		a.borrowers = slices.Insert(a.borrowers, i, &borrower{node: n})
 	}
-	return a.lent[i]
+	return a.borrowers[i]
 }
 
 func (g *Granter) receiveLoanRequest(from identifier.Node, m LoanRequest, now clock.Time) {
@@ -101,12 +101,12 @@
 	}
 	a := g.account(b, m.Team, now)
 	l := a.borrower(from)
-	if m.Number <= l.number {
+	if m.Number <= l.requestNumber {
 		return
 	}
-	l.number = m.Number
+	l.requestNumber = m.Number
 	l.wantRate = smooth(l.wantRate, m.WantRate)
-	l.askAt = now
+	l.askedAt = now
 	a.reconcileLoans(l, m)
 	if m.WantRate > 0 {
 		g.lend(b, a, l, m, now)
@@ -116,7 +116,7 @@
 // reconcileLoans applies the borrower's report of the loans that it still holds. A loan that isn't listed has ended,
 // since the borrower drops a loan or abandons a request before it sends the report; its tokens count as spent unless
 // they were reported as returned.
-func (a *account) reconcileLoans(l *lent, m LoanRequest) {
+func (a *account) reconcileLoans(l *borrower, m LoanRequest) {
 	kept := l.loans[:0]
 	for _, n := range l.loans {
 		i := slices.IndexFunc(m.Held, func(h HeldLoan) bool { return h.Number == n.number })
@@ -176,15 +176,15 @@
 
 // target returns the borrower's part of the surplus, which is divided among the recent borrowers in proportion to the
 // rates that they asked for.
-func (g *Granter) target(a *account, l *lent, now clock.Time) (capacity, rate identifier.Tokens) {
+func (g *Granter) target(a *account, l *borrower, now clock.Time) (capacity, rate identifier.Tokens) {
 	capacity, rate = g.surplus(a, now)
 	var sum identifier.Tokens
-	for _, o := range a.lent {
-		if now < o.askAt.Add(borrowerTerm) {
+	for _, o := range a.borrowers {
+		if now < o.askedAt.Add(borrowerTerm) {
 			sum += o.wantRate
 		}
 	}
-	if now >= l.askAt.Add(borrowerTerm) || l.wantRate == 0 {
+	if now >= l.askedAt.Add(borrowerTerm) || l.wantRate == 0 {
 		return 0, 0
 	}
 	return scale(capacity, l.wantRate, sum), scale(rate, l.wantRate, sum)
@@ -211,7 +211,7 @@
 	return v * min(part, whole) / whole
 }
 
-func (g *Granter) lend(b *bank, a *account, l *lent, m LoanRequest, now clock.Time) {
+func (g *Granter) lend(b *bank, a *account, l *borrower, m LoanRequest, now clock.Time) {
 	fairCap, fairRate := g.target(a, l, now)
 	targetCap, targetRate := fairCap, fairRate
 	heldCap, heldRate := l.held()
@@ -263,7 +263,7 @@
 
 // recallLent recalls loans when the bank's own domain needs its share.
 func (g *Granter) recallLent(a *account, now clock.Time) {
-	if len(a.lent) > 0 {
+	if len(a.borrowers) > 0 {
 		g.recall(a, now)
 	}
 }
@@ -273,7 +273,7 @@
 		return
 	}
 	a.recallAt = now.Add(recallPeriod)
-	for _, l := range a.lent {
+	for _, l := range a.borrowers {
 		targetCap, targetRate := g.target(a, l, now)
 		heldCap, heldRate := l.held()
 		if exceeds(heldCap, targetCap, a.cap) || exceeds(heldRate, targetRate, a.rate) {
