--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -60,8 +60,8 @@
 
 // SetTeams applies the teams and shares of the preset in force. leastShares is for a node's first preset: the least
 // share of each domain in all presets in force within the claims' long term, or nil if the shares never changed.
-func (g *Granter) SetTeams(teams []definer.Team, now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
-	g.setShares(now, leastShares, v, at)
+func (g *Granter) SetTeams(teams []definer.Team, sharesInForce, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
+	g.setShares(sharesInForce, leastShares, v, at)
 	fresh := make(map[identifier.Team]*purse, len(teams))
 	for _, t := range teams {
 		p := g.purses[t.Name]
--- a/internal/granter/shares.go
+++ b/internal/granter/shares.go
@@ -60,9 +60,9 @@
 
 // setShares starts from the share that each bank uses at this time. A node that starts with this preset can't know
 // that share, so it assumes the least share that earlier presets may have left for its domain.
-func (g *Granter) setShares(now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) {
+func (g *Granter) setShares(sharesInForce, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) {
 	own := g.options.Domain
-	unchanged := g.shares.known && slices.Equal(g.shares.domains, now)
+	unchanged := g.shares.known && slices.Equal(g.shares.domains, sharesInForce)
 	used := make([]int, len(g.banks))
 	for i, b := range g.banks {
 		switch {
@@ -71,12 +71,12 @@
 		case leastShares != nil:
 			used[i] = shareOf(leastShares, own)
 		default:
-			used[i] = shareOf(now, own)
+			used[i] = shareOf(sharesInForce, own)
 		}
 	}
-	awaiting := otherDomains(own, g.shares.domains, now, leastShares)
-	g.shares = shares{known: true, version: v, domains: slices.Clone(now)}
-	for _, d := range now {
+	awaiting := otherDomains(own, g.shares.domains, sharesInForce, leastShares)
+	g.shares = shares{known: true, version: v, domains: slices.Clone(sharesInForce)}
+	for _, d := range sharesInForce {
 		g.domain(d.Domain)
 	}
 	if unchanged {
@@ -84,7 +84,7 @@
 	}
 	for i, b := range g.banks {
 		b.shareIncrease = nil
-		if used[i] < shareOf(now, own) {
+		if used[i] < shareOf(sharesInForce, own) {
 			b.shareIncrease = &shareIncrease{from: used[i], awaiting: slices.Clone(awaiting), version: v, since: at, queryAt: at}
 		}
 	}
