--- a/internal/granter/bank.go
+++ b/internal/granter/bank.go
@@ -19,7 +19,8 @@
 const (
 	// demandTerm is how long a purse's reported demand counts after its last request.
 	demandTerm = 600 * clock.Millisecond
-	// unmetTerm is how long a request that was not fully met marks its purse or account as short of tokens.
+	// unmetTerm is how long a purse counts as short of tokens after a request that got none, and an account after one
+	// that was not fully met.
 	unmetTerm = 200 * clock.Millisecond
 	// clientRetention is how long the number of a purse's last request is kept after that request; a message delayed
 	// longer than that refers to slices that have long expired.
@@ -41,11 +42,11 @@
 
 // client is the bank's record of one node's purse.
 type client struct {
-	node   identifier.Node
-	number uint64
-	demand identifier.Tokens
-	askAt  clock.Time
-	// unmetAt is the time of the last request that got no tokens.
+	node          identifier.Node
+	requestNumber uint64
+	demand        identifier.Tokens
+	askedAt       clock.Time
+	// unmetAt is the time of the last request if that got no tokens.
 	unmetAt clock.Time
 	slices  []outstanding
 }
@@ -67,9 +68,9 @@
 	unmetAt     clock.Time
 	wantedAt    clock.Time
 
-	lent     []*lent
-	lenders  []*lender
-	recallAt clock.Time
+	borrowers []*borrower
+	lenders   []*lender
+	recallAt  clock.Time
 }
 
 type bank struct {
@@ -208,12 +209,12 @@
 	}
 	a := g.account(b, m.Team, now)
 	c := a.client(from)
-	if m.Number <= c.number {
+	if m.Number <= c.requestNumber {
 		return // repeated or out of order: a second grant would not exceed the rate, but its tokens would be wasted
 	}
-	c.number = m.Number
+	c.requestNumber = m.Number
 	c.demand = m.Demand
-	c.askAt = now
+	c.askedAt = now
 	for _, r := range m.Returned {
 		a.returnSlice(c, r)
 	}
@@ -286,7 +287,7 @@
 func (a *account) demand(now clock.Time) identifier.Tokens {
 	var sum identifier.Tokens
 	for _, c := range a.clients {
-		if now < c.askAt.Add(demandTerm) {
+		if now < c.askedAt.Add(demandTerm) {
 			sum += c.demand
 		}
 	}
@@ -307,14 +308,14 @@
 
 func (g *Granter) tickBank(b *bank, now clock.Time) {
 	for _, a := range b.sortedAccounts {
-		unused := len(a.lent)+len(a.lenders)+len(a.clients) == 0
+		unused := len(a.borrowers)+len(a.lenders)+len(a.clients) == 0
 		if unused {
 			continue
 		}
 		g.advance(a, now)
 		g.tickBorrower(b, a, now)
 		a.clients = slices.DeleteFunc(a.clients, func(c *client) bool {
-			return len(c.slices) == 0 && now >= c.askAt.Add(clientRetention)
+			return len(c.slices) == 0 && now >= c.askedAt.Add(clientRetention)
 		})
 	}
 }
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -60,8 +60,8 @@
 
 // SetTeams applies the teams and shares of the preset in force. leastShares is for a node's first preset: the least
 // share of each domain in all presets in force within the claims' long term, or nil if the shares never changed.
-func (g *Granter) SetTeams(teams []definer.Team, now, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
-	g.setShares(now, leastShares, v, at)
+func (g *Granter) SetTeams(teams []definer.Team, sharesInForce, leastShares []definer.DomainShare, v identifier.Version, at clock.Time) []Effect {
+	g.setShares(sharesInForce, leastShares, v, at)
 	fresh := make(map[identifier.Team]*purse, len(teams))
 	for _, t := range teams {
 		p := g.purses[t.Name]
@@ -139,7 +139,7 @@
 	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
 		for _, a := range b.sortedAccounts {
-			for _, l := range a.lent {
+			for _, l := range a.borrowers {
 				for _, n := range l.loans {
 					longestLeft = max(longestLeft, n.until.Sub(now))
 				}
