--- a/internal/admitter/thresholds.go
+++ b/internal/admitter/thresholds.go
@@ -60,39 +60,39 @@
 }
 
 // LearnThreshold updates the threshold that applies to all calls of the service, from one of its answers.
-func (b *ThresholdCache) LearnThreshold(service identifier.Service, t identifier.Threshold, now clock.Time) {
-	b.LearnRouteThreshold(service, 0, t, now)
+func (c *ThresholdCache) LearnThreshold(service identifier.Service, t identifier.Threshold, now clock.Time) {
+	c.LearnRouteThreshold(service, 0, t, now)
 }
 
 // LearnRouteThreshold updates the effective threshold of one route (see Chain), from an answer of the service.
-func (b *ThresholdCache) LearnRouteThreshold(service identifier.Service, route Route, t identifier.Threshold, now clock.Time) {
+func (c *ThresholdCache) LearnRouteThreshold(service identifier.Service, route Route, t identifier.Threshold, now clock.Time) {
 	key := thresholdKey{service, route}
-	b.learned[key] = b.learned[key].updatedWith(t, now, b.options)
+	c.learned[key] = c.learned[key].updatedWith(t, now, c.options)
 }
 
 // Admit reports whether the service is expected to accept a call of the given rank.
-func (b *ThresholdCache) Admit(service identifier.Service, r identifier.Rank, now clock.Time) bool {
-	return b.AdmitRoute(service, 0, r, now)
+func (c *ThresholdCache) Admit(service identifier.Service, r identifier.Rank, now clock.Time) bool {
+	return c.AdmitRoute(service, 0, r, now)
 }
 
 // AdmitRoute reports whether the service and the nested services that the route needs are expected to accept a call of
 // the given rank.
-func (b *ThresholdCache) AdmitRoute(service identifier.Service, route Route, r identifier.Rank, now clock.Time) bool {
-	return r <= b.ThresholdRoute(service, route, now)
+func (c *ThresholdCache) AdmitRoute(service identifier.Service, route Route, r identifier.Rank, now clock.Time) bool {
+	return r <= c.ThresholdRoute(service, route, now)
 }
 
 // Threshold returns the current threshold for all calls of the service.
-func (b *ThresholdCache) Threshold(service identifier.Service, now clock.Time) identifier.Threshold {
-	return b.learned[thresholdKey{service, 0}].at(now, b.options)
+func (c *ThresholdCache) Threshold(service identifier.Service, now clock.Time) identifier.Threshold {
+	return c.learned[thresholdKey{service, 0}].at(now, c.options)
 }
 
 // ThresholdRoute returns the current threshold for one route: the lower of the service's and the route's.
-func (b *ThresholdCache) ThresholdRoute(service identifier.Service, route Route, now clock.Time) identifier.Threshold {
-	all := b.Threshold(service, now)
+func (c *ThresholdCache) ThresholdRoute(service identifier.Service, route Route, now clock.Time) identifier.Threshold {
+	all := c.Threshold(service, now)
 	if route == 0 {
 		return all
 	}
-	return min(all, b.learned[thresholdKey{service, route}].at(now, b.options))
+	return min(all, c.learned[thresholdKey{service, route}].at(now, c.options))
 }
 
 // learnedThreshold is a threshold and the time of the last answer that updated it; the zero value admits all ranks.
@@ -124,13 +124,13 @@
 	if !l.known {
 		return identifier.MaxRank
 	}
-	old := now.Sub(l.learnedAt) - o.Hold
-	if old <= 0 {
+	sinceHold := now.Sub(l.learnedAt) - o.Hold
+	if sinceHold <= 0 {
 		return identifier.Threshold(l.threshold)
 	}
-	if old >= o.Fade {
+	if sinceHold >= o.Fade {
 		return identifier.MaxRank
 	}
 	room := float64(identifier.MaxRank) - l.threshold
-	return identifier.Threshold(l.threshold + room*float64(old)/float64(o.Fade))
+	return identifier.Threshold(l.threshold + room*float64(sinceHold)/float64(o.Fade))
 }
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -281,7 +281,7 @@
 	}
 	s.lastSlowTick = s.now
 	s.assumeAlone()
-	s.gossiper.SetStatus(s.news())
+	s.gossiper.SetStatus(s.status())
 	s.applyGossip(s.gossiper.Tick(s.now))
 	s.applyConfiguration(s.configurer.Tick(s.now, s.wall))
 	s.applyClaims(s.claimer.SetLog(s.configurer.Freshness(s.now) <= maxLogAge, s.logStart, s.now))
@@ -290,9 +290,9 @@
 	s.tickLeaving()
 }
 
-func (s *State) news() gossiper.Status {
+func (s *State) status() gossiper.Status {
 	contact := s.configurer.Contact(s.now)
-	n := gossiper.Status{
+	status := gossiper.Status{
 		Offset:  s.configurer.Offset(),
 		Version: s.configurer.Version(),
 		Reader:  contact.Reader,
@@ -300,7 +300,7 @@
 		Age:     contact.Age,
 	}
 	if p, _ := s.configurer.InForce(); p != nil {
-		n.InForce = p.Name
+		status.InForce = p.Name
 	}
-	return n
+	return status
 }
--- a/internal/reducer/hold.go
+++ b/internal/reducer/hold.go
@@ -28,12 +28,12 @@
 // extendHold extends the hold to the gained epoch, or begins a new hold if another node may have held an epoch in
 // between.
 func (s *State) extendHold(n claimer.Name, epoch identifier.Epoch) {
-	g := s.holds[n]
-	if g.first == 0 || epoch > g.last+1 || epoch < g.last {
-		g = claimHold{first: epoch, wall: s.wall}
+	h := s.holds[n]
+	if h.first == 0 || epoch > h.last+1 || epoch < h.last {
+		h = claimHold{first: epoch, wall: s.wall}
 	}
-	g.last = epoch
-	s.holds[n] = g
+	h.last = epoch
+	s.holds[n] = h
 }
 
 // holdOf returns this node's hold on a claim at the current time. The claimer's authority can begin between two ticks,
@@ -41,9 +41,9 @@
 // owner has already permitted.
 func (s *State) holdOf(c deduplicator.Claim) (deduplicator.Hold, bool) {
 	epoch, ok := s.claimer.Holds(claimer.Name(c), s.now)
-	g := s.holds[claimer.Name(c)]
-	if !ok || g.first == 0 || epoch != g.last {
+	h := s.holds[claimer.Name(c)]
+	if !ok || h.first == 0 || epoch != h.last {
 		return deduplicator.Hold{}, false
 	}
-	return deduplicator.Hold{Claim: c, Epoch: epoch, SinceEpoch: g.first, Gained: g.wall, FirstHolder: g.first == firstEpoch}, true
+	return deduplicator.Hold{Claim: c, Epoch: epoch, SinceEpoch: h.first, Gained: h.wall, FirstHolder: h.first == firstEpoch}, true
 }
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -50,7 +50,7 @@
 			due:            s.Due,
 			nested:         s.Nested,
 			arrivalCounted: s.ArrivalCounted,
-			rateUnchecked:  rateUnchecked(s),
+			rateUnchecked:  uncheckedTeam(s),
 		})
 		r.View(func(c *conductor.Conductor, now clock.Time) {
 			a.headroom, a.queueDelay = c.Headroom(now), c.QueueDelay(now)
@@ -72,7 +72,7 @@
 		nested:         s.Nested,
 		arrivalCounted: s.ArrivalCounted,
 		endpoint:       s.Endpoint,
-		rateUnchecked:  rateUnchecked(s),
+		rateUnchecked:  uncheckedTeam(s),
 	}.String()}
 	delete(out.Header, r.options.Headers.TimeLeft)
 	// A request of a team that is over its rate is usually refused there as well; its body must not cross failure domains
@@ -109,7 +109,7 @@
 	}
 }
 
-func rateUnchecked(s conductor.Send) identifier.Team {
+func uncheckedTeam(s conductor.Send) identifier.Team {
 	if s.RateUnchecked {
 		return s.Team
 	}
