--- a/internal/admitter/admission_test.go
+++ b/internal/admitter/admission_test.go
@@ -57,7 +57,8 @@
 }
 
 // Two peaks of urgent calls are separated by a period of low load. If the count of overloaded windows were not reset in
-// between, the gate would refuse urgent calls at the start of the second peak.
+// between, the gate would refuse urgent calls at the start of the second peak. TestGateUnderRandomLoad reached this case
+// with seed 4116188274710627431.
 func TestSecondPeakDoesNotRefuseUrgentCallsAtOnce(t *testing.T) {
 	g := admitter.NewGate(admitter.GateOptions{})
 	for now := clock.Time(1); now < 3000; now++ {
--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -1,7 +1,7 @@
 package matcher
 
 // Every request is matched on the hot path, so a configuration is indexed once when it arrives: routes by host with the
-// longest prefix first, teams by the hash of their keys.
+// longest prefix first, teams by their keys.
 //
 // Example: with prefixes "/a/" and "/a/b/", the path "/a/b/c" belongs to "/a/b/" and "/a/bc" to "/a/".
 
--- a/internal/mesher/store.go
+++ b/internal/mesher/store.go
@@ -25,7 +25,8 @@
 	// and the wait is the longest that stores of this kind allow.
 	membersReadWait = 30 * clock.Second
 	// membersReadPause is the pause after a read that returned records, so that the next read collects those of nodes
-	// that start together: without it, 14 nodes made 266 calls in their first 15 s. Later changes arrive with the reports.
+	// that start together: they arrive one by one, and without the pause 14 nodes would make 266 calls within 15 s of
+	// their start. Later changes arrive with the reports.
 	membersReadPause = clock.Second
 	// configurationReadPause is the pause after a read that returned records, so that the next read collects
 	// configurations that are published in quick succession. It is a fifth of the time within which a change must be in force.
--- a/internal/reducer/call.go
+++ b/internal/reducer/call.go
@@ -22,7 +22,7 @@
 // maxDepth is the limit for nested calls; it stops services that call each other in a cycle.
 const maxDepth = 32
 
-// maxExcluded is the upper bound of the failed endpoints that a call excludes from its next attempts.
+// maxExcluded is the upper bound of the number of failed endpoints that a call excludes from its next attempts.
 const maxExcluded = 4
 
 type call struct {
--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -1,6 +1,6 @@
-// This file handles all events other than calls: messages from other nodes, records of the log and ticks. It converts
-// the effects of the individual packages into the node's effects; a message of a node to itself is handled within the
-// reducer.
+// This file handles the events that don't concern a call, a delivery or a backend server: messages from other nodes,
+// records and failures of the log, the planned stop and ticks. It converts the effects of the individual packages into
+// the node's effects; a message of a node to itself is handled within the reducer.
 
 package reducer
 
@@ -229,9 +229,9 @@
 }
 
 // assumeAlone makes a node that has found no other member for aloneTimeout the only member of its failure domain, and
-// thereby a reader of the log. Otherwise it would read the log only once its news was stale, and a withdrawn key would
-// remain valid there for seconds longer. Without the timeout, all nodes of a restarted failure domain would read the
-// log at the same time.
+// thereby a reader of the log. Otherwise it would read the log only once its last news of the log was stale, and a
+// withdrawn key would remain valid there for seconds longer. Without the timeout, all nodes of a restarted failure
+// domain would read the log at the same time.
 func (s *State) assumeAlone() {
 	if s.startedAt == 0 {
 		s.startedAt = s.now
--- a/internal/reducer/hold.go
+++ b/internal/reducer/hold.go
@@ -45,5 +45,11 @@
 	if !ok || h.first == 0 || epoch != h.last {
 		return deduplicator.Hold{}, false
 	}
-	return deduplicator.Hold{Claim: c, Epoch: epoch, SinceEpoch: h.first, Gained: h.wall, FirstHolder: h.first == firstEpoch}, true
+	return deduplicator.Hold{
+		Claim:       c,
+		Epoch:       epoch,
+		SinceEpoch:  h.first,
+		Gained:      h.wall,
+		FirstHolder: h.first == firstEpoch,
+	}, true
 }
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// uncheckedTeam returns the team whose rate limit the receiving node must still check, empty for none.
 func uncheckedTeam(s conductor.Send) identifier.Team {
 	if s.RateUnchecked {
 		return s.Team
--- a/internal/relayer/delivery.go
+++ b/internal/relayer/delivery.go
@@ -21,16 +21,18 @@
 
 // delivery is a request on its way to the local endpoint.
 type delivery struct {
-	request        *requester.Request
-	id             string
-	endpoint       identifier.Endpoint
-	rank           identifier.Rank
-	deadline       clock.Time
-	queueTimeout   clock.Duration
+	request      *requester.Request
+	id           string
+	endpoint     identifier.Endpoint
+	rank         identifier.Rank
+	deadline     clock.Time
+	queueTimeout clock.Duration
+	// due is when the answer is expected.
 	due            clock.Time
 	nested         bool
 	arrivalCounted bool
-	rateUnchecked  identifier.Team
+	// rateUnchecked is the team whose rate limit has not been checked for this request yet, empty for none.
+	rateUnchecked identifier.Team
 }
 
 // answer is the result of an attempt; Response is set if the outcome is Answered.
