--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -1,6 +1,7 @@
 // The length of a queue shows that too many calls are admitted, but not how many to refuse. The gate derives from the
 // measured queueing delay the rate that the service can serve, and from that rate the threshold: the highest rank
-// admitted (the lower a call's rank, the more urgent it is). The rate also lets the gate open at once when demand falls below it, instead of staying closed.
+// admitted (the lower a call's rank, the more urgent it is). The rate also lets the gate open at once when demand falls
+// below it, instead of staying closed.
 //
 // The owner of a gate calls Admit for each call, Served for each dispatch, and on each tick Observe with the limiter's
 // QueueDelay and SetTarget with its ExpectedDelay.
@@ -156,8 +157,8 @@
 // are refused.
 const maxUrgentOverloadWindows = 10
 
-// protectUrgent keeps the threshold at or above the highest urgent rank during short peaks. While calls of lower priority are still
-// queued, refusing urgent calls would not help, since urgent calls do not wait behind them.
+// protectUrgent keeps the threshold at or above the highest urgent rank during short peaks. While calls of lower
+// priority are still queued, refusing urgent calls would not help, since urgent calls do not wait behind them.
 func (g *Gate) protectUrgent(t identifier.Threshold) identifier.Threshold {
 	if t > maxUrgentRank {
 		g.urgentOverloadWindows = 0
--- a/internal/mesher/lifecycle.go
+++ b/internal/mesher/lifecycle.go
@@ -165,8 +165,8 @@
 	n.exchangeSoon()
 }
 
-// ticksPerReadCheck is how many ticks pass between two checks whether the read in flight of the configuration waits longer
-// than the current proof allows.
+// ticksPerReadCheck is how many ticks pass between two checks whether the configuration read in flight waits longer than
+// the current proof allows.
 const ticksPerReadCheck = 4
 
 // ticksPerSecond is the number of ticks a second: the interval at which idle connections are closed and the local endpoint's
--- a/internal/mesher/peers.go
+++ b/internal/mesher/peers.go
@@ -1,8 +1,8 @@
 package mesher
 
-// Reports are exchanged twice a second with the failure domain's collector: the node that gathers the reports of its domain,
-// answers with those of all nodes, and exchanges with the collectors of other domains more often. A change of the local endpoint starts an exchange at once. The
-// same port serves tokens, operators' orders and the state dump.
+// Reports are exchanged twice a second with the failure domain's collector: the node that gathers the reports of its
+// domain, answers with those of all nodes, and exchanges with the collectors of other domains more often. A change of the
+// local endpoint starts an exchange at once. The same port serves tokens, operators' orders and the state dump.
 //
 // Example: POST /reports with one report, answered with those of all other nodes that are new.
 
@@ -74,8 +74,8 @@
 	}
 }
 
-// exchangeOnce exchanges reports with one node, and reports whether to attempt it with another one at once. A failed search
-// for a missing member is not followed by another at once, since that member may be gone for good.
+// exchangeOnce exchanges reports with one node, and reports whether to attempt it with another one at once. A failed
+// search for a missing member is not followed by another at once, since that member may be gone for good.
 func (n *node) exchangeOnce(ctx context.Context) bool {
 	var exchange conductor.ReportExchange
 	var ok bool
--- a/internal/relayer/handover.go
+++ b/internal/relayer/handover.go
@@ -59,7 +59,7 @@
 	Part string
 }
 
-// Error returns the text of the handover and the faulty part.
+// Error returns the text of the handover and the invalid part.
 func (e HandoverError) Error() string {
 	return fmt.Sprintf("handover %q: %s can't be read", e.Text, e.Part)
 }
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -174,7 +174,7 @@
 }
 
 // held is a Hold with the channel on which the effect that ends it arrives. The channel is made under the lock, since the
-// request may be let through before its goroutine begins to wait.
+// Hold may end before the request's goroutine begins to wait.
 type held struct {
 	conductor.Effect
 	id      conductor.CallID
