--- a/internal/reducer/control.go
+++ b/internal/reducer/control.go
@@ -1,6 +1,6 @@
-// This file handles all events other than calls: messages from other nodes, records of the log and ticks. It converts
-// the effects of the individual packages into the node's effects; a message of a node to itself is handled within the
-// reducer.
+// This file handles the events that don't concern a call, a delivery or a backend server: messages from other nodes,
+// records and failures of the log, the planned stop and ticks. It converts the effects of the individual packages into
+// the node's effects; a message of a node to itself is handled within the reducer.
 
 package reducer
 
@@ -229,9 +229,9 @@
 }
 
 // assumeAlone makes a node that has found no other member for aloneTimeout the only member of its failure domain, and
-// thereby a reader of the log. Otherwise it would read the log only once its news was stale, and a withdrawn key would
-// remain valid there for seconds longer. Without the timeout, all nodes of a restarted failure domain would read the
-// log at the same time.
+// thereby a reader of the log. Otherwise it would read the log only once its last news of the log was stale, and a
+// withdrawn key would remain valid there for seconds longer. Without the timeout, all nodes of a restarted failure
+// domain would read the log at the same time.
 func (s *State) assumeAlone() {
 	if s.startedAt == 0 {
 		s.startedAt = s.now
@@ -281,7 +281,7 @@
 	}
 	s.lastSlowTick = s.now
 	s.assumeAlone()
-	s.gossiper.SetStatus(s.news())
+	s.gossiper.SetStatus(s.status())
 	s.applyGossip(s.gossiper.Tick(s.now))
 	s.applyConfiguration(s.configurer.Tick(s.now, s.wall))
 	s.applyClaims(s.claimer.SetLog(s.configurer.Freshness(s.now) <= maxLogAge, s.logStart, s.now))
@@ -290,9 +290,9 @@
 	s.tickLeaving()
 }
 
-func (s *State) news() gossiper.Status {
+func (s *State) status() gossiper.Status {
 	contact := s.configurer.Contact(s.now)
-	n := gossiper.Status{
+	status := gossiper.Status{
 		Offset:  s.configurer.Offset(),
 		Version: s.configurer.Version(),
 		Reader:  contact.Reader,
@@ -300,7 +300,7 @@
 		Age:     contact.Age,
 	}
 	if p, _ := s.configurer.InForce(); p != nil {
-		n.InForce = p.Name
+		status.InForce = p.Name
 	}
-	return n
+	return status
 }
