--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -20,11 +20,11 @@
 func (r explanation) writeText(w io.Writer) error {
 	d := json.NewDecoder(bytes.NewReader(r.RawMessage))
 	d.UseNumber()
-	return writeFacts(w, d, "")
+	return writeFields(w, d, "")
 }
 
-// writeFacts writes the next JSON value of the decoder, with each scalar in it on a line of its own.
-func writeFacts(w io.Writer, d *json.Decoder, path string) error {
+// writeFields writes the next JSON value of the decoder, with each scalar in it on a line of its own.
+func writeFields(w io.Writer, d *json.Decoder, path string) error {
 	token, err := d.Token()
 	if err != nil {
 		return fmt.Errorf("print: %w", err)
@@ -43,7 +43,7 @@
 			}
 			inner = fmt.Sprintf("%s.%v", path, name)
 		}
-		if err := writeFacts(w, d, inner); err != nil {
+		if err := writeFields(w, d, inner); err != nil {
 			return err
 		}
 	}
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -40,7 +40,7 @@
 	rows := [][]string{{"NODE", "FAILURE DOMAIN", "PRESET", "VERSION", "NEWS", "STATE"}}
 	for _, n := range r.Nodes {
 		rows = append(rows, []string{
-			n.Node, n.FailureDomain, orDash(n.Preset), strconv.FormatInt(n.Version, 10), formatSilence(n.SilenceMs), n.state(),
+			n.Node, n.FailureDomain, orDash(n.Preset), strconv.FormatInt(n.Version, 10), formatAge(n.SilenceMs), n.state(),
 		})
 	}
 	if err := writeTable(w, rows); err != nil {
@@ -65,7 +65,7 @@
 	return "current"
 }
 
-func formatSilence(silenceMs int64) string {
+func formatAge(silenceMs int64) string {
 	if silenceMs < 0 {
 		return "never"
 	}
--- a/internal/configurer/applier.go
+++ b/internal/configurer/applier.go
@@ -30,22 +30,22 @@
 	case Snapshot:
 		return c.applySnapshot(r.Offset, v, now, wall)
 	case PublishPreset, SwitchPreset, IssueKey, WithdrawKey:
-		c.oldest.recordRead(wallOf(v), now, wall)
+		c.oldestRecord.recordRead(wallOf(v), now, wall)
 		return c.applyChange(r.Offset, v)
 	}
-	c.oldest.recordRead(wall, now, wall)
+	c.oldestRecord.recordRead(wall, now, wall)
 	c.advance(r.Offset)
 	return []Effect{Deliver{Offset: r.Offset, Value: value}}
 }
 
 func (c *Configurer) advance(offset identifier.Offset) {
-	if !c.waiting {
+	if !c.hasGap {
 		c.through = max(c.through, offset)
 	}
 }
 
 func (c *Configurer) applyChange(offset identifier.Offset, record any) []Effect {
-	if c.waiting {
+	if c.hasGap {
 		return c.hold(offset, record)
 	}
 	// A snapshot from a peer may already contain the change.
@@ -76,8 +76,8 @@
 	from := c.tail.next
 	c.tail.jump(to)
 	if c.through < to-1 {
-		c.waiting = true
-		c.needed = to - 1
+		c.hasGap = true
+		c.lastMissing = to - 1
 		// The changes held before this gap can't be applied: the records between them and the gap's end are missing.
 		c.held = nil
 	}
@@ -85,7 +85,7 @@
 }
 
 func (c *Configurer) applySnapshot(offset identifier.Offset, s Snapshot, now clock.Time, wall clock.Wall) []Effect {
-	c.oldest.snapshotRead(s.Wall, now, wall)
+	c.oldestRecord.snapshotRead(s.Wall, now, wall)
 	effects := c.adopt(s)
 	c.advance(offset)
 	return effects
@@ -94,12 +94,12 @@
 // adopt replaces the configuration by a snapshot only if the snapshot is newer, so that no snapshot restores an old
 // state.
 func (c *Configurer) adopt(s Snapshot) []Effect {
-	if s.Through <= c.through || (c.waiting && s.Through < c.needed) {
+	if s.Through <= c.through || (c.hasGap && s.Through < c.lastMissing) {
 		return nil
 	}
 	changed := c.configuration.replace(s)
 	c.through = s.Through
-	c.waiting = false
+	c.hasGap = false
 	clear(c.suspended)
 	effects := []Effect{changed}
 	held := c.held
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -51,16 +51,16 @@
 	configuration configuration
 	// through is the offset up to which records are applied to the configuration.
 	through identifier.Offset
-	// needed is the minimum Through of a snapshot that closes a gap; waiting is set while there is a gap.
-	needed    identifier.Offset
-	waiting   bool
+	// lastMissing is the minimum Through of a snapshot that closes a gap; waiting is set while there is a gap.
+	lastMissing    identifier.Offset
+	hasGap   bool
 	held      []heldChange
 	suspended map[identifier.KeyHash]bool
 	tail      tail
 	relay     relay
 	reader    reader
 	contact   contact
-	oldest    oldest
+	oldestRecord    oldestRecord
 	// undecodable counts the records that this version could not decode.
 	undecodable int64
 }
@@ -155,7 +155,7 @@
 
 // Complete reports whether the configuration was built without a gap in the log's records.
 func (c *Configurer) Complete() bool {
-	return !c.waiting
+	return !c.hasGap
 }
 
 // Undecodable returns how many records this version could not decode.
--- a/internal/configurer/freshness.go
+++ b/internal/configurer/freshness.go
@@ -41,7 +41,7 @@
 // recordContact ignores contacts while there is a gap, because the gap may contain withdrawals that this node lacks.
 func (c *Configurer) recordContact(n Contact, now clock.Time) {
 	o := &c.contact
-	if c.waiting || n.Reader == "" || n.Age < 0 || n.Age >= NoContact {
+	if c.hasGap || n.Reader == "" || n.Age < 0 || n.Age >= NoContact {
 		return
 	}
 	if last, known := o.stamps[n.Reader]; known && n.Stamp <= last {
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -58,7 +58,7 @@
 
 // needsPull reports whether this node must request records, because it can't rely on hints to bring them.
 func (c *Configurer) needsPull(now clock.Time) bool {
-	return c.waiting || c.reader.catchingUp || c.Freshness(now) > staleContactAge
+	return c.hasGap || c.reader.catchingUp || c.Freshness(now) > staleContactAge
 }
 
 // Receive processes a message from another node.
@@ -83,7 +83,7 @@
 	if offset < c.tail.next {
 		// The peer's log contact proves freshness only for a node that has all records that the peer has.
 		c.recordContact(n, now)
-		if !c.waiting {
+		if !c.hasGap {
 			return nil
 		}
 	}
@@ -99,7 +99,7 @@
 		return nil
 	}
 	c.relay.pullDeadline = now.Add(pullTimeout)
-	m := TailRequest{From: c.tail.next, State: c.waiting || c.lacksConfiguration(), Skip: c.maySkip(now)}
+	m := TailRequest{From: c.tail.next, State: c.hasGap || c.lacksConfiguration(), Skip: c.maySkip(now)}
 	return []Effect{Send{To: to, Message: m}}
 }
 
@@ -130,7 +130,7 @@
 	var effects []Effect
 	from := m.From
 	behind := from < c.tail.start
-	if (m.State || behind) && !c.waiting && c.through >= c.options.First {
+	if (m.State || behind) && !c.hasGap && c.through >= c.options.First {
 		effects = append(effects, Send{To: to, Message: State{Snapshot: c.configuration.snapshot(c.through)}})
 	}
 	if behind && m.Skip {
--- a/internal/configurer/snapshotter.go
+++ b/internal/configurer/snapshotter.go
@@ -9,8 +9,8 @@
 
 import "github.com/jackdawtide/jackdawtide/internal/clock"
 
-// oldest tracks the age of the oldest record that a new reader would need.
-type oldest struct {
+// oldestRecord tracks the age of the oldest record that a new reader would need.
+type oldestRecord struct {
 	recorded bool
 	wall     clock.Wall
 	read     clock.Time
@@ -18,26 +18,26 @@
 }
 
 // recordRead processes a record that is not a snapshot.
-func (o *oldest) recordRead(written clock.Wall, now clock.Time, wall clock.Wall) {
+func (o *oldestRecord) recordRead(written clock.Wall, now clock.Time, wall clock.Wall) {
 	if o.recorded {
 		return
 	}
-	*o = oldest{recorded: true, wall: min(written, wall), read: now}
+	*o = oldestRecord{recorded: true, wall: min(written, wall), read: now}
 }
 
-func (o *oldest) snapshotRead(written clock.Wall, now clock.Time, wall clock.Wall) {
-	*o = oldest{recorded: true, wall: min(written, wall), read: now}
+func (o *oldestRecord) snapshotRead(written clock.Wall, now clock.Time, wall clock.Wall) {
+	*o = oldestRecord{recorded: true, wall: min(written, wall), read: now}
 }
 
 // age returns the larger of two estimates: by the writer's clock, which may be fast, and by the time of reading, which
 // may be late.
-func (o *oldest) age(now clock.Time, wall clock.Wall) clock.Duration {
+func (o *oldestRecord) age(now clock.Time, wall clock.Wall) clock.Duration {
 	return max(now.Sub(o.read), wall.Sub(o.wall))
 }
 
 func (c *Configurer) tickSnapshot(now clock.Time, wall clock.Wall) []Effect {
-	o := &c.oldest
-	if !c.reader.elected || c.reader.failed || c.waiting || !o.recorded || o.age(now, wall) < c.options.Retention/2 {
+	o := &c.oldestRecord
+	if !c.reader.elected || c.reader.failed || c.hasGap || !o.recorded || o.age(now, wall) < c.options.Retention/2 {
 		return nil
 	}
 	if o.due == 0 {
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -153,7 +153,7 @@
 // backgroundRead releases it.
 func (c *connection) backgroundRead() (int, error) {
 	defer c.mu.Unlock()
-	c.startAllowed()
+	c.startAhead()
 	if c.readBuffer == nil {
 		c.readBuffer = make([]byte, readChunkBytes)
 	}
@@ -168,7 +168,7 @@
 			}
 			return 0, err
 		}
-		c.startAllowed()
+		c.startAhead()
 	}
 	for !c.readAborted {
 		c.readAbortedCond.Wait()
@@ -194,7 +194,7 @@
 	case r.ContentLength < 0:
 		c.phase = passthroughPhase
 	default:
-		c.startAllowed()
+		c.startAhead()
 	}
 	handedRun := c.handedRun
 	c.handedRun = nil
@@ -211,8 +211,8 @@
 	}
 }
 
-// startAllowed starts requests that were sent ahead, up to Options.MaxAhead; the caller holds the lock.
-func (c *connection) startAllowed() {
+// startAhead starts requests that were sent ahead, up to Options.MaxAhead; the caller holds the lock.
+func (c *connection) startAhead() {
 	for c.serving && !c.closing && c.phase == answeringPhase && c.queue.len() < c.options.MaxAhead {
 		ahead := c.readAhead[c.queue.coveredBytes:]
 		var b boundary
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -101,9 +101,9 @@
 	return &caller{Conn: n, reader: bufio.NewReader(n)}
 }
 
-func lookup(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
+func idempotentRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-func order(path, body string) string {
+func nonIdempotentRequest(path, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
@@ -144,7 +144,7 @@
 	s := serve(t, 4)
 	c := s.call(t)
 	begun := time.Now()
-	c.send(t, lookup("/200/a"), lookup("/200/b"), lookup("/200/c"))
+	c.send(t, idempotentRequest("/200/a"), idempotentRequest("/200/b"), idempotentRequest("/200/c"))
 	for _, want := range []string{"/200/a", "/200/b", "/200/c"} {
 		path, _ := c.answer(t)
 		assert.Equal(t, path, want)
@@ -158,17 +158,17 @@
 func TestClosedConnectionCancelsAllItsRequests(t *testing.T) {
 	for name, behind := range map[string][]string{
 		"alone":           nil,
-		"lookups behind":  {lookup("/900/b"), lookup("/900/c")},
-		"an order behind": {order("/900/b", "two rings")},
+		"lookups behind":  {idempotentRequest("/900/b"), idempotentRequest("/900/c")},
+		"an order behind": {nonIdempotentRequest("/900/b", "two rings")},
 		"part of a head":  {"GET /900/b HT"},
-		"a body first":    {lookup("/900/b")},
+		"a body first":    {idempotentRequest("/900/b")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t, 4)
 			c := s.call(t)
-			first := lookup("/900/a")
+			first := idempotentRequest("/900/a")
 			if name == "a body first" {
-				first = order("/900/a", "one ring")
+				first = nonIdempotentRequest("/900/a", "one ring")
 			}
 			c.send(t, first)
 			eventually(t, "begun", func() bool { return s.running.Load() == 1 })
@@ -192,7 +192,7 @@
 func TestOrderWaitsForItsTurn(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
-	c.send(t, lookup("/150/a"), order("/0/b", "two rings"), lookup("/0/c"))
+	c.send(t, idempotentRequest("/150/a"), nonIdempotentRequest("/0/b", "two rings"), idempotentRequest("/0/c"))
 	time.Sleep(75 * time.Millisecond)
 	assert.Equal(t, s.list(&s.begun), "/150/a")
 	for _, want := range [][2]string{{"/150/a", ""}, {"/0/b", "two rings"}, {"/0/c", ""}} {
@@ -206,17 +206,17 @@
 func TestNothingIsStartedBehindAnAnswerThatCloses(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
-	c.send(t, lookup("/50/close"))
+	c.send(t, idempotentRequest("/50/close"))
 	eventually(t, "begun", func() bool { return s.running.Load() == 1 })
 	time.Sleep(60 * time.Millisecond)
 	path, _ := c.answer(t)
 	assert.Equal(t, path, "/50/close")
-	_, _ = io.WriteString(c, lookup("/0/b"))
+	_, _ = io.WriteString(c, idempotentRequest("/0/b"))
 	time.Sleep(50 * time.Millisecond)
 	assert.Equal(t, s.list(&s.begun), "/50/close")
 
 	kept := s.call(t)
-	kept.send(t, lookup("/50/close"), lookup("/100/d"), lookup("/0/e"))
+	kept.send(t, idempotentRequest("/50/close"), idempotentRequest("/100/d"), idempotentRequest("/0/e"))
 	for _, want := range []string{"/50/close", "/100/d", "/0/e"} {
 		path, _ := kept.answer(t)
 		assert.Equal(t, path, want)
@@ -228,7 +228,7 @@
 func TestAbortedAnswerClosesTheConnection(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
-	c.send(t, lookup("/50/a"), lookup("/0/cut"), lookup("/0/c"))
+	c.send(t, idempotentRequest("/50/a"), idempotentRequest("/0/cut"), idempotentRequest("/0/c"))
 	path, _ := c.answer(t)
 	assert.Equal(t, path, "/50/a")
 	_, err := http.ReadResponse(c.reader, nil)
@@ -243,10 +243,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c.send(t, lookup("/600/0"))
+	c.send(t, idempotentRequest("/600/0"))
 	sent := make(chan error, 1)
 	go func() {
-		many := strings.Repeat(lookup("/1/0"), 100)
+		many := strings.Repeat(idempotentRequest("/1/0"), 100)
 		for range 60 {
 			if _, err := io.WriteString(c, many); err != nil {
 				sent <- err
@@ -273,7 +273,7 @@
 func TestLargeAnswerWaitsForItsTurn(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
-	c.send(t, lookup("/100/0"), lookup("/0/300000"), lookup("/0/7"))
+	c.send(t, idempotentRequest("/100/0"), idempotentRequest("/0/300000"), idempotentRequest("/0/7"))
 	for _, want := range []int{0, 300000, 7} {
 		_, body := c.answer(t)
 		assert.Equal(t, len(body), want)
@@ -292,12 +292,12 @@
 		for range rapid.IntRange(1, 12).Draw(rt, "requests") {
 			serial++
 			path := fmt.Sprintf("/%d/%d/%d", rapid.IntRange(0, 3).Draw(rt, "ms"), rapid.SampledFrom([]int{0, 9, 6000}).Draw(rt, "size"), serial)
-			hidden := lookup("/0/0/smuggled")
+			hidden := idempotentRequest("/0/0/smuggled")
 			body := hidden[:rapid.IntRange(1, len(hidden)).Draw(rt, "body")]
 			kind := rapid.SampledFrom([]func() string{
-				func() string { return lookup(path) },
-				func() string { return lookup(path) },
-				func() string { return order(path, body) },
+				func() string { return idempotentRequest(path) },
+				func() string { return idempotentRequest(path) },
+				func() string { return nonIdempotentRequest(path, body) },
 				func() string { return chunked(path, body) },
 				func() string { return "GET " + path + " HTTP/1.1\nHost: a\n\n" },
 			}).Draw(rt, "kind")
--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -19,11 +19,11 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// attempt is the state of appending one record.
-type attempt struct {
+// appendState is the state of appending one record.
+type appendState struct {
 	// sent is set once an append may have reached the log, added once an append was answered with an offset.
 	sent  bool
-	added bool
+	appended bool
 	cause error
 }
 
@@ -33,9 +33,9 @@
 	if err != nil {
 		return 0, NotAppendedError{Cause: err}
 	}
-	var a attempt
+	var s appendState
 	for {
-		if err := p.attemptAppend(ctx, data, &a); err != nil {
+		if err := p.attemptAppend(ctx, data, &s); err != nil {
 			return 0, err
 		}
 		o, found, err := p.findOutcome(ctx, v, id)
@@ -43,32 +43,32 @@
 			return result(o)
 		}
 		if err != nil {
-			a.cause = err
+			s.cause = err
 		}
 		if !clock.Sleep(ctx, p.options.RetryPause.Std()) {
-			return 0, a.unsettledError(id, ctx.Err())
+			return 0, s.finalError(id, ctx.Err())
 		}
 	}
 }
 
 // attemptAppend appends the record unless an earlier append was answered; it fails only if a retry can't succeed.
-func (p *Publisher) attemptAppend(ctx context.Context, data []byte, a *attempt) error {
-	if a.added {
+func (p *Publisher) attemptAppend(ctx context.Context, data []byte, s *appendState) error {
+	if s.appended {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.options.AttemptTimeout.Std())
 	defer cancel()
 	_, err := p.options.Log.Append(ctx, data)
 	if err == nil {
-		a.sent, a.added = true, true
+		s.sent, s.appended = true, true
 		return nil
 	}
 	var u appender.Unavailable
-	if !errors.As(err, &u) && !a.sent {
+	if !errors.As(err, &u) && !s.sent {
 		return NotAppendedError{Cause: err}
 	}
-	a.sent = a.sent || !u.NotSent
-	a.cause = err
+	s.sent = s.sent || !u.NotSent
+	s.cause = err
 	return nil
 }
 
@@ -80,14 +80,14 @@
 	return o, found, nil
 }
 
-func (a attempt) unsettledError(id configurer.ChangeID, end error) error {
-	if a.cause == nil {
-		a.cause = fmt.Errorf("the record can't be read back: %w", end)
+func (s appendState) finalError(id configurer.ChangeID, ctxErr error) error {
+	if s.cause == nil {
+		s.cause = fmt.Errorf("the record can't be read back: %w", ctxErr)
 	}
-	if !a.sent {
-		return NotAppendedError{Cause: a.cause}
+	if !s.sent {
+		return NotAppendedError{Cause: s.cause}
 	}
-	return InDoubtError{ID: id, Cause: a.cause}
+	return InDoubtError{ID: id, Cause: s.cause}
 }
 
 func result(o configurer.Outcome) (identifier.Version, error) {
--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -53,7 +53,7 @@
 	conn        *conn
 	stop        func() bool
 	sent        <-chan error
-	bodyAllowed bool
+	requestBodyAllowed bool
 	closed      bool
 	framed      bool
 }
@@ -142,7 +142,7 @@
 
 var errStray = errors.New("answer belongs to another request")
 
-func (c *Client) response(n *conn, head *http.Response, sent <-chan error, bodyAllowed bool) *Response {
+func (c *Client) response(n *conn, head *http.Response, sent <-chan error, requestBodyAllowed bool) *Response {
 	if head == nil {
 		return nil
 	}
@@ -150,7 +150,7 @@
 		Response:    head,
 		conn:        n,
 		sent:        sent,
-		bodyAllowed: bodyAllowed,
+		requestBodyAllowed: requestBodyAllowed,
 		framed:      head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 	}
 }
@@ -305,7 +305,7 @@
 // bodySent returns whether the request's body has been sent completely. A server that answered early may still expect
 // the rest of the body, and would read the next request as part of it.
 func (r *Response) bodySent() bool {
-	if !r.bodyAllowed {
+	if !r.requestBodyAllowed {
 		return false
 	}
 	if r.sent == nil {
--- a/internal/transporter/call.go
+++ b/internal/transporter/call.go
@@ -36,8 +36,8 @@
 	stream *quic.Stream
 	reader *bufio.Reader
 	body   bodyReader
-	// stopWatch stops the function that aborts the call when ctx ends.
-	stopWatch func() bool
+	// stopAbort stops the function that aborts the call when ctx ends.
+	stopAbort func() bool
 	// uploading is true if a separate goroutine sends the request's body.
 	uploading bool
 	// uploaded is true when the complete request has been sent.
@@ -77,7 +77,7 @@
 	if err := c.open(t, b.Bytes()); err != nil {
 		return NotSent, err
 	}
-	c.stopWatch = context.AfterFunc(c.ctx, c.abort)
+	c.stopAbort = context.AfterFunc(c.ctx, c.abort)
 	if bodyIncluded {
 		c.uploaded.Store(true)
 		return Sent, nil
@@ -258,7 +258,7 @@
 	if c.ended.Swap(true) {
 		return
 	}
-	if c.stopWatch() && reusable {
+	if c.stopAbort() && reusable {
 		c.link.releaseStream(c.stream)
 	} else {
 		c.abort()
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -176,8 +176,8 @@
 			continue
 		}
 		count++
-		idle := l.idleSince(now)
-		if idle > 0 && (oldest == nil || idle > oldest.idleSince(now)) {
+		idle := l.idleFor(now)
+		if idle > 0 && (oldest == nil || idle > oldest.idleFor(now)) {
 			oldest = l
 		}
 	}
--- a/internal/transporter/link.go
+++ b/internal/transporter/link.go
@@ -58,7 +58,7 @@
 	idleMu sync.Mutex
 	idle   []*quic.Stream
 
-	watcher watcher
+	peerMonitor peerMonitor
 
 	controlMu sync.Mutex
 	control   *quic.SendStream
@@ -87,7 +87,7 @@
 	l.lastUse.Store(time.Now().UnixNano())
 }
 
-func (l *link) idleSince(now time.Time) time.Duration {
+func (l *link) idleFor(now time.Time) time.Duration {
 	if l.calls.Load() > 0 || l.serving.Load() > 0 {
 		return 0
 	}
--- a/internal/transporter/watcher.go
+++ b/internal/transporter/peer_monitor.go
@@ -9,14 +9,14 @@
 
 import "time"
 
-// watcher is used only by the goroutine that runs maintenanceLoop.
-type watcher struct {
+// peerMonitor is used only by the goroutine that runs maintenanceLoop.
+type peerMonitor struct {
 	packets     uint64
 	lastContact time.Time
 }
 
 func (l *link) checkPeer(now time.Time) {
-	w := &l.watcher
+	w := &l.peerMonitor
 	packets := l.conn.ConnectionStats().PacketsReceived
 	busy := l.calls.Load() > 0 || l.serving.Load() > 0
 	if packets != w.packets || !busy {
--- a/internal/transporter/transporter.go
+++ b/internal/transporter/transporter.go
@@ -55,7 +55,7 @@
 }
 
 // quicConfig leaves keep-alive packets off: on a hundred idle connections they would use up a node's whole budget for
-// control traffic. A peer that crashes while calls are under way is detected by watcher.go.
+// control traffic. A peer that crashes while calls are under way is detected by peer_monitor.go.
 func quicConfig(o Options) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           o.DialTimeout.Std(),
@@ -184,7 +184,7 @@
 			continue
 		}
 		l.checkPeer(now)
-		if l.dialled && l.idleSince(now) > t.options.IdleAfter.Std() {
+		if l.dialled && l.idleFor(now) > t.options.IdleAfter.Std() {
 			l.startClose()
 		}
 	}
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -77,12 +77,12 @@
 	failing       bool
 	// hadRecords is set if the last answer had records and came from the store itself.
 	hadRecords bool
-	pause      clock.Duration
+	retryWait      clock.Duration
 
 	mu sync.Mutex
 	// interrupt ends the current read, which may stay open for the time in waiting; nil while there is none.
 	interrupt context.CancelFunc
-	waiting   clock.Duration
+	readWait   clock.Duration
 	// retry ends the wait after a failed attempt; nil while there is none.
 	retry context.CancelFunc
 	// interrupted is set if the last read was interrupted.
@@ -149,7 +149,7 @@
 		w.options.OnLost(err)
 		return
 	}
-	w.pause = 0
+	w.retryWait = 0
 	w.options.OnRegained()
 }
 
@@ -158,8 +158,8 @@
 	if w.options.Backoff != nil {
 		b = w.options.Backoff()
 	}
-	w.pause = min(b.Max, max(b.First, b.Factor*w.pause))
-	return w.pause/2 + clock.Duration(rand.Int64N(int64(w.pause)/2+1))
+	w.retryWait = min(b.Max, max(b.First, b.Factor*w.retryWait))
+	return w.retryWait/2 + clock.Duration(rand.Int64N(int64(w.retryWait)/2+1))
 }
 
 func (w *Watcher) step(ctx context.Context) error {
@@ -207,7 +207,7 @@
 func (w *Watcher) beginRead(interrupt context.CancelFunc, wait clock.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.interrupt, w.waiting = interrupt, wait
+	w.interrupt, w.readWait = interrupt, wait
 }
 
 // endRead marks the read as ended and reports whether it was interrupted.
@@ -224,7 +224,7 @@
 func (w *Watcher) Interrupt(longerThan clock.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.interrupt == nil || w.waiting <= longerThan {
+	if w.interrupt == nil || w.readWait <= longerThan {
 		return
 	}
 	w.interrupt()
