--- a/internal/assembler/effects.go
+++ b/internal/assembler/effects.go
@@ -120,7 +120,7 @@
 }
 
 // A claim is appended once: the claimer reads it back from the log and appends it again itself if necessary. Other records
-// are retried here until the log has accepted them, because no other part retries them.
+// are retried here until the log has accepted them, because no other part retries them; only a full queue drops them.
 func (o *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
 	b, err := encoder.Encode(e.Record)
 	if err != nil {
--- a/internal/assembler/state_reader.go
+++ b/internal/assembler/state_reader.go
@@ -61,7 +61,7 @@
 	return status
 }
 
-// silenceUnknown is the silence in the status of a node that has never had news of the configuration.
+// silenceUnknown is the silence in the status of a node that has never had information from the log.
 const silenceUnknown = -1
 
 func (s *stateReader) nodeStatus(n identifier.Node, st reducer.Status) inspector.NodeStatus {
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -65,6 +65,7 @@
 	return "current"
 }
 
+// formatAge formats the age of a node's newest information from the log.
 func formatAge(silenceMs int64) string {
 	if silenceMs < 0 {
 		return "never"
--- a/internal/configurer/applier.go
+++ b/internal/configurer/applier.go
@@ -107,6 +107,7 @@
 	for _, h := range held {
 		effects = append(effects, c.applyChange(h.offset, h.record)...)
 	}
+	// The records read after the last held change contain no other change that this version can apply.
 	c.through = max(c.through, c.tail.next-1)
 	return slices.Clip(effects)
 }
--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -25,7 +25,7 @@
 	First identifier.Offset
 	// Retention is how long the log keeps records.
 	Retention clock.Duration
-	// MaxSilence is the greatest Freshness at which MayServe still holds; 0 sets no limit.
+	// MaxSilence is the greatest Freshness, an age, at which MayServe still holds; 0 sets no limit.
 	MaxSilence clock.Duration
 	// Readers is how many nodes per failure domain read the log.
 	Readers int
@@ -51,16 +51,18 @@
 	configuration configuration
 	// through is the offset up to which records are applied to the configuration.
 	through identifier.Offset
-	// lastMissing is the minimum Through of a snapshot that closes a gap; waiting is set while there is a gap.
-	lastMissing    identifier.Offset
-	hasGap   bool
-	held      []heldChange
-	suspended map[identifier.KeyHash]bool
-	tail      tail
-	relay     relay
-	reader    reader
-	contact   contact
-	oldestRecord    oldestRecord
+	// hasGap is set from the loss of records until a snapshot replaces them: one whose Through reaches lastMissing, the
+	// last offset of the gap.
+	lastMissing identifier.Offset
+	hasGap      bool
+	held        []heldChange
+	// suspended holds the keys whose withdrawal was read during a gap; they are invalid at once.
+	suspended    map[identifier.KeyHash]bool
+	tail         tail
+	relay        relay
+	reader       reader
+	contact      contact
+	oldestRecord oldestRecord
 	// undecodable counts the records that this version could not decode.
 	undecodable int64
 }
--- a/internal/logkeeper/keeper.go
+++ b/internal/logkeeper/keeper.go
@@ -1,6 +1,6 @@
 package logkeeper
 
-// The keeper holds the records and alone implements the log's rules: offsets, retention and waiting reads. The handler in
+// The keeper holds the records and alone implements the log's rules: offsets, retention and long polls. The handler in
 // handler.go only maps them to HTTP.
 //
 // Example: with KeepCount 2, after appends at offsets 1, 2 and 3 the earliest offset is 2.
@@ -29,7 +29,7 @@
 	switches Switches
 	records  []appender.Record
 	next     appender.Offset
-	// changed is closed and replaced whenever waiting reads must check the records again.
+	// changed is closed and replaced whenever long polls must check the records again.
 	changed chan struct{}
 }
 
--- a/internal/logkeeper/keeper_test.go
+++ b/internal/logkeeper/keeper_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// The log has an outage and then recovers. A waiting read must fail at once instead of staying open, and an append
+// The log has an outage and then recovers. A long poll must fail at once instead of staying open, and an append
 // during the outage must return an error.
 func TestOutageFailsWaitingReads(t *testing.T) {
 	k, c, url := serve(t, Options{})
@@ -155,7 +155,7 @@
 	assert.Equal(t, o, appender.Offset(1), "an append during an outage must have no effect")
 }
 
-// Nodes wait for new records of the log. If an append did not end their waiting reads, a withdrawn key would remain
+// Nodes wait for new records of the log. If an append did not end their long polls, a withdrawn key would remain
 // valid until the wait times out.
 func TestAppendWakesWaitingRead(t *testing.T) {
 	_, c, _ := serve(t, Options{})
@@ -171,7 +171,7 @@
 	case b := <-got:
 		assert.Equal(t, len(b.Records), 1)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the waiting read did not return the appended record within 5 s")
+		t.Fatal("the long poll did not return the appended record within 5 s")
 	}
 }
 
--- a/internal/pipeliner/connection.go
+++ b/internal/pipeliner/connection.go
@@ -6,8 +6,8 @@
 // handles this read itself: it reads ahead, up to a bound, and returns only when the connection ends or the server aborts
 // the read.
 //
-// Example: a caller sends two lookups at once and closes the connection 150 ms later: the background read sees the end,
-// the server cancels the first lookup, and the second is never started or is cancelled as well.
+// Example: a caller pipelines two idempotent requests and closes the connection 150 ms later: the background read sees
+// the end, the server cancels the first request, and the second is never started or is cancelled as well.
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 )
 
 const (
-	// maxReadAheadBytes bounds the bytes held for a caller that sends without waiting: some 200 requests. Beyond it the
-	// system's buffers fill up, and a closed connection is only detected when the next request's turn comes.
+	// maxReadAheadBytes bounds the bytes held for a pipelining caller: some 200 requests. Beyond it the system's
+	// buffers fill up, and a closed connection is only detected when the next request's turn comes.
 	maxReadAheadBytes = 64 << 10
 	// readChunkBytes is the size of each connection's read buffer; it holds one or two requests.
 	readChunkBytes = 512
@@ -58,7 +58,8 @@
 	bodyLeft int64
 	// serving is whether a request is being answered.
 	serving bool
-	// closing is whether the current answer ends the connection.
+	// closing is whether an answer ends the connection: the current one or that of the last request started ahead. No
+	// further request is started ahead then.
 	closing bool
 	// readAborted is whether the server has aborted its background read; readAbortedCond signals changes of it.
 	readAborted     bool
@@ -216,8 +217,8 @@
 	for c.serving && !c.closing && c.phase == answeringPhase && c.queue.len() < c.options.MaxAhead {
 		ahead := c.readAhead[c.queue.coveredBytes:]
 		var b boundary
-		n, whole := b.end(ahead)
-		if !whole {
+		n, complete := b.end(ahead)
+		if !complete {
 			return
 		}
 		request, ok := parseHead(ahead[:n])
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -138,9 +138,9 @@
 	t.Fatalf("condition not met within 1 s: %s", what)
 }
 
-// A caller sends three lookups at once. Processed one after the other, the first would delay the others; each is started
-// at once, and the answers come in the order of the requests.
-func TestSlowLookupDoesNotDelayLaterOnes(t *testing.T) {
+// A caller sends three idempotent requests at once. Processed one after the other, the first would delay the others; each
+// is started at once, and the answers come in the order of the requests.
+func TestSlowRequestDoesNotDelayLaterOnes(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	begun := time.Now()
@@ -157,11 +157,11 @@
 // cancelled, endpoints would continue work that nobody waits for, until it occupies all their slots.
 func TestClosedConnectionCancelsAllItsRequests(t *testing.T) {
 	for name, behind := range map[string][]string{
-		"alone":           nil,
-		"lookups behind":  {idempotentRequest("/900/b"), idempotentRequest("/900/c")},
-		"an order behind": {nonIdempotentRequest("/900/b", "two rings")},
-		"part of a head":  {"GET /900/b HT"},
-		"a body first":    {idempotentRequest("/900/b")},
+		"alone":                           nil,
+		"idempotent requests behind":      {idempotentRequest("/900/b"), idempotentRequest("/900/c")},
+		"a non-idempotent request behind": {nonIdempotentRequest("/900/b", "two rings")},
+		"part of a head":                  {"GET /900/b HT"},
+		"a body first":                    {idempotentRequest("/900/b")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t, 4)
@@ -187,9 +187,9 @@
 	}
 }
 
-// An order is sent behind a slow lookup. If it were started ahead of its turn, it would run twice when the connection ends
-// before its turn and its caller sends it again; so it waits, and so do the requests behind it.
-func TestOrderWaitsForItsTurn(t *testing.T) {
+// A non-idempotent request is sent behind a slow one. If it were started ahead of its turn, it would run twice when the
+// connection ends before its turn and its caller sends it again; so it waits, and so do the requests behind it.
+func TestNonIdempotentRequestWaitsForItsTurn(t *testing.T) {
 	s := serve(t, 4)
 	c := s.call(t)
 	c.send(t, idempotentRequest("/150/a"), nonIdempotentRequest("/0/b", "two rings"), idempotentRequest("/0/c"))
--- a/internal/pipeliner/run.go
+++ b/internal/pipeliner/run.go
@@ -4,7 +4,8 @@
 // Answers are sent in the order of the requests, so an early answer is buffered until the earlier ones are sent. The
 // handler of an answer larger than the buffer blocks until the request's turn.
 //
-// Example: lookups a (900 ms) and b (20 ms) are sent together; b's answer is ready after 20 ms and is sent after a's.
+// Example: idempotent requests a (900 ms) and b (20 ms) are sent together; b's answer is ready after 20 ms and is sent
+// after a's.
 
 import (
 	"bufio"
--- a/internal/publisher/confirmer.go
+++ b/internal/publisher/confirmer.go
@@ -19,12 +19,12 @@
 	"github.com/jackdawtide/jackdawtide/pkg/appender"
 )
 
-// appendState is the state of appending one record.
+// appendState is what is known of a record after all attempts to append it so far.
 type appendState struct {
-	// sent is set once an append may have reached the log, added once an append was answered with an offset.
-	sent  bool
+	// sent is set once an append may have reached the log, appended once an append was answered with an offset.
+	sent     bool
 	appended bool
-	cause error
+	cause    error
 }
 
 // appendAndConfirm appends a record, repeatedly if needed, until its outcome can be read or ctx ends.
@@ -51,7 +51,8 @@
 	}
 }
 
-// attemptAppend appends the record unless an earlier append was answered; it fails only if a retry can't succeed.
+// attemptAppend appends the record unless an earlier append was answered with an offset. It fails only if the log refuses
+// the record and no earlier append can have reached the log; otherwise the outcome may still be read.
 func (p *Publisher) attemptAppend(ctx context.Context, data []byte, s *appendState) error {
 	if s.appended {
 		return nil
@@ -80,6 +81,7 @@
 	return o, found, nil
 }
 
+// finalError returns the error for a change whose outcome was not read before ctx ended.
 func (s appendState) finalError(id configurer.ChangeID, ctxErr error) error {
 	if s.cause == nil {
 		s.cause = fmt.Errorf("the record can't be read back: %w", ctxErr)
--- a/internal/receiver/exchange.go
+++ b/internal/receiver/exchange.go
@@ -249,8 +249,8 @@
 	r.body = append(r.body, p...)
 }
 
-func (r *recorder) outcome(head transporter.AnswerHead, whole bool) *reducer.RecordedOutcome {
-	if r == nil || !whole {
+func (r *recorder) outcome(head transporter.AnswerHead, complete bool) *reducer.RecordedOutcome {
+	if r == nil || !complete {
 		return nil
 	}
 	fields := make([]reducer.Field, 0, len(head.Header))
--- a/internal/requester/client.go
+++ b/internal/requester/client.go
@@ -49,13 +49,17 @@
 // Response is an answer whose body has not been read yet.
 type Response struct {
 	*http.Response
-	client      *Client
-	conn        *conn
-	stop        func() bool
-	sent        <-chan error
+	client *Client
+	conn   *conn
+	// stop ends the watch of the context; it returns false if the context's end has already aborted the connection.
+	stop func() bool
+	// sent carries the result of sending the request's body; nil if there is none to send.
+	sent <-chan error
+	// requestBodyAllowed is false if the server answered the head with a status other than 100 Continue.
 	requestBodyAllowed bool
-	closed      bool
-	framed      bool
+	closed             bool
+	// framed is set if the head states where the answer's body ends.
+	framed bool
 }
 
 // Do sends a request and returns the head of its answer. The context covers the exchange until the body has been read.
@@ -147,11 +151,11 @@
 		return nil
 	}
 	return &Response{
-		Response:    head,
-		conn:        n,
-		sent:        sent,
+		Response:           head,
+		conn:               n,
+		sent:               sent,
 		requestBodyAllowed: requestBodyAllowed,
-		framed:      head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
+		framed:             head.ContentLength >= 0 || len(head.TransferEncoding) > 0,
 	}
 }
 
@@ -278,7 +282,8 @@
 	}
 }
 
-// Close ends the exchange. The connection returns to the pool only if request and answer are complete and it may be reused.
+// Close ends the exchange; readToEnd states whether the answer's body was read to its end. The connection returns to the
+// pool only if request and answer are complete and it may be reused.
 func (r *Response) Close(readToEnd bool) {
 	if r.closed {
 		return
--- a/internal/transporter/call.go
+++ b/internal/transporter/call.go
@@ -36,7 +36,7 @@
 	stream *quic.Stream
 	reader *bufio.Reader
 	body   bodyReader
-	// stopAbort stops the function that aborts the call when ctx ends.
+	// stopAbort prevents the end of ctx from aborting the call; it returns false if that abort has already begun.
 	stopAbort func() bool
 	// uploading is true if a separate goroutine sends the request's body.
 	uploading bool
@@ -253,7 +253,7 @@
 
 // finish counts the call as ended, once. It releases the stream for reuse, or resets it, which also stops an upload
 // whose rest is not needed. A reset caused by the end of ctx must not hit the stream's next call, so a stream is reused
-// only if stopWatch returned before that reset began.
+// only if stopAbort prevented that reset.
 func (c *call) finish(reusable bool) {
 	if c.ended.Swap(true) {
 		return
--- a/internal/transporter/failure_test.go
+++ b/internal/transporter/failure_test.go
@@ -141,8 +141,8 @@
 			answer, phase, err := a.Call(context.Background(), to, head, nil)
 			if err == nil {
 				_, err = io.ReadAll(answer.Body)
-				_, whole := answer.Tail()
-				assert.Assert(t, !whole)
+				_, complete := answer.Tail()
+				assert.Assert(t, !complete)
 			}
 			var callErr CallError
 			assert.Assert(t, errors.As(err, &callErr), "%v", err)
@@ -206,8 +206,8 @@
 	assert.DeepEqual(t, answer.Head.Refusal, &Refusal{Reason: "shed", NotRun: true, RetryAfter: 40, DecidedBy: "b"})
 	_, err = io.ReadAll(answer.Body)
 	assert.NilError(t, err)
-	tail, whole := answer.Tail()
-	assert.Assert(t, whole && tail.Allowance == 3)
+	tail, complete := answer.Tail()
+	assert.Assert(t, complete && tail.Allowance == 3)
 	time.Sleep(50 * time.Millisecond)
 	sent := body.n.Load()
 	assert.Assert(t, sent < 20<<20, "%d bytes were read for a refused upload", sent)
--- a/internal/transporter/link.go
+++ b/internal/transporter/link.go
@@ -49,7 +49,8 @@
 	dialled bool
 	// peer is set once, before the link is used.
 	peer atomic.Pointer[identifier.Node]
-	// calls counts the calls sent and not yet answered, serving those received and not yet answered.
+	// calls counts the calls sent and not yet answered, and the batches of control messages being written; serving counts
+	// the calls received and not yet answered.
 	calls   atomic.Int32
 	serving atomic.Int32
 	lastUse atomic.Int64
@@ -87,6 +88,7 @@
 	l.lastUse.Store(time.Now().UnixNano())
 }
 
+// idleFor returns how long the link has been unused; 0 while a call is under way.
 func (l *link) idleFor(now time.Time) time.Duration {
 	if l.calls.Load() > 0 || l.serving.Load() > 0 {
 		return 0
@@ -137,7 +139,9 @@
 	}()
 }
 
-// continueClose sends the finished frame when it is due, and closes the connection when both nodes have sent theirs.
+// continueClose sends the finished frame when it is due, and closes the connection when both nodes have sent theirs. A
+// node whose own frame is the second of the two leaves the closing to the peer, which closes on receiving it; if the node
+// closed at once, that frame could be lost.
 func (l *link) continueClose() {
 	l.mu.Lock()
 	due := l.goodbyeSent && l.goodbyeReceived && !l.finishedSent && l.calls.Load() == 0
@@ -155,8 +159,6 @@
 	}
 }
 
-// sendFinished sends the finished frame. The node that receives the second of the two closes the connection, so that
-// neither frame is lost.
 func (l *link) sendFinished() {
 	if l.sendControl(frameFinished, nil) != nil {
 		l.closeNow(codeGoodbye)
--- a/internal/transporter/peer_monitor.go
+++ b/internal/transporter/peer_monitor.go
@@ -9,7 +9,7 @@
 
 import "time"
 
-// peerMonitor is used only by the goroutine that runs maintenanceLoop.
+// peerMonitor detects a dead peer of a link; it is used only by the goroutine that runs maintenanceLoop.
 type peerMonitor struct {
 	packets     uint64
 	lastContact time.Time
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -1,7 +1,7 @@
 package watcher
 
-// A watcher keeps one waiting read open, for as long as its user allows with Wait. Each answer proves that the topic
-// held no other records at the time when the read was sent. Whether a withdrawn key may still be accepted depends on
+// A watcher keeps one long poll open, for as long as its user allows with Wait. Each answer proves that the topic held
+// no other records at the time when the read was sent. Whether a withdrawn key may still be accepted depends on
 // that time and not on the time of arrival, since an answer may be in transit for any length of time.
 //
 // Example: a read sent at 1000 that returns empty at 2500 proves where the topic ended at 1000, not at 2500.
@@ -53,7 +53,8 @@
 	OnRegained func()
 }
 
-// Backoff sets the wait after the first failed attempt, the longest wait, and the factor between successive waits.
+// Backoff sets the wait after the first failed attempt, the longest wait, and the factor between successive waits, a
+// plain number in spite of its type.
 type Backoff struct {
 	First, Max clock.Duration
 	Factor     clock.Duration
@@ -65,7 +66,7 @@
 
 const (
 	// needCheckInterval is the time between two checks whether the topic has to be followed again: a fifth of the time
-	// that a node takes to notice this.
+	// (1.5 s) after which a node that gets no reports from other nodes has to follow the store itself.
 	needCheckInterval = 300 * clock.Millisecond
 )
 
@@ -75,14 +76,15 @@
 	next          identifier.Offset
 	positionKnown bool
 	failing       bool
-	// hadRecords is set if the last answer had records and came from the store itself.
+	// hadRecords is set if the last answer had records and came from the store itself, and after each read of the newest
+	// records.
 	hadRecords bool
-	retryWait      clock.Duration
+	retryWait  clock.Duration
 
 	mu sync.Mutex
-	// interrupt ends the current read, which may stay open for the time in waiting; nil while there is none.
+	// interrupt ends the current read, which may stay open for readWait; nil while there is none.
 	interrupt context.CancelFunc
-	readWait   clock.Duration
+	readWait  clock.Duration
 	// retry ends the wait after a failed attempt; nil while there is none.
 	retry context.CancelFunc
 	// interrupted is set if the last read was interrupted.
@@ -170,7 +172,7 @@
 	}
 	wait := w.options.Wait()
 	if w.failing || w.interrupted {
-		// A waiting read can't distinguish a store that does not answer from one without new records, so the read after
+		// A long poll can't distinguish a store that does not answer from one without new records, so the read after
 		// a failure requests an immediate answer. So does the read after an interrupt, whose caller needs an answer soon.
 		wait = 0
 	}
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -204,7 +204,7 @@
 	assert.Assert(t, zero >= 1)
 }
 
-// An empty answer to a waiting read proves nothing about the time at which it arrived: a key may have been withdrawn
+// An empty answer to a long poll proves nothing about the time at which it arrived: a key may have been withdrawn
 // just after the store checked for records. With the arrival as AsOf, a withdrawn key would remain valid for the length
 // of the wait.
 func TestProofIsAsOfRequestTime(t *testing.T) {
