--- a/internal/checker/fields.go
+++ b/internal/checker/fields.go
@@ -96,7 +96,7 @@
 	return b
 }
 
-// Integer returns an integer within bounds, or 0 if it is faulty; the field is required.
+// Integer returns an integer within bounds, or 0 if it is invalid; the field is required.
 func (t *Table) Integer(key string, low, high int64) int64 {
 	v, given := t.lookUp(key)
 	if !given {
--- a/internal/launcher/publish.go
+++ b/internal/launcher/publish.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// A claim is ready once its holder may act. At the start of a fleet that takes the longest term of anything that an earlier
-// holder might have granted.
+// A claim is ready once its holder may act. At the start of a fleet this takes as long as the longest-lived grant that an
+// earlier holder might have made.
 func (f *Fleet) awaitClaims(ctx context.Context, m *Member) error {
 	for {
 		held, known := f.claimsHeld(m)
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -83,7 +83,7 @@
 			var f checker.Faults
 			assert.Assert(t, errors.As(err, &f))
 			golden.Assert(t, err.Error()+"\n", name+".golden")
-			assert.Equal(t, fmt.Sprintf("%+v", s), fmt.Sprintf("%+v", Settings{}), "a faulty file must leave all settings empty")
+			assert.Equal(t, fmt.Sprintf("%+v", s), fmt.Sprintf("%+v", Settings{}), "an invalid file must leave all settings empty")
 		})
 	}
 }
--- a/internal/loader/sidecar_test.go
+++ b/internal/loader/sidecar_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// A faulty file must prevent the node from starting, and each fault must name its field and value.
+// An invalid file must prevent the node from starting, and each fault must name its field and value.
 func TestFaultySidecarSettings(t *testing.T) {
 	tests := map[string][3]string{
 		"name":           {`name = "n-1"`, ``, "node.name"},
@@ -133,7 +133,7 @@
 	}
 }
 
-// The settings file of a running node changes, first to a faulty and then to a valid one. If part of a faulty file came
+// The settings file of a running node changes, first to an invalid and then to a valid one. If part of an invalid file came
 // into force, or the node stopped because of it, callers would lose requests.
 func TestFollow(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -47,11 +47,11 @@
 	mailboxes map[reducer.CallID]chan reducer.CallEffect
 }
 
-// New returns a performer that applies events to m and passes effects on other processes to o.
-func New(c *clock.Clock, m Machine, o EffectHandler) *Performer {
+// New returns a performer that applies events to m and passes effects on other processes to h.
+func New(c *clock.Clock, m Machine, h EffectHandler) *Performer {
 	return &Performer{
 		clock:     c,
-		handler:   o,
+		handler:   h,
 		machine:   m,
 		mailboxes: make(map[reducer.CallID]chan reducer.CallEffect),
 	}
--- a/internal/presetter/parser.go
+++ b/internal/presetter/parser.go
@@ -1,6 +1,6 @@
 package presetter
 
-// Parse returns a preset or faults, never both, so that no part of a faulty file can reach the log. Besides types and
+// Parse returns a preset or faults, never both, so that no part of an invalid file can reach the log. Besides types and
 // units it checks consistency: it refuses shares whose sum exceeds 100%, routes of services that the preset does not
 // define, routes that an earlier one shadows, and names that are given twice.
 //
--- a/internal/requester/pool.go
+++ b/internal/requester/pool.go
@@ -6,7 +6,7 @@
 // endpoint would fail the requests sent on its closed connections, and those that must not run twice could not be
 // retried.
 //
-// Example: an endpoint sends a second answer after a whole one; the connection is closed instead of reused.
+// Example: an endpoint sends a second answer after a complete one; the connection is closed instead of reused.
 
 import (
 	"bufio"
@@ -38,7 +38,7 @@
 	closed atomic.Bool
 	// traffic counts the bytes of the request under way, nil for none.
 	traffic atomic.Pointer[Traffic]
-	// bodyFailed is set where the body of the request under way could not be read.
+	// bodyFailed is set if the body of the request under way could not be read.
 	bodyFailed atomic.Pointer[BodyError]
 }
 
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -169,7 +169,7 @@
 // evictIdleLink starts to close the dialled link that has been idle longest if MaxLinks are open.
 func (t *Transporter) evictIdleLink() error {
 	now := time.Now()
-	var oldest *link
+	var longestIdle *link
 	count := 0
 	for _, l := range t.currentLinks() {
 		if !l.dialled {
@@ -177,17 +177,17 @@
 		}
 		count++
 		idle := l.idleFor(now)
-		if idle > 0 && (oldest == nil || idle > oldest.idleFor(now)) {
-			oldest = l
+		if idle > 0 && (longestIdle == nil || idle > longestIdle.idleFor(now)) {
+			longestIdle = l
 		}
 	}
 	if count < t.options.MaxLinks {
 		return nil
 	}
-	if oldest == nil {
+	if longestIdle == nil {
 		return errTooManyLinks
 	}
-	oldest.startClose()
+	longestIdle.startClose()
 	return nil
 }
 
--- a/internal/transporter/stream_reuse_test.go
+++ b/internal/transporter/stream_reuse_test.go
@@ -63,8 +63,8 @@
 		return
 	}
 	_, _ = io.ReadAll(answer.Body)
-	_, whole := answer.Tail()
-	assert.Check(t, whole || cancels, "caller %s got an incomplete answer", marker)
+	_, complete := answer.Tail()
+	assert.Check(t, complete || cancels, "caller %s got an incomplete answer", marker)
 }
 
 // The body of a refused call is not read. If its stream carried the next call, the rest of that body would be parsed as
