--- a/internal/transporter/call.go
+++ b/internal/transporter/call.go
@@ -36,8 +36,8 @@
 	stream *quic.Stream
 	reader *bufio.Reader
 	body   bodyReader
-	// stopWatch stops the function that aborts the call when ctx ends.
-	stopWatch func() bool
+	// stopAbort prevents the end of ctx from aborting the call; it returns false if that abort has already begun.
+	stopAbort func() bool
 	// uploading is true if a separate goroutine sends the request's body.
 	uploading bool
 	// uploaded is true when the complete request has been sent.
@@ -77,7 +77,7 @@
 	if err := c.open(t, b.Bytes()); err != nil {
 		return NotSent, err
 	}
-	c.stopWatch = context.AfterFunc(c.ctx, c.abort)
+	c.stopAbort = context.AfterFunc(c.ctx, c.abort)
 	if bodyIncluded {
 		c.uploaded.Store(true)
 		return Sent, nil
@@ -253,12 +253,12 @@
 
 // finish counts the call as ended, once. It releases the stream for reuse, or resets it, which also stops an upload
 // whose rest is not needed. A reset caused by the end of ctx must not hit the stream's next call, so a stream is reused
-// only if stopWatch returned before that reset began.
+// only if stopAbort prevented that reset.
 func (c *call) finish(reusable bool) {
 	if c.ended.Swap(true) {
 		return
 	}
-	if c.stopWatch() && reusable {
+	if c.stopAbort() && reusable {
 		c.link.releaseStream(c.stream)
 	} else {
 		c.abort()
