--- a/internal/demonstrator/promises.go
+++ b/internal/demonstrator/promises.go
@@ -171,14 +171,14 @@
 
 func judgeNotRun(a *audit) (bool, string) {
 	notRunCount, wrong := 0, 0
-	ranOtherwise := make(map[string]bool)
+	mayHaveRun := make(map[string]bool)
 	for _, o := range a.outcomes {
 		if !o.refused() || !o.notRun {
-			ranOtherwise[o.id] = true
+			mayHaveRun[o.id] = true
 		}
 	}
 	for _, o := range a.outcomes {
-		if !o.refused() || !o.notRun || ranOtherwise[o.id] {
+		if !o.refused() || !o.notRun || mayHaveRun[o.id] {
 			continue
 		}
 		notRunCount++
@@ -191,7 +191,7 @@
 
 func judgeOnce(a *audit) (bool, string) {
 	ids, twice, replays, differing, example := 0, 0, 0, 0, ""
-	first := make(map[string]string)
+	previous := make(map[string]string)
 	for _, o := range a.outcomes {
 		if o.idempotent {
 			continue
@@ -206,13 +206,13 @@
 		if !o.answered() {
 			continue
 		}
-		if text, ok := first[o.id]; ok {
+		if text, ok := previous[o.id]; ok {
 			replays++
 			if text != o.text {
 				differing++
 			}
 		}
-		first[o.id] = o.text
+		previous[o.id] = o.text
 	}
 	held := ids > 0 && replays > 0 && twice == 0 && differing == 0
 	return held, fmt.Sprintf("%d of %d ids ran twice; %d of %d answers to a retry differed from the first%s", twice, ids, differing, replays, example)
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -42,8 +42,8 @@
 // attemptTimeout before its start.
 func (a audit) chargesOf(team identifier.Team) []chargeWindow {
 	sent := make(map[string]time.Time)
-	for _, s := range a.operations {
-		for _, t := range s.attempts {
+	for _, o := range a.operations {
+		for _, t := range o.attempts {
 			sent[t.request] = t.sent
 		}
 	}
@@ -66,8 +66,8 @@
 
 func (a audit) startsOf(team identifier.Team) []time.Time {
 	var list []time.Time
-	for _, p := range a.chargesOf(team) {
-		list = append(list, p.latest)
+	for _, w := range a.chargesOf(team) {
+		list = append(list, w.latest)
 	}
 	slices.SortFunc(list, time.Time.Compare)
 	return list
@@ -136,9 +136,9 @@
 	return next
 }
 
-func insert(waiting []chargeWindow, p chargeWindow) []chargeWindow {
-	i, _ := slices.BinarySearchFunc(waiting, p, func(x, y chargeWindow) int { return x.latest.Compare(y.latest) })
-	return slices.Insert(waiting, i, p)
+func insert(waiting []chargeWindow, w chargeWindow) []chargeWindow {
+	i, _ := slices.BinarySearchFunc(waiting, w, func(x, y chargeWindow) int { return x.latest.Compare(y.latest) })
+	return slices.Insert(waiting, i, w)
 }
 
 // doubleRuns counts the starts beyond the first of each idempotency id, over all backend servers.
@@ -164,8 +164,8 @@
 		started[s.Request] = true
 	}
 	n := 0
-	for _, s := range a.operations {
-		for _, t := range s.attempts {
+	for _, o := range a.operations {
+		for _, t := range o.attempts {
 			if t.notRun && started[t.request] {
 				n++
 			}
@@ -197,12 +197,12 @@
 // bookingsServed is the ratio of bookings of teams within their rate that succeeded on any attempt.
 func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
-	for _, s := range a.operations {
-		if s.id == "" || !a.isWithinRate(s.team) {
+	for _, o := range a.operations {
+		if o.id == "" || !a.isWithinRate(o.team) {
 			continue
 		}
 		all++
-		if s.succeeded() {
+		if o.succeeded() {
 			served++
 		}
 	}
@@ -214,12 +214,12 @@
 func (a audit) wrongfulRefusals() (ratio float64, reasons map[string]int, ok bool) {
 	var all, refused float64
 	reasons = make(map[string]int)
-	for _, s := range a.operations {
-		if !a.isWithinRate(s.team) || len(s.attempts) == 0 {
+	for _, o := range a.operations {
+		if !a.isWithinRate(o.team) || len(o.attempts) == 0 {
 			continue
 		}
 		all++
-		first := s.attempts[0]
+		first := o.attempts[0]
 		if first.succeeded() || first.reason == "idempotencyInProgress" {
 			continue
 		}
--- a/internal/faulter/load.go
+++ b/internal/faulter/load.go
@@ -57,8 +57,8 @@
 	attempts []attempt
 }
 
-func (s operation) succeeded() bool {
-	for _, a := range s.attempts {
+func (o operation) succeeded() bool {
+	for _, a := range o.attempts {
 		if a.succeeded() {
 			return true
 		}
@@ -117,28 +117,28 @@
 		if at >= l.length || !clock.SleepUntil(ctx, l.start.Add(at)) {
 			return
 		}
-		s := operation{team: t.name, at: at}
+		o := operation{team: t.name, at: at}
 		if r.Float64() < t.bookingRatio {
-			s.id = uuid.Must(uuid.NewV7()).String()
+			o.id = uuid.Must(uuid.NewV7()).String()
 		}
 		node := l.run.scenario.chooseNode(at, r)
-		sendTwice := s.id != "" && r.Float64() < duplicateSendRatio
-		l.group.Go(func() { l.runOperation(ctx, s, node, sendTwice) })
+		sendTwice := o.id != "" && r.Float64() < duplicateSendRatio
+		l.group.Go(func() { l.runOperation(ctx, o, node, sendTwice) })
 	}
 }
 
-func (l *load) runOperation(ctx context.Context, s operation, node int, sendTwice bool) {
+func (l *load) runOperation(ctx context.Context, o operation, node int, sendTwice bool) {
 	var second attempt
 	var group sync.WaitGroup
 	if sendTwice {
 		from := (node + 1) % vms
-		group.Go(func() { second, _ = l.attemptAtReachableNode(ctx, s, from) })
+		group.Go(func() { second, _ = l.attemptAtReachableNode(ctx, o, from) })
 	}
 	for i := range maxAttempts {
 		var a attempt
-		a, node = l.attemptAtReachableNode(ctx, s, node)
-		s.attempts = append(s.attempts, a)
-		if s.id == "" || a.succeeded() || isFinal(a.reason) {
+		a, node = l.attemptAtReachableNode(ctx, o, node)
+		o.attempts = append(o.attempts, a)
+		if o.id == "" || a.succeeded() || isFinal(a.reason) {
 			break
 		}
 		time.Sleep(firstBackoff << i)
@@ -146,11 +146,11 @@
 	}
 	group.Wait()
 	if sendTwice {
-		s.attempts = append(s.attempts, second)
+		o.attempts = append(o.attempts, second)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.operations = append(l.operations, s)
+	l.operations = append(l.operations, o)
 }
 
 // isFinal reports whether a careful caller stops retrying: the team is over its rate, or a retry can't reveal the
@@ -158,9 +158,9 @@
 func isFinal(reason string) bool { return reason == "rateExceeded" || reason == "outcomeUnknown" }
 
 // attemptAtReachableNode skips nodes that refuse the connection, as a client with a list of addresses does.
-func (l *load) attemptAtReachableNode(ctx context.Context, s operation, node int) (attempt, int) {
+func (l *load) attemptAtReachableNode(ctx context.Context, o operation, node int) (attempt, int) {
 	for range vms {
-		a := l.attemptAt(ctx, s, node)
+		a := l.attemptAt(ctx, o, node)
 		if !a.notConnected {
 			return a, node
 		}
@@ -169,22 +169,22 @@
 	return attempt{node: node}, node
 }
 
-func (l *load) attemptAt(ctx context.Context, s operation, node int) attempt {
+func (l *load) attemptAt(ctx context.Context, o operation, node int) attempt {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	a := attempt{sent: time.Now(), node: node}
 	method, path := http.MethodGet, readingPath
-	if s.id != "" {
+	if o.id != "" {
 		method, path = http.MethodPost, bookingPath
 	}
 	req, err := http.NewRequestWithContext(ctx, method, l.run.callers[node]+path, http.NoBody)
 	if err != nil {
 		return a
 	}
-	if s.id != "" {
-		req.Header.Set(responder.IdempotencyHeader, s.id)
+	if o.id != "" {
+		req.Header.Set(responder.IdempotencyHeader, o.id)
 	}
-	req.Header.Set("Authorization", "Bearer "+l.run.fleet.Keys[s.team])
+	req.Header.Set("Authorization", "Bearer "+l.run.fleet.Keys[o.team])
 	l.exchange(req, &a)
 	a.done = time.Now()
 	return a
--- a/internal/measurer/fleet.go
+++ b/internal/measurer/fleet.go
@@ -35,13 +35,13 @@
 
 // member is one node of a fleet.
 type member struct {
-	id      identifier.Node
-	domain  identifier.FailureDomain
-	state   *reducer.State
-	inbox   []envelope
-	reads   []reducer.ReadLog
-	answers []reducer.CallID
-	effects []reducer.Effect
+	id             identifier.Node
+	domain         identifier.FailureDomain
+	state          *reducer.State
+	inbox          []envelope
+	pendingReads   []reducer.ReadLog
+	pendingAnswers []reducer.CallID
+	effects        []reducer.Effect
 
 	answered       int
 	sent, received int
@@ -59,7 +59,7 @@
 	log          []reducer.LogRecord
 	appends      map[string]int
 	nodesCreated int
-	calls        reducer.CallID
+	lastCall     reducer.CallID
 	// withholdAnswers keeps calls in flight by not delivering their answers.
 	withholdAnswers bool
 	// countingSince is when the traffic counters were last reset.
@@ -134,8 +134,8 @@
 }
 
 func (f *fleet) stepMember(m *member) {
-	inbox, reads, answers := m.inbox, m.reads, m.answers
-	m.inbox, m.reads = nil, nil
+	inbox, reads, answers := m.inbox, m.pendingReads, m.pendingAnswers
+	m.inbox, m.pendingReads = nil, nil
 	for _, e := range inbox {
 		message, err := encoder.Decode(e.raw)
 		if err != nil {
@@ -152,7 +152,7 @@
 	if f.withholdAnswers {
 		answers = nil
 	} else {
-		m.answers = nil
+		m.pendingAnswers = nil
 	}
 	for _, call := range answers {
 		m.answered++
@@ -183,9 +183,9 @@
 		case reducer.Append:
 			f.append(e.Record)
 		case reducer.ReadLog:
-			m.reads = append(m.reads, e)
+			m.pendingReads = append(m.pendingReads, e)
 		case reducer.Forward:
-			m.answers = append(m.answers, e.Call)
+			m.pendingAnswers = append(m.pendingAnswers, e.Call)
 		}
 	}
 }
--- a/internal/measurer/memory.go
+++ b/internal/measurer/memory.go
@@ -263,9 +263,9 @@
 	f, m := readyNode()
 	// Slices grow with demand, so the calls must be spread over some time; the bound of 1000 rounds is far above what is
 	// needed.
-	for round := 0; len(m.answers) < n && round < 1000; round++ {
+	for round := 0; len(m.pendingAnswers) < n && round < 1000; round++ {
 		f.heartbeats()
-		for range min(20, n-len(m.answers)) {
+		for range min(20, n-len(m.pendingAnswers)) {
 			f.call(m, 0, 0, false)
 		}
 		f.run(100 * clock.Millisecond)
--- a/internal/measurer/traffic.go
+++ b/internal/measurer/traffic.go
@@ -214,9 +214,9 @@
 
 // call lets one call arrive at the entry node m; its answer is delivered in the next step.
 func (f *fleet) call(m *member, team, service int, booking bool) {
-	f.calls++
+	f.lastCall++
 	e := &reducer.CallArrived{
-		Call: f.calls, Request: identifier.Request(fmt.Sprintf("%s-%d", m.id, f.calls)), KeyHash: keyOf(team),
+		Call: f.lastCall, Request: identifier.Request(fmt.Sprintf("%s-%d", m.id, f.lastCall)), KeyHash: keyOf(team),
 		Service: serviceName(service), Method: "GET", Path: "/tonight", Wall: f.wall(),
 	}
 	if booking {
--- a/internal/overloader/figures.go
+++ b/internal/overloader/figures.go
@@ -45,11 +45,11 @@
 
 // evaluation calculates the figures of one scenario under one policy from the results of all its requests.
 type evaluation struct {
-	scenario scenario
-	shape    shape
-	phases   phases
-	results  []result
-	attempts float64
+	scenario           scenario
+	shape              shape
+	phases             phases
+	results            []result
+	attemptsPerRequest float64
 }
 
 func (a evaluation) figures(policy string, seed uint64) Figures {
@@ -59,7 +59,7 @@
 		Deployment:         a.shape.deployment,
 		Capacity:           a.shape.capacity(),
 		Seed:               seed,
-		AttemptsPerRequest: a.attempts,
+		AttemptsPerRequest: a.attemptsPerRequest,
 		Reasons:            make(map[string]int),
 	}
 	triggered := a.inTrigger()
--- a/internal/overloader/overloader.go
+++ b/internal/overloader/overloader.go
@@ -78,12 +78,12 @@
 		if !isSelected(o.Policies, p.name) {
 			continue
 		}
-		results, attempts, err := runPolicy(ctx, p, s, sc, t, list, o.Seed)
+		results, attemptsPerRequest, err := runPolicy(ctx, p, s, sc, t, list, o.Seed)
 		if err != nil {
 			return fmt.Errorf("policy %s: %w", p.name, err)
 		}
 		curves[p.name] = results
-		a := evaluation{scenario: sc, shape: s, phases: t, results: results, attempts: attempts}
+		a := evaluation{scenario: sc, shape: s, phases: t, results: results, attemptsPerRequest: attemptsPerRequest}
 		if err := report(a.figures(p.name, o.Seed)); err != nil {
 			return err
 		}
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -58,10 +58,10 @@
 	ConnectionLimit int
 	ServiceTime     time.Duration
 	ColdStart       time.Duration
-	// ReportedLoad multiplies the load that it reports; 0 and 1 report the true load.
-	ReportedLoad float64
-	Calls        []Nested
-	Seed         uint64
+	// ReportedLoadFactor multiplies the load that it reports; 0 and 1 report the true load.
+	ReportedLoadFactor float64
+	Calls              []Nested
+	Seed               uint64
 	// Call replaces the way in which nested calls are made; nil makes them through the node.
 	Call func(r *http.Request, n Nested) (text string, status int)
 	// Admit decides before a call takes a slot whether to admit it; release is called after the call. Nil admits all.
@@ -217,7 +217,7 @@
 		return float64(override) / 1000
 	}
 	load := float64(s.inUse.Load()) / float64(s.options.Slots)
-	if f := s.options.ReportedLoad; f > 0 {
+	if f := s.options.ReportedLoadFactor; f > 0 {
 		return load * f
 	}
 	return load
--- a/internal/runner/backend.go
+++ b/internal/runner/backend.go
@@ -38,17 +38,17 @@
 	}
 	logger := NewLogger(p.Err).With("service", o.Service)
 	s, err := responder.Listen(responder.Options{
-		Endpoint:        newEndpoint(o.Service),
-		Service:         o.Service,
-		Listen:          o.Listen,
-		NodeURL:         strings.TrimSuffix(o.Node, "/"),
-		Slots:           o.Slots,
-		ConnectionLimit: o.Connections,
-		ServiceTime:     o.ServiceTime,
-		ColdStart:       o.ColdStart,
-		ReportedLoad:    o.ReportedLoad,
-		Calls:           calls,
-		Seed:            uint64(time.Now().UnixNano()),
+		Endpoint:           newEndpoint(o.Service),
+		Service:            o.Service,
+		Listen:             o.Listen,
+		NodeURL:            strings.TrimSuffix(o.Node, "/"),
+		Slots:              o.Slots,
+		ConnectionLimit:    o.Connections,
+		ServiceTime:        o.ServiceTime,
+		ColdStart:          o.ColdStart,
+		ReportedLoadFactor: o.ReportedLoad,
+		Calls:              calls,
+		Seed:               uint64(time.Now().UnixNano()),
 	})
 	if err != nil {
 		return err
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -41,8 +41,8 @@
 	Window time.Duration
 	Excess float64
 	Slack  float64
-	// RecoveredPart is the ratio of requests that must be served once all faults are over and recoveryGrace has passed.
-	RecoveredPart float64
+	// MinRecoveredRatio is the ratio of requests that must be served once all faults are over and recoveryGrace has passed.
+	MinRecoveredRatio float64
 }
 
 // Record collects the events of a soak; it is safe for concurrent use.
@@ -72,37 +72,37 @@
 	}
 }
 
-// Sent records a request that was answered or timed out.
-func (r *Record) Sent(s Sent) {
+// AddRequest records a request that was answered or timed out.
+func (r *Record) AddRequest(s Sent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[s.ID] = s
 }
 
-// Ran records a run at a backend server.
-func (r *Record) Ran(run standin.Run) {
+// AddRun records a run at a backend server.
+func (r *Record) AddRun(run standin.Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 }
 
-// Issued records that a key belongs to a team with a rate.
-func (r *Record) Issued(key, team string, perSecond, burst float64) {
+// AddKey records that a key belongs to a team with a rate.
+func (r *Record) AddKey(key, team string, perSecond, burst float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.issued[key] = team
 	r.rates[team] = rate{perSecond: perSecond, burst: burst}
 }
 
-// Withdrawn records that the store has acknowledged the withdrawal of a key.
-func (r *Record) Withdrawn(key string, at time.Time) {
+// AddWithdrawal records that the store has acknowledged the withdrawal of a key.
+func (r *Record) AddWithdrawal(key string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.withdrawn[key] = at
 }
 
-// Leaving records that a node acknowledged an endpoint's leave.
-func (r *Record) Leaving(instance string, at time.Time) {
+// AddLeave records that a node acknowledged an endpoint's leave.
+func (r *Record) AddLeave(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	spans := r.leaveSpans[instance]
@@ -111,8 +111,8 @@
 	}
 }
 
-// Returned records that an endpoint is about to announce itself again.
-func (r *Record) Returned(instance string, at time.Time) {
+// AddReturn records that an endpoint is about to announce itself again.
+func (r *Record) AddReturn(instance string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if spans := r.leaveSpans[instance]; len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
@@ -120,15 +120,15 @@
 	}
 }
 
-// Exited records that a process exited without being told to.
-func (r *Record) Exited(detail string) {
+// AddExit records that a process exited without being told to.
+func (r *Record) AddExit(detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exits = append(r.exits, detail)
 }
 
-// FaultsEnded records that all faults are over.
-func (r *Record) FaultsEnded(at time.Time) {
+// SetFaultsEnded records that all faults are over.
+func (r *Record) SetFaultsEnded(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultsEnded = at
@@ -292,7 +292,7 @@
 			served++
 		}
 	}
-	if total > 0 && float64(served) >= t.RecoveredPart*float64(total) {
+	if total > 0 && float64(served) >= t.MinRecoveredRatio*float64(total) {
 		return nil
 	}
 	return []Breach{{"notRecovered", fmt.Sprintf("%d of %d requests served after all faults were over", served, total)}}
--- a/internal/soaker/judge_test.go
+++ b/internal/soaker/judge_test.go
@@ -11,7 +11,7 @@
 )
 
 var terms = Terms{
-	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, RecoveredPart: 0.95,
+	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, MinRecoveredRatio: 0.95,
 }
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -23,14 +23,14 @@
 // recordWithoutBreaches is a record of one minute in which all promises hold.
 func recordWithoutBreaches() *Record {
 	r := NewRecord()
-	r.Issued("k", "parish", 0, 0)
-	r.Issued("d", "parish", 0, 0)
-	r.Issued("g", "greedy", 10, 10)
-	r.FaultsEnded(second(30))
+	r.AddKey("k", "parish", 0, 0)
+	r.AddKey("d", "parish", 0, 0)
+	r.AddKey("g", "greedy", 10, 10)
+	r.SetFaultsEnded(second(30))
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
-		r.Sent(Sent{ID: id, Team: "parish", Key: "k", At: second(float64(i)), Answer: standin.Answer{Status: 200, Whole: true}})
-		r.Ran(standin.Run{Request: id, Instance: "i-1", Team: "parish", At: second(float64(i) + 0.01)})
+		r.AddRequest(Sent{ID: id, Team: "parish", Key: "k", At: second(float64(i)), Answer: standin.Answer{Status: 200, Whole: true}})
+		r.AddRun(standin.Run{Request: id, Instance: "i-1", Team: "parish", At: second(float64(i) + 0.01)})
 	}
 	return r
 }
@@ -52,54 +52,54 @@
 		"answer to another request": {func(r *Record) {
 			s := sent("x", 1, 200)
 			s.Answer.Whole = false
-			r.Sent(s)
-			r.Ran(ran("x", "i-1", 1))
+			r.AddRequest(s)
+			r.AddRun(ran("x", "i-1", 1))
 		}, "wrongAnswer"},
 		"an order that ran twice": {func(r *Record) {
-			r.Sent(sent("x", 1, 502))
-			r.Ran(ran("x", "i-1", 1))
-			r.Ran(ran("x", "i-2", 2))
+			r.AddRequest(sent("x", 1, 502))
+			r.AddRun(ran("x", "i-1", 1))
+			r.AddRun(ran("x", "i-2", 2))
 		}, "ranTwice"},
 		"a lookup that ran twice": {func(r *Record) {
 			s := sent("x", 1, 200)
 			s.Idempotent = true
-			r.Sent(s)
-			r.Ran(ran("x", "i-1", 1))
-			r.Ran(ran("x", "i-2", 2))
+			r.AddRequest(s)
+			r.AddRun(ran("x", "i-1", 1))
+			r.AddRun(ran("x", "i-2", 2))
 		}, ""},
-		"refused as not run but ran":     {func(r *Record) { r.Sent(sent("x", 1, 503)); r.Ran(ran("x", "i-1", 1)) }, "falseNotRun"},
-		"run without a request":          {func(r *Record) { r.Ran(ran("x", "i-1", 1)) }, "ranForNobody"},
-		"run for another team":           {func(r *Record) { s := sent("x", 1, 200); s.Key = "g"; r.Sent(s); r.Ran(ran("x", "i-1", 1)) }, "wrongTeam"},
-		"key reached the backend server": {func(r *Record) { r.Sent(sent("x", 1, 200)); n := ran("x", "i-1", 1); n.Key = "k"; r.Ran(n) }, "keySeen"},
+		"refused as not run but ran":     {func(r *Record) { r.AddRequest(sent("x", 1, 503)); r.AddRun(ran("x", "i-1", 1)) }, "falseNotRun"},
+		"run without a request":          {func(r *Record) { r.AddRun(ran("x", "i-1", 1)) }, "ranForNobody"},
+		"run for another team":           {func(r *Record) { s := sent("x", 1, 200); s.Key = "g"; r.AddRequest(s); r.AddRun(ran("x", "i-1", 1)) }, "wrongTeam"},
+		"key reached the backend server": {func(r *Record) { r.AddRequest(sent("x", 1, 200)); n := ran("x", "i-1", 1); n.Key = "k"; r.AddRun(n) }, "keySeen"},
 		"key used long after its withdrawal": {func(r *Record) {
 			s := sent("z", 59.5, 200)
 			s.Key = "d"
-			r.Withdrawn("d", second(54))
-			r.Sent(s)
-			r.Ran(ran("z", "i-1", 59.6))
+			r.AddWithdrawal("d", second(54))
+			r.AddRequest(s)
+			r.AddRun(ran("z", "i-1", 59.6))
 		}, "withdrawnKey"},
 		"key used soon after its withdrawal": {func(r *Record) {
 			s := sent("z", 57, 200)
 			s.Key = "d"
-			r.Withdrawn("d", second(54))
-			r.Sent(s)
-			r.Ran(ran("z", "i-1", 59.6))
+			r.AddWithdrawal("d", second(54))
+			r.AddRequest(s)
+			r.AddRun(ran("z", "i-1", 59.6))
 		}, ""},
 		"team over its rate": {func(r *Record) {
 			for i := range 90 {
 				id := fmt.Sprint("g", i)
-				r.Sent(Sent{ID: id, Team: "greedy", Key: "g", At: second(1)})
-				r.Ran(standin.Run{Request: id, Instance: "i-1", Team: "greedy", At: second(1 + float64(i)*0.05)})
+				r.AddRequest(Sent{ID: id, Team: "greedy", Key: "g", At: second(1)})
+				r.AddRun(standin.Run{Request: id, Instance: "i-1", Team: "greedy", At: second(1 + float64(i)*0.05)})
 			}
 		}, "rateExceeded"},
-		"request after the endpoint left":     {func(r *Record) { r.Leaving("i-1", second(56)) }, "afterLeaving"},
-		"request after the endpoint returned": {func(r *Record) { r.Leaving("i-1", second(10)); r.Returned("i-1", second(11)) }, ""},
+		"request after the endpoint left":     {func(r *Record) { r.AddLeave("i-1", second(56)) }, "afterLeaving"},
+		"request after the endpoint returned": {func(r *Record) { r.AddLeave("i-1", second(10)); r.AddReturn("i-1", second(11)) }, ""},
 		"requests fail after all faults ended": {func(r *Record) {
 			for i := range 20 {
-				r.Sent(sent(fmt.Sprint("f", i), 50, 502))
+				r.AddRequest(sent(fmt.Sprint("f", i), 50, 502))
 			}
 		}, "notRecovered"},
-		"a process exited": {func(r *Record) { r.Exited("node 3: exit status 2") }, "ended"},
+		"a process exited": {func(r *Record) { r.AddExit("node 3: exit status 2") }, "ended"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/soaker/plan.go
+++ b/internal/soaker/plan.go
@@ -89,7 +89,7 @@
 }
 
 func (f *fleet) returnEndpoint(n *node) {
-	n.backend.Return(func(at time.Time) { f.record.Returned(n.instance, at) })
+	n.backend.Return(func(at time.Time) { f.record.AddReturn(n.instance, at) })
 }
 
 // restartExclusively restarts a node unless a restart of it is already in progress.
--- a/internal/soaker/process.go
+++ b/internal/soaker/process.go
@@ -37,7 +37,7 @@
 	backend *standin.Backend
 	// store, endpoint and callers are the proxies on the node's connections.
 	store, endpoint, callers *Proxy
-	control, outbound        string
+	announcements, outbound  string
 
 	mu           sync.Mutex
 	command      *exec.Cmd
@@ -96,7 +96,7 @@
 		case "outbound":
 			n.outbound = address
 		case "announcements":
-			n.control = address
+			n.announcements = address
 		}
 		fmt.Fprintf(&listen, "%s = %q\n", name, address)
 	}
@@ -127,7 +127,7 @@
 	exitExpected := n.exitExpected
 	n.mu.Unlock()
 	if !exitExpected {
-		n.record.Exited(fmt.Sprintf("%s: %v", n.name, err))
+		n.record.AddExit(fmt.Sprintf("%s: %v", n.name, err))
 	}
 	close(exited)
 }
@@ -201,8 +201,8 @@
 	}
 	n.backend.Start(standin.BackendOptions{
 		Instance: n.instance, Service: service, Zone: n.domain, Slots: 16, Work: 10 * time.Millisecond,
-		Control: n.control, Outbound: n.outbound, Host: host, Nested: nested, Address: n.endpoint.Address(),
-		Ran: f.record.Ran, Acknowledged: f.record.Leaving,
+		Control: n.announcements, Outbound: n.outbound, Host: host, Nested: nested, Address: n.endpoint.Address(),
+		Ran: f.record.AddRun, Acknowledged: f.record.AddLeave,
 	})
 	go n.backend.Announce(ctx)
 	f.nodes = append(f.nodes, n)
--- a/internal/soaker/soaker.go
+++ b/internal/soaker/soaker.go
@@ -24,7 +24,7 @@
 
 // Promises are the limits by which a soak is checked; the nodes are configured with the same values.
 var Promises = Terms{
-	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, RecoveredPart: 0.95,
+	Revoke: 5 * time.Second, Drain: 2 * time.Second, Window: 5 * time.Second, Excess: 0.1, Slack: 20, MinRecoveredRatio: 0.95,
 }
 
 // Run runs one soak and returns its report; an error means that the soak could not be completed.
@@ -37,8 +37,8 @@
 	defer server.Close()
 	defer server.CloseClientConnections()
 	f.storeURL = strings.TrimPrefix(server.URL, "http://")
-	f.record.Issued(steadyKey, "steady", 0, 0)
-	f.record.Issued(greedyKey, "greedy", greedyRate, greedyBurst)
+	f.record.AddKey(steadyKey, "steady", 0, 0)
+	f.record.AddKey(greedyKey, "greedy", greedyRate, greedyBurst)
 	f.teams.rotateKey(f.store, f.record)
 	announcing, stopAnnouncing := context.WithCancel(ctx)
 	defer stopAnnouncing()
@@ -118,7 +118,7 @@
 			p.Set(Passing)
 		}
 	}
-	f.record.FaultsEnded(time.Now())
+	f.record.SetFaultsEnded(time.Now())
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/internal/soaker/traffic.go
+++ b/internal/soaker/traffic.go
@@ -73,7 +73,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := fmt.Sprintf("roaming-%d", len(t.withdrawn)+len(t.roamingKeys))
-	r.Issued(key, "roaming", 0, 0)
+	r.AddKey(key, "roaming", 0, 0)
 	t.roamingKeys = append(t.roamingKeys, key)
 	var oldKey string
 	if len(t.roamingKeys) > 2 {
@@ -81,7 +81,7 @@
 	}
 	t.publish(s)
 	if oldKey != "" {
-		r.Withdrawn(oldKey, time.Now())
+		r.AddWithdrawal(oldKey, time.Now())
 		t.withdrawn = append(t.withdrawn, oldKey)
 	}
 }
@@ -150,5 +150,5 @@
 	s := Sent{ID: q.ID, Team: team, Key: q.Key, Idempotent: idempotent, At: time.Now()}
 	s.Answer = standin.Call(limited, client, q)
 	s.Answered = time.Now()
-	f.record.Sent(s)
+	f.record.AddRequest(s)
 }
