--- a/internal/demonstrator/outcome.go
+++ b/internal/demonstrator/outcome.go
@@ -81,6 +81,7 @@
 	stopped   string
 	stoppedAt time.Duration
 
+	// flooding is the team that sends several times its rate, withdrawn the team whose key is withdrawn.
 	flooding    identifier.Team
 	withdrawn   identifier.Team
 	withdrawnAt time.Duration
--- a/internal/demonstrator/promises.go
+++ b/internal/demonstrator/promises.go
@@ -171,6 +171,7 @@
 
 func judgeNotRun(a *audit) (bool, string) {
 	notRunCount, wrong := 0, 0
+	// mayHaveRun holds the ids of which at least one outcome doesn't say "not run".
 	mayHaveRun := make(map[string]bool)
 	for _, o := range a.outcomes {
 		if !o.refused() || !o.notRun {
--- a/internal/faulter/judge.go
+++ b/internal/faulter/judge.go
@@ -194,7 +194,8 @@
 	return served / entitled, entitled > 0
 }
 
-// bookingsServed is the ratio of bookings of teams within their rate that succeeded on any attempt.
+// bookingsServed is the ratio of bookings (operations with an idempotency id) of teams within their rate that succeeded on
+// any attempt.
 func (a audit) bookingsServed() (float64, bool) {
 	var all, served float64
 	for _, o := range a.operations {
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -162,6 +162,7 @@
 	return list
 }
 
+// versionAt returns the id of VM i's node and the version in force there, or false if the node is down.
 func (r *run) versionAt(i int) (identifier.Node, identifier.Version, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/measurer/capacity.go
+++ b/internal/measurer/capacity.go
@@ -59,12 +59,13 @@
 	// connectionIdleSeconds is how long an idle connection is kept.
 	connectionIdleSeconds = 30
 	// idWindowSeconds is how long an idempotency id is stored; idSlots is the number of claims among which the ids of one
-	// home are divided.
+	// home are divided. An id's home is the failure domain that it names, if any.
 	idWindowSeconds = 600
 	idSlots         = 32
 	// memoryPerHeap is the ratio of memory to live heap with the garbage collector's default setting.
 	memoryPerHeap = 2
-	// The sizes of the measured fleets, by which the formulas scale their slopes.
+	// The sizes of the fleets in which slopes were measured: nodes a domain in the series "domains" and "churn", and teams
+	// in the series "holders". The formulas scale these slopes from the measured size to that of the deployment.
 	fittedDomainNodes, fittedChurnNodes, fittedTeams = 8, 20, 4
 )
 
@@ -79,7 +80,8 @@
 }
 
 // row is the cost of one mechanism for nodes in one role. formula is the text on the page, where own, followed, links
-// and dials stand for ownMembers, endpointsCalled, openConnections and dialsPerSecond.
+// and dials stand for ownMembers, endpointsCalled, openConnections and dialsPerSecond. memory.links and cpu.dials were
+// measured for both ends of a connection and are halved.
 type row struct {
 	role, mechanism, formula string
 	cost                     func(m model) usage
@@ -99,7 +101,8 @@
 	return m.results.Fits[series].At(x)
 }
 
-// traffic converts messages and encoded bytes a second to bytes on the wire and processor time.
+// traffic converts messages and encoded bytes a second to bytes on the wire and processor time. The processor time of
+// cpu.message is that of both ends of a connection, so each node has half of it.
 func (m model) traffic(messages, bytes float64) usage {
 	if messages <= 0 {
 		return usage{}
@@ -186,7 +189,8 @@
 	}},
 	{relayNode, "subscriptions", "traffic.nodes.busiest × (own − 8)", func(m model) usage {
 		more := math.Max(m.ownMembers()-fittedDomainNodes, 0)
-		// Every node sends requests to two relays each 3 s, and they answer.
+		// Every node sends a request to two of its domain's three relays every 3 s, and they answer: 4 messages in 3 s,
+		// divided among three relays.
 		return m.traffic(4*more/9, m.slope("traffic.nodes.busiest")*more)
 	}},
 	{bankHolder, "banks", "memory.banks × teams ÷ 4", func(m model) usage {
@@ -216,10 +220,11 @@
 	claimRenewalsPerDay = 10 * 24
 	// claimsPerDomain is the number of claims of one domain: its rate slots and the id slots with this home.
 	claimsPerDomain = 4 + idSlots
-	// snapshotsPerDay is two, as a snapshot is taken each half of the log's retention, which is a day.
+	// snapshotsPerDay is two, as a snapshot is taken after each half of the log's retention, which is a day.
 	snapshotsPerDay = 2
 )
 
+// claims is the number of claims of the fleet: those of its domains, and those over idempotency ids without a home.
 func claims(d deployment) float64 {
 	return d.domains*claimsPerDomain + idSlots
 }
--- a/internal/measurer/fleet.go
+++ b/internal/measurer/fleet.go
@@ -35,10 +35,11 @@
 
 // member is one node of a fleet.
 type member struct {
-	id             identifier.Node
-	domain         identifier.FailureDomain
-	state          *reducer.State
-	inbox          []envelope
+	id     identifier.Node
+	domain identifier.FailureDomain
+	state  *reducer.State
+	inbox  []envelope
+	// pendingReads are the reads of the log, and pendingAnswers the forwarded calls, that the next step answers.
 	pendingReads   []reducer.ReadLog
 	pendingAnswers []reducer.CallID
 	effects        []reducer.Effect
--- a/internal/measurer/wire.go
+++ b/internal/measurer/wire.go
@@ -145,7 +145,7 @@
 	return wire, cpu, errors.Join(err, s.close())
 }
 
-// connectionCost is the cost of all connections of one node, at both ends.
+// connectionCost is the cost of all connections of one node: dialTime and heap at both ends, bytes at this node.
 type connectionCost struct {
 	// dialBytes and dialTime, in nanoseconds, are the cost of opening all of them.
 	dialBytes, dialTime float64
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -40,7 +40,8 @@
 	Path    string
 }
 
-// RunStart records one call that reached the backend server.
+// RunStart records one call that reached the backend server. A call counts as started on arrival, before it is admitted
+// and takes a slot.
 type RunStart struct {
 	At          time.Time
 	Team        string
@@ -285,6 +286,7 @@
 	return len(b), nil
 }
 
+// recordStart records a call and whether it carried a team's key; every key starts with "jt_".
 func (s *Server) recordStart(r *http.Request) {
 	if r.Header.Get("Authorization") != "" || strings.Contains(r.URL.RawQuery, "jt_") {
 		s.sawKey.Store(true)
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -41,7 +41,8 @@
 	Window time.Duration
 	Excess float64
 	Slack  float64
-	// MinRecoveredRatio is the ratio of requests that must be served once all faults are over and recoveryGrace has passed.
+	// MinRecoveredRatio is the ratio of requests that must be served once all faults are over and recoveryGrace has
+	// passed.
 	MinRecoveredRatio float64
 }
 
@@ -86,7 +87,7 @@
 	r.runs = append(r.runs, run)
 }
 
-// AddKey records that a key belongs to a team with a rate.
+// AddKey records that a key belongs to a team with a rate; 0 calls a second mean that the rate is not limited.
 func (r *Record) AddKey(key, team string, perSecond, burst float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +200,8 @@
 	return found
 }
 
-// unknownRuns finds runs without a request of a caller, and runs for a team other than the key's.
+// unknownRuns finds runs without a request of a caller, and runs for a team other than the key's. Nested calls have no
+// caller's request either, but carry no key and so run without a team.
 func (r *Record) unknownRuns(Terms) (found []Breach) {
 	for _, run := range r.runs {
 		s, ok := r.sent[run.Request]
@@ -278,6 +280,8 @@
 // recoveryGrace is how long after the last fault requests may still fail.
 const recoveryGrace = 5 * time.Second
 
+// notRecovered counts only requests with a valid key of a team without a rate, as others may be refused although the fleet
+// has recovered. Finding no such request is a breach too.
 func (r *Record) notRecovered(t Terms) []Breach {
 	total, served := 0, 0
 	for _, s := range r.sent {
--- a/internal/soaker/process.go
+++ b/internal/soaker/process.go
@@ -37,7 +37,8 @@
 	backend *standin.Backend
 	// store, endpoint and callers are the proxies on the node's connections.
 	store, endpoint, callers *Proxy
-	announcements, outbound  string
+	// announcements and outbound are the addresses at which the node accepts announcements and callers' requests.
+	announcements, outbound string
 
 	mu           sync.Mutex
 	command      *exec.Cmd
