--- a/cmd/jackdawtide/sidecar.go
+++ b/cmd/jackdawtide/sidecar.go
@@ -24,8 +24,8 @@
 	return mesher.Run(ctx, mesher.Options{
 		Settings: o.Settings,
 		Out:      p.Out,
-		WatchSettings: func(ctx context.Context, took func(loader.Sidecar), failed func(error)) {
-			loader.Follow(ctx, o.File, reload, took, failed)
+		WatchSettings: func(ctx context.Context, onUpdate func(loader.Sidecar), onError func(error)) {
+			loader.Follow(ctx, o.File, reload, onUpdate, onError)
 		},
 		Platform: mesher.Platform{
 			Headers:          platform.Headers(),
--- a/internal/demonstrator/traffic.go
+++ b/internal/demonstrator/traffic.go
@@ -145,7 +145,7 @@
 func (c *callers) call(o outcome) outcome {
 	o.sent = c.now()
 	o.status, o.failure = 0, ""
-	resp, err := c.post(&o)
+	resp, err := c.sendRequest(&o)
 	if err != nil {
 		o.failure = err.Error()
 		o.ended = c.now()
@@ -162,7 +162,7 @@
 	return o
 }
 
-func (c *callers) post(o *outcome) (*http.Response, error) {
+func (c *callers) sendRequest(o *outcome) (*http.Response, error) {
 	url := c.pickNodeURL() + "/" + string(o.request.service) + o.request.path
 	req, err := http.NewRequest(o.request.method, url, bytes.NewReader(make([]byte, o.size)))
 	if err != nil {
