--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -40,7 +40,8 @@
 	Path    string
 }
 
-// RunStart records one call that reached the backend server.
+// RunStart records one call that reached the backend server. A call counts as started on arrival, before it is admitted
+// and takes a slot.
 type RunStart struct {
 	At          time.Time
 	Team        string
@@ -58,10 +59,10 @@
 	ConnectionLimit int
 	ServiceTime     time.Duration
 	ColdStart       time.Duration
-	// ReportedLoad multiplies the load that it reports; 0 and 1 report the true load.
-	ReportedLoad float64
-	Calls        []Nested
-	Seed         uint64
+	// ReportedLoadFactor multiplies the load that it reports; 0 and 1 report the true load.
+	ReportedLoadFactor float64
+	Calls              []Nested
+	Seed               uint64
 	// Call replaces the way in which nested calls are made; nil makes them through the node.
 	Call func(r *http.Request, n Nested) (text string, status int)
 	// Admit decides before a call takes a slot whether to admit it; release is called after the call. Nil admits all.
@@ -217,7 +218,7 @@
 		return float64(override) / 1000
 	}
 	load := float64(s.inUse.Load()) / float64(s.options.Slots)
-	if f := s.options.ReportedLoad; f > 0 {
+	if f := s.options.ReportedLoadFactor; f > 0 {
 		return load * f
 	}
 	return load
@@ -285,6 +286,7 @@
 	return len(b), nil
 }
 
+// recordStart records a call and whether it carried a team's key; every key starts with "jt_".
 func (s *Server) recordStart(r *http.Request) {
 	if r.Header.Get("Authorization") != "" || strings.Contains(r.URL.RawQuery, "jt_") {
 		s.sawKey.Store(true)
