--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -165,11 +165,11 @@
 			keys = append(keys, key)
 		}
 	}
-	idempotent, order := route("obs", "portal", matcher.Idempotent), route("ord", "portal", matcher.NonIdempotent)
-	idempotent.Timeout, order.Timeout = 800, 800
+	idempotent, nonIdempotent := route("obs", "portal", matcher.Idempotent), route("ord", "portal", matcher.NonIdempotent)
+	idempotent.Timeout, nonIdempotent.Timeout = 800, 800
 	return matcher.Configuration{
 		Version:  w.version,
-		Routes:   []matcher.Route{idempotent, order},
+		Routes:   []matcher.Route{idempotent, nonIdempotent},
 		Services: []matcher.Service{{Name: "portal", ColdRate: fuzzColdRate, ColdStart: fuzzColdStart}},
 		Teams:    []matcher.Team{{Name: "parish", Keys: keys, Rate: w.rate, Burst: w.rate}},
 	}
--- a/internal/conductor/runs.go
+++ b/internal/conductor/runs.go
@@ -66,8 +66,8 @@
 }
 
 // nestedCallMade counts a nested call made by a run of a route.
-func (r *runCounter) nestedCallMade(of, route identifier.Route) {
-	r.countsOf(of).nested[route]++
+func (r *runCounter) nestedCallMade(parentRoute, nestedRoute identifier.Route) {
+	r.countsOf(parentRoute).nested[nestedRoute]++
 }
 
 // retain drops the counts of removed routes.
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -202,6 +202,6 @@
 
 // ExpectedDelay returns the queueing delay that random arrivals cause without overload.
 func (l *Limiter) ExpectedDelay() clock.Duration {
-	chance := burstQueueFactor * l.serviceTime.mean / math.Sqrt(float64(l.limit))
-	return clock.Duration(min(chance, maxSlackFraction*l.slack.mean))
+	burstDelay := burstQueueFactor * l.serviceTime.mean / math.Sqrt(float64(l.limit))
+	return clock.Duration(min(burstDelay, maxSlackFraction*l.slack.mean))
 }
--- a/internal/pooler/fallback.go
+++ b/internal/pooler/fallback.go
@@ -20,25 +20,25 @@
 	if !ok || b.rate <= 0 {
 		return Grant{Allowed: ok}
 	}
-	a := &b.fallback
-	if !a.active || now.Sub(a.failed) > fallbackRetention {
-		*a = fallback{active: true, filled: now.Add(fallbackDelay)}
-		calm := b.emptyUntil == 0 || now.Sub(b.emptyUntil) > calmAfterEmpty
-		if calm && now.Sub(p.started) > fallbackRetention {
-			a.tokens = 1
+	f := &b.fallback
+	if !f.active || now.Sub(f.failed) > fallbackRetention {
+		*f = fallback{active: true, filled: now.Add(fallbackDelay)}
+		withinRate := b.emptyUntil == 0 || now.Sub(b.emptyUntil) > overRateAfterEmpty
+		if withinRate && now.Sub(p.started) > fallbackRetention {
+			f.tokens = 1
 		}
 	}
-	a.failed = now
+	f.failed = now
 	perMillisecond := b.rate / float64(max(1, nodes)) / float64(clock.Second)
-	if span := now.Sub(a.filled); span > 0 {
-		a.filled = now
+	if span := now.Sub(f.filled); span > 0 {
+		f.filled = now
 		maximum := max(1, b.burst/float64(max(1, nodes)))
-		a.tokens = min(maximum, a.tokens+perMillisecond*float64(span))
+		f.tokens = min(maximum, f.tokens+perMillisecond*float64(span))
 	}
-	if a.tokens >= 1 {
-		a.tokens--
+	if f.tokens >= 1 {
+		f.tokens--
 		return Grant{Allowed: true}
 	}
-	wait := clock.Duration((1 - a.tokens) / perMillisecond)
-	return Grant{Wait: max(0, a.filled.Sub(now)) + wait}
+	wait := clock.Duration((1 - f.tokens) / perMillisecond)
+	return Grant{Wait: max(0, f.filled.Sub(now)) + wait}
 }
--- a/internal/pooler/types.go
+++ b/internal/pooler/types.go
@@ -36,9 +36,9 @@
 	fallbackDelay = 1500 * clock.Millisecond
 	// fallbackRetention is how long after the last failure a node still counts as unable to reach the bucket.
 	fallbackRetention = 3 * clock.Second
-	// calmAfterEmpty is how long after an empty bucket a team does not count as within its rate: one window of the
+	// overRateAfterEmpty is how long after an empty bucket a team does not count as within its rate: one window of the
 	// rate's tolerance.
-	calmAfterEmpty = 5 * clock.Second
+	overRateAfterEmpty = 5 * clock.Second
 )
 
 // Grant is the answer of a bucket.
