--- a/internal/conductor/attempt_end.go
+++ b/internal/conductor/attempt_end.go
@@ -3,7 +3,7 @@
 // An attempt ends with an answer, or with what is known about the request: it has certainly not run, or it may have
 // run. This determines whether it is attempted again elsewhere, and what its caller may be told.
 //
-// Example: Broken for an order is answered with 502, since it may have run; after Full the order is attempted
+// Example: Broken for a non-idempotent request is answered with 502, since it may have run; after Full it is attempted
 // elsewhere.
 
 import (
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -68,7 +68,8 @@
 	provedAt            clock.Time
 	proved              bool
 	receivedProof       receivedProof
-	// ordersNext is the offset up to which this node knows the operators' orders.
+	// ordersNext is the offset up to which this node knows the operators' orders, which are configurations and
+	// evacuations.
 	ordersNext identifier.Offset
 	// evacuated are the failure domains whose endpoints get no requests.
 	evacuated map[identifier.FailureDomain]bool
--- a/internal/conductor/effects.go
+++ b/internal/conductor/effects.go
@@ -94,7 +94,8 @@
 	ID CallID
 }
 
-// Hold queues a delivery; Run or TurnAway follows.
+// Hold queues a delivery, for which Run or TurnAway follows, or makes a request wait for an endpoint, for which Send or
+// Refuse follows.
 type Hold struct {
 	ID CallID
 }
--- a/internal/conductor/entry_test.go
+++ b/internal/conductor/entry_test.go
@@ -128,19 +128,19 @@
 		again      bool
 		status     int
 	}{
-		"moved":                                {matcher.NonIdempotent, Moved, false, true, 0},
-		"full":                                 {matcher.NonIdempotent, Full, false, true, 0},
-		"unreached":                            {matcher.NonIdempotent, Unreached, false, true, 0},
-		"declined":                             {matcher.NonIdempotent, Declined, false, true, 0},
-		"broken order":                         {matcher.NonIdempotent, Broken, false, false, 502},
-		"broken lookup":                        {matcher.Idempotent, Broken, false, true, 0},
-		"broken upload":                        {matcher.Upload, Broken, false, false, 502},
-		"late order":                           {matcher.NonIdempotent, Late, false, false, 504},
-		"late lookup":                          {matcher.Idempotent, Late, false, false, 504},
-		"moved, body not replayable":           {matcher.NonIdempotent, Moved, true, false, 503},
-		"broken lookup, body not replayable":   {matcher.Idempotent, Broken, true, false, 502},
-		"declined upload, body not replayable": {matcher.Upload, Declined, true, false, 503},
-		"full upload, body not replayable":     {matcher.Upload, Full, true, false, 503},
+		"moved":                                  {matcher.NonIdempotent, Moved, false, true, 0},
+		"full":                                   {matcher.NonIdempotent, Full, false, true, 0},
+		"unreached":                              {matcher.NonIdempotent, Unreached, false, true, 0},
+		"declined":                               {matcher.NonIdempotent, Declined, false, true, 0},
+		"broken non-idempotent":                  {matcher.NonIdempotent, Broken, false, false, 502},
+		"broken idempotent":                      {matcher.Idempotent, Broken, false, true, 0},
+		"broken upload":                          {matcher.Upload, Broken, false, false, 502},
+		"late non-idempotent":                    {matcher.NonIdempotent, Late, false, false, 504},
+		"late idempotent":                        {matcher.Idempotent, Late, false, false, 504},
+		"moved, body not replayable":             {matcher.NonIdempotent, Moved, true, false, 503},
+		"broken idempotent, body not replayable": {matcher.Idempotent, Broken, true, false, 502},
+		"declined upload, body not replayable":   {matcher.Upload, Declined, true, false, 503},
+		"full upload, body not replayable":       {matcher.Upload, Full, true, false, 503},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -203,8 +203,8 @@
 	assert.DeepEqual(t, counts, map[identifier.Service]int{"portal": 900, "clock": 100})
 }
 
-// The service at the end of the chain is overloaded. Lookups that lead to it are refused before any work, the less
-// important ones first; uploads to another service and the nested calls of admitted requests are not refused.
+// The service at the end of the chain is overloaded. Root requests that lead to it are refused before any work, the
+// less important ones first; uploads to another service and the nested calls of admitted requests are not refused.
 func TestRootRequestsAreShedForOverloadedDependency(t *testing.T) {
 	browse, order, other := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent), route("up", "desk2", matcher.Upload)
 	browse.Rank, order.Rank, other.Rank = 2, 0, 2
--- a/internal/conductor/events.go
+++ b/internal/conductor/events.go
@@ -201,6 +201,7 @@
 
 // VMResumed means that the VM was suspended for a time that the node's clock did not count.
 type VMResumed struct {
+	// After is how long the VM was suspended.
 	After clock.Duration
 }
 
@@ -246,7 +247,7 @@
 const (
 	// Answered means that the endpoint sent a complete response head.
 	Answered Outcome = iota
-	// Moved means that the endpoint is no longer there; the request has not run.
+	// Moved means that the endpoint is no longer there or gets no more requests; the request has not run.
 	Moved
 	// Full means that the node beside the endpoint had no capacity; the request has not reached the endpoint.
 	Full
@@ -271,7 +272,8 @@
 	return outcomeNames[o]
 }
 
-// ParseOutcome returns the outcome with a name; for an unknown name it returns Broken, since the request may have run.
+// ParseOutcome returns the outcome with the given name; for an unknown name it returns Broken, since the request may
+// have run.
 func ParseOutcome(name string) Outcome {
 	for i, n := range outcomeNames {
 		if n == name {
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -505,9 +505,9 @@
 	w.after(clock.Duration(500+w.random.Int64N(1000)), func() { w.startNode(i) })
 }
 
-// Whatever happens to the fleet, an order runs at most once, a request refused as not run has not run, a withdrawn key
-// is rejected by every node in time, a leaving endpoint gets no more requests, and no team exceeds its rate and burst
-// by more than the tolerance.
+// Whatever happens to the fleet, a non-idempotent request runs at most once, a request refused as not run has not run,
+// a withdrawn key is rejected by every node in time, a leaving endpoint gets no more requests, and no team exceeds its
+// rate and burst by more than the tolerance.
 func TestFuzzFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulateFleet(t, fleetScenario{
--- a/internal/conductor/pool.go
+++ b/internal/conductor/pool.go
@@ -1,7 +1,7 @@
 package conductor
 
 // Teams with a small rate per node share one bucket (see pooler). Each request needs a token from the node that holds
-// the bucket, which takes a round trip between nodes; if the holder does not answer, this node uses its own part of the
+// the bucket, which takes a round trip between nodes; if the holder does not answer, this node uses its own share of the
 // rate.
 //
 // Example: RequestArrived gives Draw{Node: "b", Team: "parish"}, TokenDrawn with a grant gives Send.
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -246,7 +246,7 @@
 
 // The node that holds the bucket of a team far over its rate is frozen for a second and a half, or its endpoint leaves.
 // The other nodes detect this at different times. If some of them change to another holder at once, two buckets grant
-// the rate at the same time: 157 requests ran in 5 s where 152 are allowed, and the other teams waited behind them.
+// the rate at the same time, 157 requests run in 5 s where 152 are allowed, and the other teams wait behind them.
 func TestRateHoldsWhileBucketHolderFails(t *testing.T) {
 	const rate = 20.0
 	f := newPoolFleet(t, 6, rate)
--- a/internal/conductor/reachability.go
+++ b/internal/conductor/reachability.go
@@ -1,10 +1,10 @@
 package conductor
 
 // This node detects unreachable nodes from its own attempts (see detector). An unreachable node gets no more requests
-// and no exchanges of reports. Idempotent attempts in flight there are aborted, so that their callers can be served
-// elsewhere; an order in flight there is not aborted, since it may have run.
+// and no exchanges of reports. Attempts of idempotent requests in flight there are aborted, so that their callers can
+// be served elsewhere; all other attempts are not aborted, since their requests may have run.
 //
-// Example: Probed{Node: "b"} gives Abort for each lookup that waits for b.
+// Example: Probed{Node: "b"} gives Abort for each idempotent request that waits for b.
 
 import (
 	"maps"
@@ -29,7 +29,7 @@
 	r.attemptNode = ""
 }
 
-// sendProbes probes the nodes from which the detector expects an answer.
+// sendProbes probes the nodes whose probe is due: silent, suspected and lost ones.
 func (c *Conductor) sendProbes(now clock.Time) {
 	for _, node := range c.detector.Tick(now) {
 		c.emit(Probe{Node: node, Address: c.members[node].DeliveryAddress})
--- a/internal/conductor/run_time.go
+++ b/internal/conductor/run_time.go
@@ -5,7 +5,7 @@
 // nested calls are measured separately: a nested call whose runs make four more calls takes twice as long as the root
 // requests at the same endpoint, and would seem late wherever it is run.
 //
-// Example: runs of 20, 20 and 50 ms, one in 32 weighed: a run time of 21 ms.
+// Example: runs of 20, 20 and 50 ms give a run time of 21 ms, since one run has a weight of 1/32.
 
 import (
 	"github.com/jackdawtide/jackdawtide/internal/clock"
--- a/internal/conductor/runs.go
+++ b/internal/conductor/runs.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// nestedCallMade counts a nested call made by a run of a route.
+// nestedCallMade counts a call to nestedRoute that a run of parentRoute made.
 func (r *runCounter) nestedCallMade(parentRoute, nestedRoute identifier.Route) {
 	r.countsOf(parentRoute).nested[nestedRoute]++
 }
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -2,10 +2,10 @@
 
 // A failure domain is partitioned off without a signal: connections into it stay open, what is sent on them gets no
 // answer, and the timers of the operating system report a failure after 1.5 s and more. Reports show the silence after
-// 2.5 s. Until then each request sent there is lost, and an order may not be sent again. So this node watches its own
-// attempts: while one is open to a node that has not answered for a while, the node is probed by opening a connection
-// to it. That takes one round trip and is answered by the other operating system even while the node's process is busy,
-// so that a slow node is not mistaken for a lost one.
+// 2.5 s. Until then each request sent there is lost, and a non-idempotent one may not be sent again. So this node
+// watches its own attempts: while one is open to a node that has not answered for a while, the node is probed by
+// opening a connection to it. That takes one round trip and is answered by the other operating system even while the
+// node's process is busy, so that a slow node is not mistaken for a lost one.
 //
 // When two nodes of a failure domain are unreachable and no other node there has answered recently, the whole domain
 // counts as lost: with 22 nodes, detecting each one separately would cost each its own requests.
--- a/internal/limiter/dispatch.go
+++ b/internal/limiter/dispatch.go
@@ -108,7 +108,7 @@
 )
 
 // reservedSlots reserves one slot for urgent calls where slots rarely become free. Otherwise uploads that run for
-// minutes could hold all slots, and a bulletin would wait behind them although it is the first in the queue.
+// minutes could hold all slots, and an urgent call would wait behind them although it is the first in the queue.
 func (l *Limiter) reservedSlots(now clock.Time) int {
 	if l.limit < minLimitWithReserve || now.Sub(l.lastUrgent) >= urgentWindow {
 		return 0
--- a/internal/limiter/knee.go
+++ b/internal/limiter/knee.go
@@ -65,7 +65,7 @@
 type knee struct {
 	slots, current float64
 	phase          phase
-	// baselineLatency is the latency without suspicion, zero while unknown; baselineSamples counts the calls measured
+	// baselineLatency is the latency that counts as normal, zero while unknown; baselineSamples counts the calls measured
 	// for it.
 	baselineLatency, baselineSamples float64
 	trialRequested                   bool
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -135,8 +135,8 @@
 	assert.Equal(t, l.Limit(), 10)
 }
 
-// Uploads hold slots for minutes. If they hold all slots, a bulletin that arrives then waits for one of them to end
-// although it is first in the queue, and times out.
+// Uploads hold slots for minutes. If they hold all slots, an urgent call that arrives then waits for one of them to
+// end although it is first in the queue, and times out.
 func TestUrgentCallFindsReservedSlot(t *testing.T) {
 	l := New(Options{Slots: 8}, 0)
 	id, now := CallID(0), clock.Time(0)
@@ -222,7 +222,7 @@
 	assert.DeepEqual(t, l.Tick(now.Add(300), nil), []Verdict{{200, Expire}})
 }
 
-// A lookup that is due in 100 ms waits behind nested calls that are due much later; ordered by age or rank it would be
+// A call that is due in 100 ms waits behind nested calls that are due much later; ordered by age or rank it would be
 // late.
 func TestDueFirst(t *testing.T) {
 	l := New(Options{Slots: 1, Law: FixedLaw, Order: DueFirst}, 0)
--- a/internal/limiter/types.go
+++ b/internal/limiter/types.go
@@ -1,5 +1,5 @@
-// The types that the reducer and the limiter exchange: calls go in, verdicts come out as data. The limiter knows
-// neither connections nor timers, so that its decisions can be tested and repeated.
+// The types that the limiter exchanges with the packages that use it: calls go in, verdicts come out as data. The
+// limiter knows neither connections nor timers, so that its decisions can be tested and repeated.
 //
 // Example: with one slot, Offer(a) gives {a Dispatch}, Offer(b) gives {b Queue}, Done(a) gives {b Dispatch}.
 
@@ -88,7 +88,7 @@
 	// ClassOldest dispatches by priority class, and oldest first within it.
 	ClassOldest
 	// DueFirst dispatches the call whose answer is due first. If the calls in excess of the capacity were refused
-	// earlier, this order makes the fewest answers late: a lookup due in 100 ms is run before nested calls of requests
+	// earlier, this order makes the fewest answers late: a call due in 100 ms is run before nested calls of requests
 	// due in a second. While a standing queue lasts, dispatch goes by rank (see standing.go).
 	DueFirst
 )
--- a/internal/pooler/fallback.go
+++ b/internal/pooler/fallback.go
@@ -4,8 +4,8 @@
 // out the shares of the nodes whose reports it does not receive. That node detects the silence late, so the share is
 // granted after a delay, except for one request of a team that was within its rate: most failures of a node last a
 // second, and that one request is all that a small team sends meanwhile. A node that has just started does not admit
-// even that one: after a kill of all nodes, each would find the others missing, and 88 requests exceed a small team's
-// window.
+// even that one: after a kill of all nodes, each would find the others missing, and 88 requests exceed what a small
+// team may send in one window of its rate's tolerance.
 //
 // Example: 13 requests a second, 88 nodes: one request at once, and one each 7 s from 1.5 s after the failure.
 
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -67,8 +67,8 @@
 	return Grant{Wait: clock.Duration((1 - b.tokens) / perMillisecond)}
 }
 
-// initialTokens is what a bucket holds that was taken over. With as much as the tolerated excess, three kills within
-// one window admitted 127 requests where 119 are allowed.
+// initialTokens is the number of tokens in a bucket that was just taken over from another node. With as much as the
+// tolerated excess, three node failures within one window would admit 127 requests where 119 are allowed.
 const initialTokens = 2
 
 // minRate, in requests a second, keeps a wait finite.
--- a/internal/pooler/types.go
+++ b/internal/pooler/types.go
@@ -36,8 +36,8 @@
 	fallbackDelay = 1500 * clock.Millisecond
 	// fallbackRetention is how long after the last failure a node still counts as unable to reach the bucket.
 	fallbackRetention = 3 * clock.Second
-	// overRateAfterEmpty is how long after an empty bucket a team does not count as within its rate: one window of the
-	// rate's tolerance.
+	// overRateAfterEmpty is how long a team counts as over its rate after its bucket was empty: one window of the rate's
+	// tolerance.
 	overRateAfterEmpty = 5 * clock.Second
 )
 
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,4 +1,4 @@
-// On an ordinary day the effect of this product that users notice is its added latency. It is measured against direct
+// In normal operation, the effect of this product that users notice is its added latency. It is measured against direct
 // calls to the same backend servers, in the same run and at the same rate, since no absolute time is stable on a shared
 // machine.
 //
--- a/internal/retrier/damper.go
+++ b/internal/retrier/damper.go
@@ -22,13 +22,15 @@
 }
 
 const (
-	defaultPerMille         = 80
-	defaultBurst            = 10
-	defaultHintAge          = clock.Second
-	creditPerRetry          = 1000
-	refillPeriod            = clock.Second
-	minBlockingHint uint8   = 26
-	hintScale       float64 = 255
+	defaultPerMille = 80
+	defaultBurst    = 10
+	defaultHintAge  = clock.Second
+	creditPerRetry  = 1000
+	refillPeriod    = clock.Second
+	// minBlockingHint is the smallest hint that blocks retries; it means that a tenth of the service's calls are retries.
+	minBlockingHint uint8 = 26
+	// hintScale is the hint of a service all of whose calls are retries.
+	hintScale float64 = 255
 )
 
 // Damper limits the ratio of retries to first attempts for each service; it is not safe for concurrent use.
--- a/internal/router/group.go
+++ b/internal/router/group.go
@@ -28,7 +28,7 @@
 
 // service holds the endpoints of one service.
 type service struct {
-	// local and remote are the usable endpoints in the own failure domain and in the others.
+	// local and remote are the usable endpoints in the local failure domain and in the others.
 	local, remote group
 	// Ejected endpoints are probed. Limited, stopping, ejected and suspect endpoints, in this order, are the last
 	// resort. Leaving and evacuated endpoints are never picked. Endpoints at their connection limit are kept in full
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -158,7 +158,7 @@
 					waitedLonger++
 				}
 			}
-			summary := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), waitedLonger, c.longestOfMost)
+			summary := fmt.Sprintf("a fraction of %.3f of %d calls left the local failure domain, %d waited longer than %d ms", crossed, len(p.waits), waitedLonger, c.longestOfMost)
 			assert.Assert(t, crossed >= c.least && crossed <= c.most, summary)
 			assert.Assert(t, waitedLonger <= len(p.waits)/20, summary)
 			t.Log(summary)
--- a/internal/router/member.go
+++ b/internal/router/member.go
@@ -110,8 +110,8 @@
 	slownessPenalty   = 0.5
 	// maxSlowness bounds the ratio, so that a slow endpoint still gets the calls that it can run.
 	maxSlowness = 4
-	// latencyAgeFactor times HeadroomAge is how long a latency is used; the limit lets an endpoint's recovery be
-	// noticed.
+	// latencyAgeFactor times HeadroomAge is how long a latency is used; with this limit, an endpoint that has recovered
+	// gets calls again.
 	latencyAgeFactor = 5
 )
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -3,7 +3,7 @@
 // random and takes the better one. It stays in its own failure domain while that has headroom (zone-aware routing with
 // spillover).
 //
-// Example: the own failure domain is measured full, the other one half used: the call goes to the other one.
+// Example: the local failure domain is measured full, the other one half used: the call goes to the other one.
 
 package router
 
@@ -106,7 +106,7 @@
 }
 
 const (
-	// spilloverScore is the score from which the own failure domain counts as having no headroom.
+	// spilloverScore is the score from which the local failure domain counts as having no headroom.
 	spilloverScore = 0.98
 	// crossDomainPenalty is by how much the cost of an endpoint in another failure domain must be lower: without it,
 	// half of all calls would cross failure domains whenever every endpoint is full.
@@ -125,7 +125,7 @@
 	return !slices.Contains(q.exclude, m.endpoint.ID) && q.need.allows(m.endpoint)
 }
 
-// choose returns an endpoint, and the reason for leaving the own failure domain if the endpoint is in another one.
+// choose returns an endpoint, and the reason for leaving the local failure domain if the endpoint is in another one.
 func (r *Router) choose(s *service, q pickRequest) (*member, Crossing) {
 	if m := r.probe(s, q); m != nil {
 		return m, Probing
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -124,8 +124,8 @@
 	return counts
 }
 
-// The own failure domain is preferred. But when its backend servers are full, calls that stay there wait or are refused
-// although other domains have headroom: callers see refusals on a half-empty fleet.
+// The local failure domain is preferred. But when its backend servers are full, calls that stay there wait or are
+// refused although other domains have headroom: callers see refusals on a half-empty fleet.
 func TestSpilloverByHeadroom(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far uint8
@@ -145,7 +145,7 @@
 				return Result{Headroom: c.far}
 			})
 			far := counts["3"] + counts["4"] + counts["5"]
-			assert.Assert(t, far >= c.least && far <= c.most, "%d of 1000 calls left the own failure domain", far)
+			assert.Assert(t, far >= c.least && far <= c.most, "%d of 1000 calls left the local failure domain", far)
 		})
 	}
 }
@@ -271,7 +271,7 @@
 				}
 				r.Done(e.ID, Result{Headroom: headroom}, now)
 			}
-			assert.Assert(t, far >= c.least && far <= c.most, "%d of %d calls left the own failure domain", far, runs)
+			assert.Assert(t, far >= c.least && far <= c.most, "%d of %d calls left the local failure domain", far, runs)
 		})
 	}
 }
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -66,7 +66,7 @@
 	Within clock.Duration
 	// Nested is true for a backend server's call and false for a root request.
 	Nested bool
-	// Domains are the failure domains in which the call's own nested calls find endpoints, if the own failure domain is
+	// Domains are the failure domains in which the call's own nested calls find endpoints, if the local failure domain is
 	// not one of them; empty for no preference.
 	Domains []identifier.FailureDomain
 	// Allowed are the failure domains whose endpoints may run the call; nil allows all.
@@ -78,15 +78,15 @@
 	return n.Allowed == nil || n.Allowed[e.Domain]
 }
 
-// Crossing is the reason why a call leaves the own failure domain; Inside if it does not.
+// Crossing is the reason why a call leaves the local failure domain; Inside if it does not.
 type Crossing string
 
-// The reasons to leave the own failure domain.
+// The reasons to leave the local failure domain.
 const (
 	Inside Crossing = ""
-	// NoneNear means that the own failure domain has no usable endpoint.
+	// NoneNear means that the local failure domain has no usable endpoint.
 	NoneNear Crossing = "noneNear"
-	// NearFull means that the endpoints in the own failure domain have no headroom, NearSlow that their answers would
+	// NearFull means that the endpoints in the local failure domain have no headroom, NearSlow that their answers would
 	// be late.
 	NearFull Crossing = "nearFull"
 	NearSlow Crossing = "nearSlow"
@@ -112,7 +112,7 @@
 const (
 	// Succeeded is an answer of the backend server.
 	Succeeded Outcome = iota
-	// Refused is a refusal by the delivery node, which shows that the node itself works.
+	// Refused is a refusal by the node beside the endpoint, which shows that this node works.
 	Refused
 	// Failed is an error, a broken stream or no answer in time.
 	Failed
