--- a/internal/conductor/runs.go
+++ b/internal/conductor/runs.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// nestedCallMade counts a nested call made by a run of a route.
-func (r *runCounter) nestedCallMade(of, route identifier.Route) {
-	r.countsOf(of).nested[route]++
+// nestedCallMade counts a call to nestedRoute that a run of parentRoute made.
+func (r *runCounter) nestedCallMade(parentRoute, nestedRoute identifier.Route) {
+	r.countsOf(parentRoute).nested[nestedRoute]++
 }
 
 // retain drops the counts of removed routes.
