--- a/internal/receiver/problem.go
+++ b/internal/receiver/problem.go
@@ -54,7 +54,7 @@
 	reducer.IDExpired:       "Idempotency id too old",
 	reducer.IDFromFuture:    "Idempotency id from the future",
 	reducer.OwnerUnknown:    "Owner of the idempotency id cannot be reached",
-	reducer.TooManyRequests: "Too many calls under way",
+	reducer.TooManyInFlight: "Too many calls under way",
 	reducer.TooDeep:         "Call chain too deep",
 	reducer.Cancelled:       "Call cancelled",
 }
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -115,7 +115,7 @@
 	case r.inFlight <- struct{}{}:
 		defer func() { <-r.inFlight }()
 	default:
-		r.refuse(w, request, reducer.TooManyRequests, "this node has too many calls under way")
+		r.refuse(w, request, reducer.TooManyInFlight, "this node has too many calls under way")
 		return
 	}
 	id, mailbox := r.performer.Open()
@@ -136,7 +136,7 @@
 }
 
 func retryAfterBusy(reason reducer.Reason) clock.Duration {
-	if reason == reducer.TooManyRequests {
+	if reason == reducer.TooManyInFlight {
 		return clock.Second
 	}
 	return 0
--- a/internal/reducer/refusals.go
+++ b/internal/reducer/refusals.go
@@ -51,7 +51,7 @@
 	IDExpired       Reason = "idempotencyExpired"
 	IDFromFuture    Reason = "idempotencyFromFuture"
 	OwnerUnknown    Reason = "ownerUnreachable"
-	TooManyRequests Reason = "tooManyInFlight"
+	TooManyInFlight Reason = "tooManyInFlight"
 	TooDeep         Reason = "tooDeep"
 	Cancelled       Reason = "cancelled"
 )
@@ -71,7 +71,7 @@
 	IDExpired:       http.StatusConflict,
 	IDFromFuture:    http.StatusBadRequest,
 	TooDeep:         http.StatusLoopDetected,
-	TooManyRequests: http.StatusServiceUnavailable,
+	TooManyInFlight: http.StatusServiceUnavailable,
 }
 
 // Status returns the HTTP status for the reason.
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -19,26 +19,26 @@
 // replayable is a request's body that can be sent again if it is held in memory, or as long as none of it has been read
 // from the caller.
 type replayable struct {
-	held   []byte
-	stream io.Reader
-	length int64
+	buffered []byte
+	stream   io.Reader
+	length   int64
 	// readStarted is set by the goroutine that sends the body, and read by the one that waits for the answer.
 	readStarted atomic.Bool
 }
 
 const (
-	// maxHeldBody is the size in bytes of the largest body that is held in memory to be sent again.
-	maxHeldBody = 16 << 10
+	// maxBufferedBody is the size in bytes of the largest body that is held in memory to be sent again.
+	maxBufferedBody = 16 << 10
 )
 
 func newReplayable(request *http.Request) (*replayable, error) {
 	if request.ContentLength == 0 {
 		return &replayable{}, nil
 	}
-	if request.ContentLength > 0 && request.ContentLength <= maxHeldBody {
-		held := make([]byte, request.ContentLength)
-		_, err := io.ReadFull(request.Body, held)
-		return &replayable{held: held, length: request.ContentLength}, err
+	if request.ContentLength > 0 && request.ContentLength <= maxBufferedBody {
+		buffered := make([]byte, request.ContentLength)
+		_, err := io.ReadFull(request.Body, buffered)
+		return &replayable{buffered: buffered, length: request.ContentLength}, err
 	}
 	return &replayable{stream: request.Body, length: request.ContentLength}, nil
 }
@@ -56,8 +56,8 @@
 	switch {
 	case b.stream != nil:
 		return b, b.length
-	case b.held != nil:
-		return bytes.NewReader(b.held), b.length
+	case b.buffered != nil:
+		return bytes.NewReader(b.buffered), b.length
 	default:
 		return nil, 0
 	}
--- a/internal/relayer/handover_test.go
+++ b/internal/relayer/handover_test.go
@@ -121,15 +121,15 @@
 	moveToOtherDomain(entry, beside)
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "/obs/1", strings.NewReader(strings.Repeat("x", 8000)))
 	assert.NilError(t, err)
-	held, err := newReplayable(request)
+	body, err := newReplayable(request)
 	assert.NilError(t, err)
 	attempt := func() conductor.Outcome {
 		out := &requester.Request{Method: http.MethodPost, URI: "/obs/1", Host: "h.example", Header: http.Header{}}
-		out.Body, out.Length = held.reader()
+		out.Body, out.Length = body.reader()
 		a := entry.forward(context.Background(), conductor.Send{
 			Address: beside.member.DeliveryAddress, Endpoint: "i-beside", Team: "parish", RateUnchecked: true, Crossing: router.NoneNear,
 			Deadline: entry.options.Clock.Now().Add(clock.Second), QueueTimeout: 100,
-		}, out, held)
+		}, out, body)
 		a.finish(true)
 		return a.outcome
 	}
--- a/internal/soaker/judge.go
+++ b/internal/soaker/judge.go
@@ -166,7 +166,7 @@
 
 func (r *Record) wrongAnswers(Terms) (found []Breach) {
 	for _, s := range r.sent {
-		if s.Answer.Status/100 == 2 && !s.Answer.Whole {
+		if s.Answer.Status/100 == 2 && !s.Answer.Correct {
 			found = append(found, Breach{"wrongAnswer", fmt.Sprintf("%s got %d with another body or signature", s.ID, s.Answer.Status)})
 		}
 	}
--- a/internal/soaker/judge_test.go
+++ b/internal/soaker/judge_test.go
@@ -29,7 +29,7 @@
 	r.SetFaultsEnded(second(30))
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
-		r.AddRequest(Sent{ID: id, Team: "parish", Key: "k", At: second(float64(i)), Answer: standin.Answer{Status: 200, Whole: true}})
+		r.AddRequest(Sent{ID: id, Team: "parish", Key: "k", At: second(float64(i)), Answer: standin.Answer{Status: 200, Correct: true}})
 		r.AddRun(standin.Run{Request: id, Instance: "i-1", Team: "parish", At: second(float64(i) + 0.01)})
 	}
 	return r
@@ -39,7 +39,7 @@
 // exactly that check must report a breach.
 func TestEachCheckFindsItsFault(t *testing.T) {
 	sent := func(id string, at float64, status int) Sent {
-		return Sent{ID: id, Team: "parish", Key: "k", At: second(at), Answer: standin.Answer{Status: status, Whole: true}}
+		return Sent{ID: id, Team: "parish", Key: "k", At: second(at), Answer: standin.Answer{Status: status, Correct: true}}
 	}
 	ran := func(id, instance string, at float64) standin.Run {
 		return standin.Run{Request: id, Instance: instance, Team: "parish", At: second(at)}
@@ -51,7 +51,7 @@
 		"no fault": {func(*Record) {}, ""},
 		"answer to another request": {func(r *Record) {
 			s := sent("x", 1, 200)
-			s.Answer.Whole = false
+			s.Answer.Correct = false
 			r.AddRequest(s)
 			r.AddRun(ran("x", "i-1", 1))
 		}, "wrongAnswer"},
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -110,7 +110,7 @@
 		w.reportState(err)
 		switch {
 		case err != nil:
-			w.waitToRetry(ctx, w.backOff())
+			w.waitToRetry(ctx, w.nextRetryWait())
 		case w.hadRecords:
 			clock.Sleep(ctx, w.options.PauseAfterRecords.Std())
 		}
@@ -155,7 +155,7 @@
 	w.options.OnRegained()
 }
 
-func (w *Watcher) backOff() clock.Duration {
+func (w *Watcher) nextRetryWait() clock.Duration {
 	b := DefaultBackoff
 	if w.options.Backoff != nil {
 		b = w.options.Backoff()
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -293,7 +293,7 @@
 			OnUpdate: func(Update) {}, OnLost: func(error) {}, OnRegained: func() {},
 		})
 		for pause := clock.Duration(0); pause < 4000; tries[b.Max]++ {
-			pause += w.backOff()
+			pause += w.nextRetryWait()
 		}
 	}
 	assert.Assert(t, tries[100] >= 40 && tries[2000] <= 9 && tries[4000] <= 5, "%v", tries)
