--- a/internal/admitter/fairness.go
+++ b/internal/admitter/fairness.go
@@ -6,9 +6,9 @@
 // Levels are absolute call rates, not relative to this node's mean: a level has to mean the same at a node that
 // receives only the heavy team's calls and at a node that receives only the others'.
 //
-// Example: seven teams send 10 calls a second, one sends 100. The levels of the seven end at that of 10, and a tenth of
-// the heavy team's calls have levels up to there. With capacity for 80 calls, the threshold settles at that level, and
-// each of the eight teams gets 10.
+// Example: seven teams send 10 calls a second, one sends 100. The calls of the seven have levels up to the one of
+// 10 calls a second, as do a tenth of the heavy team's calls. With capacity for 80 calls, the threshold settles at
+// that level, and each of the eight teams gets 10.
 
 package admitter
 
--- a/internal/inspector/client.go
+++ b/internal/inspector/client.go
@@ -80,7 +80,7 @@
 func (c *Client) get(ctx context.Context, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base.JoinPath(path).String(), nil)
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
--- a/internal/inspector/types.go
+++ b/internal/inspector/types.go
@@ -2,7 +2,7 @@
 
 // The paths and the JSON types of the admin endpoint are shared by its server and the operators' command line.
 //
-// Example: GET /status → {"node":{"name":"portal-1",…},"fleet":[…]}
+// Example: GET /status → {"self":{"node":"portal-1",…},"fleet":[…]}
 
 import "fmt"
 
--- a/internal/matcher/types.go
+++ b/internal/matcher/types.go
@@ -1,7 +1,7 @@
 package matcher
 
-// A configuration is read from the operators' store as one complete version. These types are its decoded form; the
-// stored format is defined by the codec.
+// A configuration is read from the operators' store as one complete version. These types are its decoded form;
+// package platform decodes the stored format.
 //
 // Example: Route{Host: "a.example", Prefix: "/obs/", Parts: []Part{{"portal", 90}, {"portal2", 10}}}
 
--- a/internal/reducer/dump.go
+++ b/internal/reducer/dump.go
@@ -33,14 +33,17 @@
 	Contacts   []gossiper.Contact
 	Claims     []claimer.State
 	Rates      granter.State
-	IDRecords  int
-	IDReports  int
+	// IDRecords is the number of idempotency ids that this node has a record of as their owner, IDReports the number of
+	// outcomes that it has reported to the owners of their ids and that are not acknowledged yet.
+	IDRecords int
+	IDReports int
 }
 
 // Status is the configuration in force at a node.
 type Status struct {
 	Preset  identifier.Preset
 	Version identifier.Version
+	// Silence is the age of the node's newest information from the log.
 	Silence clock.Duration
 }
 
--- a/internal/reducer/effects.go
+++ b/internal/reducer/effects.go
@@ -90,8 +90,8 @@
 // ReadLog requests the log's records from an offset on; RecordsRead or LogFailed is the result.
 type ReadLog struct {
 	From identifier.Offset
-	// Asked is the time of this request and is returned in RecordsRead: the records may be as old as the request, not only
-	// as the result.
+	// Asked is the time of this request. RecordsRead returns it, since a record that was appended after the request may be
+	// missing from the result.
 	Asked clock.Time
 }
 
--- a/internal/reducer/events.go
+++ b/internal/reducer/events.go
@@ -116,7 +116,7 @@
 	Load     int
 }
 
-// BackendLeaving reports that a backend server drains: it wants no new calls.
+// BackendLeaving reports that a backend server has started to drain and must be sent no new calls.
 type BackendLeaving struct{ Endpoint identifier.Endpoint }
 
 // MessageReceived carries a control message from another node.
--- a/internal/reducer/new.go
+++ b/internal/reducer/new.go
@@ -100,7 +100,7 @@
 	return names
 }
 
-// isIDClaim reports whether the claim is one over idempotency ids. The claimer treats these as instant: an owner grants
-// nothing that is used after its authority has ended, since a later owner either has the record of an earlier permit or
-// treats its outcome as unknown.
+// isIDClaim reports whether the claim is one over idempotency ids. A new holder of such a claim may act without waiting
+// until what its predecessor granted has expired: it either has the record of an earlier permit or treats that permit's
+// outcome as unknown.
 func isIDClaim(n claimer.Name) bool { return strings.HasPrefix(string(n), idClaimPrefix) }
--- a/internal/reducer/spend.go
+++ b/internal/reducer/spend.go
@@ -1,5 +1,6 @@
 // A root call spends from its team's rate before it uses any other resource of the fleet. If the team's slice at this
-// node is used up, the call waits a few milliseconds for the next slice, since a bank grants most requests.
+// node is used up, the call waits a few milliseconds for the next slice, since the bank, which keeps the team's token
+// bucket, grants most requests.
 //
 // Example: Spend returns Wait → granter.Send requests a slice from the bank → Grant arrives → Resume → the call
 // continues.
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -1,9 +1,9 @@
 package relayer
 
-// A request's body can be read from its caller only once. A small body is held in memory, so that the request can be sent
-// again to another node; a large one is streamed, and a failure on the way is reported to the caller.
+// A request's body can be read from its caller only once. A small body is buffered, so that the request can be sent again
+// to another node; a large one is streamed, and a failure on the way is reported to the caller.
 //
-// Example: 300 bytes are held and sent to two nodes in turn; 60 kB can be sent again only if none of it has been read.
+// Example: 300 bytes are buffered and sent to two nodes in turn; 60 kB can be sent again only if none of it has been read.
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/requester"
 )
 
-// replayable is a request's body that can be sent again if it is held in memory, or as long as none of it has been read
-// from the caller.
+// replayable is a request's body that can be sent again if it is buffered, or as long as none of it has been read from
+// the caller.
 type replayable struct {
 	buffered []byte
 	stream   io.Reader
@@ -27,7 +27,7 @@
 }
 
 const (
-	// maxBufferedBody is the size in bytes of the largest body that is held in memory to be sent again.
+	// maxBufferedBody is the size in bytes of the largest body that is buffered to be sent again.
 	maxBufferedBody = 16 << 10
 )
 
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -1,6 +1,6 @@
 package relayer
 
-// A token of a pooled team is requested from the node that holds the team's bucket, in one small request.
+// A pooled team has one token bucket for the whole fleet, at one node. Other nodes request each token from that node.
 //
 // Example: POST /tokens with Jackdaw-Team: parish is answered with 200 and Jackdaw-Token: 1, or 0 and Jackdaw-Wait: 80.
 
