--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -72,8 +72,8 @@
 	leaving             *departure
 	logStart            identifier.Offset
 	lastSlowTick        clock.Time
-	// membersKnown is set once the node has determined the members of its failure domain, alone or with others; startedAt
-	// is the time of the first tick.
+	// membersKnown is set once the node has found other members of its failure domain or assumes that it is the only one;
+	// startedAt is the time of the first tick.
 	membersKnown bool
 	startedAt    clock.Time
 	now          clock.Time
