--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -169,8 +169,8 @@
 	})
 }
 
-// Carried returns the statistics of the node's transport.
-func (n *Node) Carried() transporter.Stats { return n.peer.Stats() }
+// TransportStats returns the statistics of the node's transport.
+func (n *Node) TransportStats() transporter.Stats { return n.peer.Stats() }
 
 // Pause blocks all decisions of the node for the given time, like a VM that does not run the process, and returns when the
 // time is over; it is for tests.
--- a/internal/assembler/effects.go
+++ b/internal/assembler/effects.go
@@ -59,16 +59,16 @@
 }
 
 // Send queues a control message.
-func (o *effectRunner) Send(e reducer.Send) { offer(o.sends, e) }
+func (er *effectRunner) Send(e reducer.Send) { offer(er.sends, e) }
 
 // Append queues a record.
-func (o *effectRunner) Append(e reducer.Append) { offer(o.appends, e) }
+func (er *effectRunner) Append(e reducer.Append) { offer(er.appends, e) }
 
 // ReadLog queues a read.
-func (o *effectRunner) ReadLog(e reducer.ReadLog) { offer(o.reads, e) }
+func (er *effectRunner) ReadLog(e reducer.ReadLog) { offer(er.reads, e) }
 
 // Log queues a log line.
-func (o *effectRunner) Log(e reducer.Log) { offer(o.logLines, e) }
+func (er *effectRunner) Log(e reducer.Log) { offer(er.logLines, e) }
 
 func offer[T any](queue chan T, v T) {
 	select {
@@ -78,95 +78,95 @@
 }
 
 // run starts the goroutines that process the queues until ctx is cancelled.
-func (o *effectRunner) run(ctx context.Context, apply func(reducer.Event)) {
-	go o.runSends(ctx)
-	go o.runAppends(ctx)
-	go o.runReads(ctx, apply)
-	go o.runLogLines(ctx)
+func (er *effectRunner) run(ctx context.Context, apply func(reducer.Event)) {
+	go er.runSends(ctx)
+	go er.runAppends(ctx)
+	go er.runReads(ctx, apply)
+	go er.runLogLines(ctx)
 }
 
-func (o *effectRunner) runSends(ctx context.Context) {
+func (er *effectRunner) runSends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.sends:
-			o.sendOne(e)
+		case e := <-er.sends:
+			er.sendOne(e)
 		}
 	}
 }
 
-func (o *effectRunner) sendOne(e reducer.Send) {
+func (er *effectRunner) sendOne(e reducer.Send) {
 	b, err := encoder.Encode(e.Message)
 	if err != nil {
-		o.logger.Error("message cannot be encoded", "error", err)
+		er.logger.Error("message cannot be encoded", "error", err)
 		return
 	}
-	err = o.transporter.SendControl(transporter.Peer{Node: e.To, Address: e.Address}, b)
+	err = er.transporter.SendControl(transporter.Peer{Node: e.To, Address: e.Address}, b)
 	if err != nil {
-		o.logger.Debug("message not sent", "to", e.To, "error", err)
+		er.logger.Debug("message not sent", "to", e.To, "error", err)
 	}
 }
 
-func (o *effectRunner) runAppends(ctx context.Context) {
+func (er *effectRunner) runAppends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.appends:
-			o.appendOne(ctx, e)
+		case e := <-er.appends:
+			er.appendOne(ctx, e)
 		}
 	}
 }
 
 // A claim is appended once: the claimer reads it back from the log and appends it again itself if necessary. Other records
 // are retried here until the log has accepted them, because no other part retries them; only a full queue drops them.
-func (o *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
+func (er *effectRunner) appendOne(ctx context.Context, e reducer.Append) {
 	b, err := encoder.Encode(e.Record)
 	if err != nil {
-		o.logger.Error("record cannot be encoded", "error", err)
+		er.logger.Error("record cannot be encoded", "error", err)
 		return
 	}
 	attempt, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	_, err = o.log.Append(attempt, b)
+	_, err = er.log.Append(attempt, b)
 	if err == nil {
 		return
 	}
-	o.logger.Debug("record not appended", "error", err)
+	er.logger.Debug("record not appended", "error", err)
 	if _, isClaim := e.Record.(claimer.Claim); isClaim {
 		return
 	}
-	time.AfterFunc(appendRetryPause, func() { o.Append(e) })
+	time.AfterFunc(appendRetryPause, func() { er.Append(e) })
 }
 
-func (o *effectRunner) runReads(ctx context.Context, apply func(reducer.Event)) {
+func (er *effectRunner) runReads(ctx context.Context, apply func(reducer.Event)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.reads:
-			apply(o.readOne(ctx, e))
+		case e := <-er.reads:
+			apply(er.readOne(ctx, e))
 		}
 	}
 }
 
-func (o *effectRunner) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
+func (er *effectRunner) readOne(ctx context.Context, e reducer.ReadLog) reducer.Event {
 	from := appender.Offset(e.From)
-	b, err := o.read(ctx, from)
+	b, err := er.read(ctx, from)
 	var expired appender.Expired
 	if errors.As(err, &expired) {
-		b, err = o.read(ctx, expired.Earliest)
+		b, err = er.read(ctx, expired.Earliest)
 	}
 	if err != nil {
-		o.logger.Debug("log not read", "error", err)
+		er.logger.Debug("log not read", "error", err)
 		return &reducer.LogFailed{}
 	}
 	event := &reducer.RecordsRead{
 		Earliest: identifier.Offset(b.Earliest),
 		Next:     identifier.Offset(b.End),
 		Asked:    e.Asked,
-		Wall:     o.clock.Wall(),
+		Wall:     er.clock.Wall(),
 	}
 	for _, r := range b.Records {
 		event.Records = append(event.Records, reducer.LogRecord{
@@ -177,19 +177,19 @@
 	return event
 }
 
-func (o *effectRunner) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
+func (er *effectRunner) read(parent context.Context, from appender.Offset) (appender.Batch, error) {
 	ctx, cancel := context.WithTimeout(parent, readTimeout)
 	defer cancel()
-	return o.log.Read(ctx, from, maxReadRecords, readWait)
+	return er.log.Read(ctx, from, maxReadRecords, readWait)
 }
 
-func (o *effectRunner) runLogLines(ctx context.Context) {
+func (er *effectRunner) runLogLines(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.logLines:
-			o.logger.Info(e.Message, e.Fields...)
+		case e := <-er.logLines:
+			er.logger.Info(e.Message, e.Fields...)
 		}
 	}
 }
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -177,30 +177,30 @@
 }
 
 func (c *Configurer) hintIfNew(now clock.Time) []Effect {
-	p := &c.relay
-	if p.hinted < c.tail.next {
-		p.hinted = c.tail.next
-		p.rounds = hintRounds
-		p.nextRemote = min(p.nextRemote, now)
+	r := &c.relay
+	if r.hinted < c.tail.next {
+		r.hinted = c.tail.next
+		r.rounds = hintRounds
+		r.nextRemote = min(r.nextRemote, now)
 	}
-	if p.rounds == 0 || now < p.nextHint || len(p.local) == 0 {
+	if r.rounds == 0 || now < r.nextHint || len(r.local) == 0 {
 		return nil
 	}
-	p.rounds--
-	p.nextHint = now.Add(hintInterval)
+	r.rounds--
+	r.nextHint = now.Add(hintInterval)
 	// The next member by name always gets a hint, so that without message loss random selection leaves no node out.
-	next := Send{To: p.next, Message: c.hint(now)}
-	return append(c.hintSome(p.local, c.options.Fanout-1, now), next)
+	next := Send{To: r.next, Message: c.hint(now)}
+	return append(c.hintSome(r.local, c.options.Fanout-1, now), next)
 }
 
 // hintRemote keeps failure domains up to date that can't reach the log but can reach this domain.
 func (c *Configurer) hintRemote(now clock.Time) []Effect {
-	p := &c.relay
-	if !c.reader.elected || now < p.nextRemote {
+	r := &c.relay
+	if !c.reader.elected || now < r.nextRemote {
 		return nil
 	}
-	p.nextRemote = now.Add(remoteHintInterval)
-	return c.hintSome(p.remote, remoteFanout, now)
+	r.nextRemote = now.Add(remoteHintInterval)
+	return c.hintSome(r.remote, remoteFanout, now)
 }
 
 func (c *Configurer) hintSome(peers []identifier.Node, fanout int, now clock.Time) []Effect {
--- a/internal/faulter/run.go
+++ b/internal/faulter/run.go
@@ -141,7 +141,7 @@
 	defer r.mu.Unlock()
 	for i, v := range r.fleet.Members {
 		if !r.down[i] {
-			m.bytes += v.Node.Carried().ControlBytes
+			m.bytes += v.Node.TransportStats().ControlBytes
 		}
 	}
 	return m
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -46,7 +46,7 @@
 	Endpoint identifier.Endpoint
 	Node     identifier.Node
 	Nested   bool
-	Repeat   bool
+	Retry   bool
 	Outcome  string
 	Status   int
 	Took     clock.Duration
@@ -118,7 +118,7 @@
 // Attempted records an attempt that has ended.
 func (r *Recorder) Attempted(e Attempt) {
 	r.meters.increment("attempts", "outcome", e.Outcome)
-	if e.Repeat {
+	if e.Retry {
 		r.meters.increment("repeats", "outcome", e.Outcome)
 	}
 	r.meters.observeDuration("request", "outcome", e.Outcome, e.Took)
@@ -131,7 +131,7 @@
 		return
 	}
 	r.logger.Info("attempt ended", "request", e.Request, "route", e.Route, "version", int64(e.Version),
-		"endpoint", string(e.Endpoint), "at", string(e.Node), "nested", e.Nested, "repeat", e.Repeat,
+		"endpoint", string(e.Endpoint), "at", string(e.Node), "nested", e.Nested, "repeat", e.Retry,
 		"outcome", e.Outcome, "status", e.Status, "tookMs", int64(e.Took), "leftOut", leftOut)
 }
 
--- a/internal/transporter/control.go
+++ b/internal/transporter/control.go
@@ -78,14 +78,14 @@
 
 // finishBatch counts the batch and reports whether sendQueue may return: the queue is empty, or the peer can't be
 // reached, in which case the queued messages are dropped.
-func (t *Transporter) finishBatch(p *peerState, taken [][]byte, err error) bool {
+func (t *Transporter) finishBatch(p *peerState, batch [][]byte, err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.totals.ControlDropped += uint64(len(taken) + len(p.queue))
+		t.totals.ControlDropped += uint64(len(batch) + len(p.queue))
 	} else {
-		t.totals.ControlSent += uint64(len(taken))
-		for _, m := range taken {
+		t.totals.ControlSent += uint64(len(batch))
+		for _, m := range batch {
 			t.totals.ControlBytes += uint64(len(m))
 		}
 	}
--- a/internal/transporter/peer_monitor.go
+++ b/internal/transporter/peer_monitor.go
@@ -16,15 +16,15 @@
 }
 
 func (l *link) checkPeer(now time.Time) {
-	w := &l.peerMonitor
+	m := &l.peerMonitor
 	packets := l.conn.ConnectionStats().PacketsReceived
 	busy := l.calls.Load() > 0 || l.serving.Load() > 0
-	if packets != w.packets || !busy {
-		w.packets = packets
-		w.lastContact = now
+	if packets != m.packets || !busy {
+		m.packets = packets
+		m.lastContact = now
 		return
 	}
-	silence := now.Sub(w.lastContact)
+	silence := now.Sub(m.lastContact)
 	limit := l.t.options.PeerTimeout.Std()
 	if silence > limit {
 		l.closeNow(codePeerTimeout)
