--- a/internal/assembler/assembler.go
+++ b/internal/assembler/assembler.go
@@ -78,8 +78,8 @@
 			func(o Options, c *clock.Clock, t *transporter.Transporter) *effectRunner {
 				return newEffectRunner(c, o.Logger, o.Log, t)
 			},
-			func(c *clock.Clock, s *reducer.State, o *effectRunner) *performer.Performer {
-				return performer.New(c, s, o)
+			func(c *clock.Clock, s *reducer.State, er *effectRunner) *performer.Performer {
+				return performer.New(c, s, er)
 			},
 			deliverer.New,
 			func(id identifier.Node, d *deliverer.Deliverer, t *transporter.Transporter) *forwarder.Forwarder {
--- a/internal/certifier/authority.go
+++ b/internal/certifier/authority.go
@@ -26,7 +26,7 @@
 )
 
 // clockSkew is how far the clock of a VM may lag behind that of the CA before the VM rejects a new certificate as not yet
-// valid. Without this margin peers with late clocks would reject a new VM for some minutes.
+// valid. Without this margin peers whose clocks lag would reject a new VM for some minutes.
 const clockSkew = 10 * time.Minute
 
 // Pair is a certificate and its private key, both PEM.
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -1,5 +1,5 @@
-// A wait must end when its purpose has ended. A plain time.Sleep delays the stop of a program, and so all who wait for
-// that stop; these two functions return early when the context ends.
+// A wait must end when the work that it belongs to is cancelled. A plain time.Sleep would delay the stop of a program,
+// and all who wait for that stop; these two functions return early when the context ends.
 //
 // Example: if !clock.Sleep(ctx, time.Second) { return ctx.Err() }
 
--- a/internal/configurer/freshness.go
+++ b/internal/configurer/freshness.go
@@ -30,6 +30,7 @@
 	Age   clock.Duration
 }
 
+// contact is the newest known contact with the log, at a time of this node's clock, and the last stamp of each reader.
 type contact struct {
 	known  bool
 	at     clock.Time
--- a/internal/configurer/types.go
+++ b/internal/configurer/types.go
@@ -2,8 +2,9 @@
 // against a version of a subject is accepted, and each later one made against the same version is refused with a
 // Conflict.
 //
-// Example: two operators read that the in-force pointer is at version 7, and both append SwitchPreset with
-// Base 7. The first on the log becomes version 8; the second gets Conflict{Base: 7, Current: 8}.
+// Example: two operators read that the in-force pointer, which selects the preset in force, is at version 7, and both
+// append SwitchPreset with Base 7. The first on the log becomes version 8; the second gets
+// Conflict{Base: 7, Current: 8}.
 
 package configurer
 
--- a/internal/deliverer/deliverer.go
+++ b/internal/deliverer/deliverer.go
@@ -26,7 +26,8 @@
 	"github.com/jackdawtide/jackdawtide/internal/transporter"
 )
 
-// Header fields that a node sets on requests to its backend server.
+// Header fields that a node sets on requests to its backend server. TokenHeader holds the call token, which identifies
+// the call; the backend server sends it with its nested calls.
 const (
 	TokenHeader     = "Jackdawtide-Call"
 	DeadlineHeader  = "Jackdawtide-Deadline-Ms"
--- a/internal/launcher/partition.go
+++ b/internal/launcher/partition.go
@@ -1,5 +1,5 @@
-// A failure domain is partitioned at the transport and at the log, like by a failed switch: its nodes and backend servers
-// keep running, but no traffic enters or leaves the domain.
+// A failure domain is partitioned at the transport and at the log, as if a network switch had failed: its nodes and
+// backend servers keep running, but no traffic enters or leaves the domain.
 //
 // Example: f.Partition("abashiri") … f.Heal("abashiri").
 
--- a/internal/performer/performer.go
+++ b/internal/performer/performer.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Open makes a new call handle and its mailbox; Close must be called when the call is over.
+// Open creates the id and the mailbox of a new call or delivery; Close must be called when it is over.
 func (p *Performer) Open() (reducer.CallID, Mailbox) {
 	id := reducer.CallID(p.nextCall.Add(1))
 	mailbox := make(chan reducer.CallEffect, mailboxSize)
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -46,7 +46,7 @@
 	Endpoint identifier.Endpoint
 	Node     identifier.Node
 	Nested   bool
-	Retry   bool
+	Retry    bool
 	Outcome  string
 	Status   int
 	Took     clock.Duration
--- a/internal/requester/connections.go
+++ b/internal/requester/connections.go
@@ -1,7 +1,7 @@
 package requester
 
 // A VM allows a process some thousands of file descriptors. Callers whose requests are refused retry on new connections
-// and keep the old ones open: with an idle time of half a minute, an overload with retries used up all 3,900 descriptors
+// and keep the old ones open: with an idle time of half a minute, an overload with retries uses up all 3,900 descriptors
 // of a node within ten seconds. Accept then fails and is retried up to a second later, new connections stay unread
 // meanwhile, and requests are read seconds after their callers have left. Therefore all parts of a node share one count
 // of open connections, and above a fraction of the limit each answer closes its connection.
--- a/internal/requester/pool.go
+++ b/internal/requester/pool.go
@@ -69,8 +69,8 @@
 }
 
 // abort resets the connection instead of closing it in order. After an orderly close, bytes delayed by a partition or a
-// congested link are still delivered seconds later: an endpoint then ran requests whose callers had left 5.4 s before.
-// A reset discards these bytes.
+// congested link are still delivered seconds later, and the endpoint runs requests whose callers left as much as 5.4 s
+// before. A reset discards these bytes.
 func (c *conn) abort() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		// This fails only if the connection is closed already.
--- a/internal/transporter/dialer.go
+++ b/internal/transporter/dialer.go
@@ -2,7 +2,7 @@
 // must not be dialled by every call. So each peer has one state: its link, the dial under way that all calls wait
 // for, and the time until which a failed dial is not retried.
 //
-// Example: the dial to n2 fails at 0 ms; calls until up to 50 ms later fail at once with BackOffError, phase notSent.
+// Example: the dial to n2 fails at 0 ms; calls in the next 25 to 50 ms fail at once with BackOffError, phase notSent.
 
 package transporter
 
