--- a/internal/assembler/state_reader.go
+++ b/internal/assembler/state_reader.go
@@ -40,7 +40,8 @@
 	return d
 }
 
-// Status returns the configuration in force at this node and, as far as their reports were received, at the other nodes.
+// Status returns the configuration in force at this node and, as far as their reports were received, at the other nodes
+// of its failure domain.
 func (s *stateReader) Status() inspector.Status {
 	var own reducer.Status
 	var fleet map[identifier.Node]reducer.Status
--- a/internal/commander/preset_status.go
+++ b/internal/commander/preset_status.go
@@ -15,7 +15,8 @@
 )
 
 // `preset status` shows whether a change is in force on all nodes. Each node holds the last status that it received from
-// the others, so one admin address is enough; several addresses show more during a partition between failure domains.
+// the others of its failure domain, so one admin address for each failure domain covers all nodes; further addresses show
+// more while nodes of a domain can't reach each other.
 
 type presetStatus struct {
 	// Newest is the highest version that any node has in force; nodes with a lower version lag.
