--- a/internal/encoder/membership.go
+++ b/internal/encoder/membership.go
@@ -233,12 +233,12 @@
 	}
 }
 
-func statusToWire(n gossiper.Status) statusWire {
+func statusToWire(s gossiper.Status) statusWire {
 	return statusWire{
-		Offset:  int64(n.Offset),
-		Version: int64(n.Version),
-		InForce: string(n.InForce),
-		Contact: logContactWire{Reader: string(n.Reader), Stamp: int64(n.Stamp), Age: int64(n.Age)},
+		Offset:  int64(s.Offset),
+		Version: int64(s.Version),
+		InForce: string(s.InForce),
+		Contact: logContactWire{Reader: string(s.Reader), Stamp: int64(s.Stamp), Age: int64(s.Age)},
 	}
 }
 
--- a/internal/gossiper/follower.go
+++ b/internal/gossiper/follower.go
@@ -18,8 +18,8 @@
 
 const (
 	renewInterval = 3 * clock.Second
-	// firstRetry is the time between renewals until the first answer.
-	firstRetry = 300 * clock.Millisecond
+	// renewRetryInterval is the time between renewals until the first answer.
+	renewRetryInterval = 300 * clock.Millisecond
 	// confirmTerm is how long a member of another domain is used without a relay's confirmation, relayConfirmTerm how
 	// long a relay uses one that its own table lacks.
 	confirmTerm      = 15 * clock.Second
@@ -36,7 +36,7 @@
 	return follower{}
 }
 
-// renewNow makes the subscription due now, and after each firstRetry until it is answered.
+// renewNow makes the subscription due now, and after each renewRetryInterval until it is answered.
 func (f *follower) renewNow(now clock.Time) {
 	f.nextRenewal = now
 	f.answered = false
@@ -90,7 +90,7 @@
 	}
 	f.nextRenewal = now.Add(renewInterval*3/4 + g.jitter(renewInterval/2))
 	if !f.answered {
-		f.nextRenewal = now.Add(firstRetry)
+		f.nextRenewal = now.Add(renewRetryInterval)
 	}
 	if g.relayer.isRelay {
 		f.answered = true
@@ -222,7 +222,7 @@
 	if missing := g.requestMissing(from, m.Members); !m.Unchanged && len(missing) > 0 {
 		// The request or its answer may get lost, and the next regular renewal would come too late.
 		effects = append(effects, missing...)
-		g.follower.nextRenewal = min(g.follower.nextRenewal, now.Add(firstRetry))
+		g.follower.nextRenewal = min(g.follower.nextRenewal, now.Add(renewRetryInterval))
 	}
 	return append(effects, g.applyReachability(m, now)...)
 }
--- a/internal/gossiper/prober.go
+++ b/internal/gossiper/prober.go
@@ -220,10 +220,10 @@
 // pingDeadMember pings a random dead member. After a partition within the domain, each half considers the other dead,
 // and without these pings the halves would never exchange messages again.
 func (g *Gossiper) pingDeadMember() []Effect {
-	if len(g.ownTable.down) == 0 {
+	if len(g.ownTable.dead) == 0 {
 		return nil
 	}
-	n := g.ownTable.down[g.options.Rand.IntN(len(g.ownTable.down))]
+	n := g.ownTable.dead[g.options.Rand.IntN(len(g.ownTable.dead))]
 	message := Ping{Status: g.status, Hash: g.ownTable.hash(), Updates: g.updatesForTarget(n)}
 	return []Effect{g.send(n, message)}
 }
--- a/internal/gossiper/pusher.go
+++ b/internal/gossiper/pusher.go
@@ -171,8 +171,8 @@
 			kept = append(kept, e)
 		}
 	}
-	all := len(m.Endpoints)
+	endpointCount := len(m.Endpoints)
 	m.Endpoints = kept
 	// A member whose last endpoints were removed is needed too, so that the subscriber removes them.
-	return m, len(kept) > 0 || all == 0
+	return m, len(kept) > 0 || endpointCount == 0
 }
--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -36,7 +36,7 @@
 	members map[identifier.Node]*entry
 	// up lists the members that are alive or suspect, sorted; down lists the dead ones.
 	up         []identifier.Node
-	down       []identifier.Node
+	dead       []identifier.Node
 	buckets    [bucketCount]uint64
 	lastChange clock.Time
 }
@@ -98,7 +98,7 @@
 		t.up = withPresence(t.up, m.Node, m.up())
 	}
 	if (old.State == Dead) != (m.State == Dead) {
-		t.down = withPresence(t.down, m.Node, m.State == Dead)
+		t.dead = withPresence(t.dead, m.Node, m.State == Dead)
 	}
 }
 
@@ -119,7 +119,7 @@
 	for n, e := range t.members {
 		if !e.up() && now.Sub(e.changedAt) > term {
 			delete(t.members, n)
-			t.down = withPresence(t.down, n, false)
+			t.dead = withPresence(t.dead, n, false)
 		}
 	}
 }
--- a/internal/granter/asker.go
+++ b/internal/granter/asker.go
@@ -34,7 +34,7 @@
 		p.pooled = g.isPooled(p.burst)
 		p.order = p.order[:0]
 		for _, d := range g.domains {
-			if g.shares.latest(d.name) > 0 || d.name == g.options.Domain {
+			if g.shares.inForce(d.name) > 0 || d.name == g.options.Domain {
 				p.order = append(p.order, d)
 			}
 		}
@@ -47,7 +47,7 @@
 					return 1
 				}
 			}
-			if d := g.shares.latest(b.name) - g.shares.latest(a.name); d != 0 {
+			if d := g.shares.inForce(b.name) - g.shares.inForce(a.name); d != 0 {
 				return d
 			}
 			return compareDomainScores(p.team, a.name, b.name)
@@ -57,7 +57,7 @@
 
 func (g *Granter) isPooled(burst identifier.Tokens) bool {
 	for _, d := range g.domains {
-		s := g.shares.latest(d.name)
+		s := g.shares.inForce(d.name)
 		if s > 0 && burst*identifier.Tokens(s)/1000 < minBurstShareCalls*identifier.TokensPerCall {
 			return true
 		}
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -139,8 +139,8 @@
 	longestLeft := g.options.SliceTerm
 	for _, b := range g.banks {
 		for _, a := range b.sortedAccounts {
-			for _, l := range a.borrowers {
-				for _, n := range l.loans {
+			for _, br := range a.borrowers {
+				for _, n := range br.loans {
 					longestLeft = max(longestLeft, n.until.Sub(now))
 				}
 			}
--- a/internal/granter/lender.go
+++ b/internal/granter/lender.go
@@ -51,8 +51,8 @@
 	loans         []lentLoan
 }
 
-func (l *borrower) held() (capacity, rate identifier.Tokens) {
-	for _, n := range l.loans {
+func (br *borrower) held() (capacity, rate identifier.Tokens) {
+	for _, n := range br.loans {
 		capacity += n.cap
 		rate += n.rate
 	}
@@ -60,33 +60,33 @@
 }
 
 func (a *account) lentCap() (sum identifier.Tokens) {
-	for _, l := range a.borrowers {
-		c, _ := l.held()
+	for _, br := range a.borrowers {
+		c, _ := br.held()
 		sum += c
 	}
 	return sum
 }
 
 func (a *account) lentRate() (sum identifier.Tokens) {
-	for _, l := range a.borrowers {
-		_, r := l.held()
+	for _, br := range a.borrowers {
+		_, r := br.held()
 		sum += r
 	}
 	return sum
 }
 
 func (a *account) dropLent(now clock.Time) {
-	for _, l := range a.borrowers {
-		l.loans = slices.DeleteFunc(l.loans, func(n lentLoan) bool { return now >= n.until })
+	for _, br := range a.borrowers {
+		br.loans = slices.DeleteFunc(br.loans, func(n lentLoan) bool { return now >= n.until })
 	}
-	a.borrowers = slices.DeleteFunc(a.borrowers, func(l *borrower) bool {
-		return len(l.loans) == 0 && now >= l.askedAt.Add(clientRetention)
+	a.borrowers = slices.DeleteFunc(a.borrowers, func(br *borrower) bool {
+		return len(br.loans) == 0 && now >= br.askedAt.Add(clientRetention)
 	})
 }
 
 func (a *account) borrower(n identifier.Node) *borrower {
-	i, ok := slices.BinarySearchFunc(a.borrowers, n, func(l *borrower, n identifier.Node) int {
-		return strings.Compare(string(l.node), string(n))
+	i, ok := slices.BinarySearchFunc(a.borrowers, n, func(br *borrower, n identifier.Node) int {
+		return strings.Compare(string(br.node), string(n))
 	})
 	if !ok {
 		a.borrowers = slices.Insert(a.borrowers, i, &borrower{node: n})
@@ -100,25 +100,25 @@
 		return
 	}
 	a := g.account(b, m.Team, now)
-	l := a.borrower(from)
-	if m.Number <= l.requestNumber {
+	br := a.borrower(from)
+	if m.Number <= br.requestNumber {
 		return
 	}
-	l.requestNumber = m.Number
-	l.wantRate = smooth(l.wantRate, m.WantRate)
-	l.askedAt = now
-	a.reconcileLoans(l, m)
+	br.requestNumber = m.Number
+	br.wantRate = smooth(br.wantRate, m.WantRate)
+	br.askedAt = now
+	a.reconcileLoans(br, m)
 	if m.WantRate > 0 {
-		g.lend(b, a, l, m, now)
+		g.lend(b, a, br, m, now)
 	}
 }
 
 // reconcileLoans applies the borrower's report of the loans that it still holds. A loan that isn't listed has ended,
 // since the borrower drops a loan or abandons a request before it sends the report; its tokens count as spent unless
 // they were reported as returned.
-func (a *account) reconcileLoans(l *borrower, m LoanRequest) {
-	kept := l.loans[:0]
-	for _, n := range l.loans {
+func (a *account) reconcileLoans(br *borrower, m LoanRequest) {
+	kept := br.loans[:0]
+	for _, n := range br.loans {
 		i := slices.IndexFunc(m.Held, func(h HeldLoan) bool { return h.Number == n.number })
 		if i < 0 {
 			continue
@@ -137,7 +137,7 @@
 			kept = append(kept, n)
 		}
 	}
-	l.loans = kept
+	br.loans = kept
 	a.clipBucket()
 }
 
@@ -176,7 +176,7 @@
 
 // target returns the borrower's part of the surplus, which is divided among the recent borrowers in proportion to the
 // rates that they asked for.
-func (g *Granter) target(a *account, l *borrower, now clock.Time) (capacity, rate identifier.Tokens) {
+func (g *Granter) target(a *account, br *borrower, now clock.Time) (capacity, rate identifier.Tokens) {
 	capacity, rate = g.surplus(a, now)
 	var sum identifier.Tokens
 	for _, o := range a.borrowers {
@@ -184,10 +184,10 @@
 			sum += o.wantRate
 		}
 	}
-	if now >= l.askedAt.Add(borrowerTerm) || l.wantRate == 0 {
+	if now >= br.askedAt.Add(borrowerTerm) || br.wantRate == 0 {
 		return 0, 0
 	}
-	return scale(capacity, l.wantRate, sum), scale(rate, l.wantRate, sum)
+	return scale(capacity, br.wantRate, sum), scale(rate, br.wantRate, sum)
 }
 
 // smooth applies exponential smoothing, so that noise in the demand doesn't move loans back and forth.
@@ -211,18 +211,18 @@
 	return v * min(part, whole) / whole
 }
 
-func (g *Granter) lend(b *bank, a *account, l *borrower, m LoanRequest, now clock.Time) {
-	fairCap, fairRate := g.target(a, l, now)
+func (g *Granter) lend(b *bank, a *account, br *borrower, m LoanRequest, now clock.Time) {
+	fairCap, fairRate := g.target(a, br, now)
 	targetCap, targetRate := fairCap, fairRate
-	heldCap, heldRate := l.held()
+	heldCap, heldRate := br.held()
 	r := Loan{Team: m.Team, Domain: m.Domain, Number: m.Number, Epoch: b.epoch}
 	until := now.Add(g.options.LoanTerm)
 	if exceeds(heldCap, targetCap, a.cap) || exceeds(heldRate, targetRate, a.rate) {
-		g.send(l.node, Recall{Team: m.Team, Domain: m.Domain, Cap: targetCap, Rate: targetRate})
+		g.send(br.node, Recall{Team: m.Team, Domain: m.Domain, Cap: targetCap, Rate: targetRate})
 	} else {
 		r.Extended = true
-		for i := range l.loans {
-			l.loans[i].until = until
+		for i := range br.loans {
+			br.loans[i].until = until
 		}
 	}
 	surplusCap, surplusRate := g.surplus(a, now)
@@ -241,15 +241,15 @@
 		until:  until,
 	}
 	worthLending := n.cap > a.cap/minLoanDivisor || n.rate > a.rate/minLoanDivisor
-	if worthLending && len(l.loans) < maxLoans {
+	if worthLending && len(br.loans) < maxLoans {
 		n.initialCap = n.cap
 		n.tokens = min(max(0, a.bucket-a.reserve()), n.cap)
 		a.bucket -= n.tokens
-		l.loans = append(l.loans, n)
+		br.loans = append(br.loans, n)
 		r.Cap, r.Rate, r.Tokens = n.cap, n.rate, n.tokens
 	}
-	g.send(l.node, r)
-	heldCap, heldRate = l.held()
+	g.send(br.node, r)
+	heldCap, heldRate = br.held()
 	if m.Unmet && (exceeds(fairCap, heldCap, a.cap) || exceeds(fairRate, heldRate, a.rate)) {
 		g.recall(a, now)
 	}
@@ -273,11 +273,11 @@
 		return
 	}
 	a.recallAt = now.Add(recallPeriod)
-	for _, l := range a.borrowers {
-		targetCap, targetRate := g.target(a, l, now)
-		heldCap, heldRate := l.held()
+	for _, br := range a.borrowers {
+		targetCap, targetRate := g.target(a, br, now)
+		heldCap, heldRate := br.held()
 		if exceeds(heldCap, targetCap, a.cap) || exceeds(heldRate, targetRate, a.rate) {
-			g.send(l.node, Recall{Team: a.team, Domain: g.options.Domain, Cap: targetCap, Rate: targetRate})
+			g.send(br.node, Recall{Team: a.team, Domain: g.options.Domain, Cap: targetCap, Rate: targetRate})
 		}
 	}
 }
--- a/internal/granter/purse.go
+++ b/internal/granter/purse.go
@@ -87,7 +87,7 @@
 	if p == nil {
 		return Decision{Verdict: Refused, RetryAfter: clock.Second}
 	}
-	p.noteArrival(now)
+	p.countArrival(now)
 	if len(p.waiters) == 0 {
 		if paid, ok := p.payFromSlices(now); ok {
 			return Decision{Verdict: Spent, Paid: paid}
@@ -101,7 +101,7 @@
 	return Decision{Verdict: Wait}
 }
 
-func (p *purse) noteArrival(now clock.Time) {
+func (p *purse) countArrival(now clock.Time) {
 	p.rollDemandWindow(now)
 	if p.arrivals == 0 {
 		p.firstCallAt = now
--- a/internal/granter/shares.go
+++ b/internal/granter/shares.go
@@ -45,13 +45,13 @@
 	return 0
 }
 
-func (s *shares) latest(n identifier.FailureDomain) int {
+func (s *shares) inForce(n identifier.FailureDomain) int {
 	return shareOf(s.domains, n)
 }
 
 // share returns the per mille of each team's rate and burst that the bank uses before loans.
 func (g *Granter) share(b *bank) int {
-	s := g.shares.latest(g.options.Domain)
+	s := g.shares.inForce(g.options.Domain)
 	if b.shareIncrease != nil {
 		return min(s, b.shareIncrease.from)
 	}
@@ -122,7 +122,7 @@
 		for _, d := range w.awaiting {
 			if h := g.domain(d).holders[b.slot]; h.node != "" {
 				g.send(h.node, SharesQuery{
-					Slot: b.slot, Domain: d, Version: w.version, PerMille: g.shares.latest(d),
+					Slot: b.slot, Domain: d, Version: w.version, PerMille: g.shares.inForce(d),
 				})
 			}
 		}
