--- a/internal/claimer/candidate.go
+++ b/internal/claimer/candidate.go
@@ -52,8 +52,7 @@
 	return c.pickWitness(l, c.options.Self, "")
 }
 
-// rank returns the number of members that precede this node, at most maxRank; a node that isn't a member comes after
-// all members.
+// rank returns the number of members with a higher score than this node, at most maxRank.
 func (c *Claimer) rank(n Name) int {
 	own := score(n, c.options.Self)
 	before := 0
@@ -97,14 +96,14 @@
 	default:
 		return effects
 	}
-	// The witness is picked only when a record is due. Ranking all members for each claim at each tick took 88% of
-	// the reducers' processor time with 80 nodes in a domain.
+	// The witness is picked only when a record is due. With 80 nodes in a domain, ranking all members for each claim
+	// at each tick would take 88% of the processor time of the nodes' state machines (package reducer).
 	r.Witness = c.pickWitness(l, c.options.Self, l.holder)
 	return c.appendRecord(l, r, now, effects)
 }
 
-// maySeize reports whether even a holder that is cut off from all other nodes has stopped by itself, and this node's
-// candidate delay after that has passed.
+// maySeize reports whether even a holder that is partitioned from all other nodes has stopped by itself, and this
+// node's candidate delay after that has passed.
 func (c *Claimer) maySeize(l *claim, now clock.Time) bool {
 	holderStoppedAt := max(l.readAt, c.logUpAt).Add(c.options.LongTerm + c.options.Margin)
 	return now >= holderStoppedAt && now >= holderStoppedAt.Add(c.candidateDelay(l))
--- a/internal/claimer/reader.go
+++ b/internal/claimer/reader.go
@@ -37,9 +37,9 @@
 	return false
 }
 
-// isRenewalEffective also lets a renewal correct a reader that started in the middle of the log and may have applied
-// a record that lost its epoch. Only a node that has read that its own record took effect renews, so a renewal of the
-// same or a newer epoch is correct.
+// isRenewalEffective accepts a renewal by the current holder. It also lets a renewal correct a reader that started in
+// the middle of the log and may have applied a record that lost its epoch. Only a node that has read that its own
+// record took effect renews, so a renewal of the same or a newer epoch is correct.
 func (l *claim) isRenewalEffective(r Claim) bool {
 	if r.Epoch == l.epoch && r.Holder == l.holder {
 		return true
--- a/internal/deduplicator/reporter.go
+++ b/internal/deduplicator/reporter.go
@@ -1,5 +1,6 @@
-// A report is repeated until the owner acknowledges it; otherwise the id would be unknown to the caller's retry. If
-// many owners are unreachable, bodies are dropped from reports, so that a long outage doesn't fill the memory.
+// A report is repeated until the owner acknowledges it; otherwise the caller's retry would get InProgress and later
+// Unknown. If many owners are unreachable, bodies are dropped from reports, so that a long outage doesn't fill the
+// memory.
 //
 // Example: the owner crashed after Run; the report goes to the next holder of the claim, where the id was unknown and
 // becomes done.
--- a/internal/encoder/registry.go
+++ b/internal/encoder/registry.go
@@ -1,7 +1,7 @@
 // Messages and records are encoded as CBOR: a kind number and a wire value made of arrays, so that field names take no
-// bytes. Domain types have no CBOR tags; for each group of types a file of this package maps them by hand to wire types
-// and registers the functions. The number of a kind that is no longer used is not given to another one, since records
-// outlive the version that wrote them.
+// bytes. The types of other packages have no CBOR tags; for each group of them a file of this package maps them by hand
+// to wire types and registers the functions. The number of a kind that is no longer used is not given to another one,
+// since records outlive the version that wrote them.
 //
 // Example: with register(kindPromise, promiseToWire, promiseFromWire) in claims.go, Decode returns the value of
 // claimer.Promise from the bytes that Encode made of it.
@@ -70,7 +70,7 @@
 	return m
 }
 
-// register adds the codec of domain type D, whose wire form is W.
+// register adds the codec of type D, whose wire type is W.
 func register[D, W any](kind Kind, toWire func(D) W, fromWire func(W) D) {
 	t := reflect.TypeFor[D]()
 	if _, taken := codecsByKind[kind]; taken {
@@ -104,7 +104,7 @@
 	return cbor.Marshal(frame{Kind: c.kind, Body: body})
 }
 
-// Decode returns the message or record in b, as the domain type that was encoded.
+// Decode returns the message or record in b, as a value of the type that was encoded.
 func Decode(b []byte) (any, error) {
 	var f frame
 	if err := decoderMode.Unmarshal(b, &f); err != nil {
--- a/internal/exchanger/types.go
+++ b/internal/exchanger/types.go
@@ -13,7 +13,7 @@
 // State is the state that a node reports for its endpoint.
 type State uint8
 
-// The states of a member.
+// The states of a node's endpoint.
 const (
 	// Absent means that the node has no usable endpoint.
 	Absent State = iota
@@ -89,7 +89,7 @@
 	// RootTime and NestedTime are the mean times of a run at the node's endpoint, of root requests and of nested calls, 0
 	// before the first one.
 	RootTime, NestedTime clock.Duration
-	// ColdLeft is how much longer the node's endpoint is cold.
+	// ColdLeft is how much longer the node's endpoint is cold: after a start it can take only a few requests a second.
 	ColdLeft clock.Duration
 	// Load is the rate of calls per second that would arrive at the endpoint if nothing were refused.
 	Load float64
--- a/internal/gossiper/contacts.go
+++ b/internal/gossiper/contacts.go
@@ -94,7 +94,7 @@
 	return r
 }
 
-// setContacts replaces the contacts of other domains with the relays that a domain itself has reported.
+// setContacts replaces the contacts in other domains with the relays that these domains have reported themselves.
 func (g *Gossiper) setContacts(contacts []Contact, now clock.Time) []Effect {
 	byDomain := map[identifier.FailureDomain][]Contact{}
 	for _, c := range contacts {
--- a/internal/gossiper/messages.go
+++ b/internal/gossiper/messages.go
@@ -97,8 +97,8 @@
 	Contacts []Contact
 }
 
-// Subscribe subscribes at a relay of the own domain to the endpoints of services in other domains, until the term
-// expires.
+// Subscribe subscribes at a relay of the own domain to the endpoints of services in other domains, for
+// subscriptionTerm.
 type Subscribe struct {
 	Services []identifier.Service
 	// Hash covers the records and contacts that the sender already holds.
--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -34,7 +34,8 @@
 type table struct {
 	domain  identifier.FailureDomain
 	members map[identifier.Node]*entry
-	// up lists the members that are alive or suspect, sorted; down lists the dead ones.
+	// up lists the members that are alive or suspect, dead the dead ones, both sorted; members that have left are in
+	// neither.
 	up         []identifier.Node
 	dead       []identifier.Node
 	buckets    [bucketCount]uint64
@@ -114,7 +115,7 @@
 	return list
 }
 
-// evictDown evicts the records of members that have been down for longer than the term.
+// evictDown evicts the records of members that died or left longer than the term ago.
 func (t *table) evictDown(now clock.Time, term clock.Duration) {
 	for n, e := range t.members {
 		if !e.up() && now.Sub(e.changedAt) > term {
--- a/internal/gossiper/types.go
+++ b/internal/gossiper/types.go
@@ -133,7 +133,7 @@
 	Message any
 }
 
-// Append appends a record to the log; the caller retries until the log holds it.
+// Append appends a record to the platform's log; the caller retries until the log holds it.
 type Append struct {
 	Record any
 }
@@ -143,7 +143,8 @@
 	Endpoint PlacedEndpoint
 }
 
-// EndpointGone reports that an endpoint must get no new requests.
+// EndpointGone reports that an endpoint must get no new requests: it was removed, its node is dead or has left, its
+// domain is silent, or no relay confirms it any more. An endpoint that becomes Leaving is reported by EndpointChanged.
 type EndpointGone struct {
 	ID   identifier.Endpoint
 	Node identifier.Node
--- a/internal/granter/borrower.go
+++ b/internal/granter/borrower.go
@@ -16,7 +16,7 @@
 
 const (
 	// loanRequestsPerTerm is how often a lender is asked within a loan term. After an answer without a new loan it is
-	// pending again after borrowRetryPeriod if purses need tokens.
+	// asked again after borrowRetryPeriod if purses need tokens.
 	loanRequestsPerTerm = 8
 	borrowRetryPeriod   = 20 * clock.Millisecond
 	// loanAnswerTimeout is how long a lender's answer is expected; meanwhile purses are told to retry soon.
--- a/internal/granter/purse.go
+++ b/internal/granter/purse.go
@@ -59,6 +59,7 @@
 	windowIndex clock.Time
 	arrivals    identifier.Tokens
 	demand      identifier.Tokens
+	// firstCallAt is the time of the first call in the current demand window, lastCallAt that of the last call.
 	firstCallAt clock.Time
 	lastCallAt  clock.Time
 
