--- a/internal/gossiper/table.go
+++ b/internal/gossiper/table.go
@@ -34,9 +34,10 @@
 type table struct {
 	domain  identifier.FailureDomain
 	members map[identifier.Node]*entry
-	// up lists the members that are alive or suspect, sorted; down lists the dead ones.
+	// up lists the members that are alive or suspect, dead the dead ones, both sorted; members that have left are in
+	// neither.
 	up         []identifier.Node
-	down       []identifier.Node
+	dead       []identifier.Node
 	buckets    [bucketCount]uint64
 	lastChange clock.Time
 }
@@ -98,7 +99,7 @@
 		t.up = withPresence(t.up, m.Node, m.up())
 	}
 	if (old.State == Dead) != (m.State == Dead) {
-		t.down = withPresence(t.down, m.Node, m.State == Dead)
+		t.dead = withPresence(t.dead, m.Node, m.State == Dead)
 	}
 }
 
@@ -114,12 +115,12 @@
 	return list
 }
 
-// evictDown evicts the records of members that have been down for longer than the term.
+// evictDown evicts the records of members that died or left longer than the term ago.
 func (t *table) evictDown(now clock.Time, term clock.Duration) {
 	for n, e := range t.members {
 		if !e.up() && now.Sub(e.changedAt) > term {
 			delete(t.members, n)
-			t.down = withPresence(t.down, n, false)
+			t.dead = withPresence(t.dead, n, false)
 		}
 	}
 }
--- a/internal/granter/purse.go
+++ b/internal/granter/purse.go
@@ -59,6 +59,7 @@
 	windowIndex clock.Time
 	arrivals    identifier.Tokens
 	demand      identifier.Tokens
+	// firstCallAt is the time of the first call in the current demand window, lastCallAt that of the last call.
 	firstCallAt clock.Time
 	lastCallAt  clock.Time
 
@@ -87,7 +88,7 @@
 	if p == nil {
 		return Decision{Verdict: Refused, RetryAfter: clock.Second}
 	}
-	p.noteArrival(now)
+	p.countArrival(now)
 	if len(p.waiters) == 0 {
 		if paid, ok := p.payFromSlices(now); ok {
 			return Decision{Verdict: Spent, Paid: paid}
@@ -101,7 +102,7 @@
 	return Decision{Verdict: Wait}
 }
 
-func (p *purse) noteArrival(now clock.Time) {
+func (p *purse) countArrival(now clock.Time) {
 	p.rollDemandWindow(now)
 	if p.arrivals == 0 {
 		p.firstCallAt = now
