--- a/internal/conductor/endpoint_wait_test.go
+++ b/internal/conductor/endpoint_wait_test.go
@@ -90,7 +90,7 @@
 }
 
 // An order was sent, no answer arrived, and no endpoint is left. It may have run, so it must not wait to be sent again.
-func TestOrderThatMayHaveRunDoesNotWait(t *testing.T) {
+func TestNonIdempotentRequestThatMayHaveRunDoesNotWait(t *testing.T) {
 	c := readyConductor(t, matcher.NonIdempotent, peer("a", "portal"))
 	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
 	learnMembers(c, absentMember("a"))
--- a/internal/conductor/fuzz_cold_test.go
+++ b/internal/conductor/fuzz_cold_test.go
@@ -31,21 +31,21 @@
 	return max(0, p.coldUntil.Sub(now))
 }
 
-func (w *fleetWorld) domainOf(i int) identifier.FailureDomain {
+func (w *simulatedFleet) domainOf(i int) identifier.FailureDomain {
 	if w.endpointFaults && i >= fuzzNodes/2 {
 		return "east"
 	}
 	return "west"
 }
 
-func (w *fleetWorld) coldBound() ColdBound {
+func (w *simulatedFleet) coldBound() ColdBound {
 	if !w.endpointFaults {
 		return ColdBound{}
 	}
 	return ColdBound{Excess: 1.5, Slack: 8}
 }
 
-func (w *fleetWorld) evacuations() []identifier.FailureDomain {
+func (w *simulatedFleet) evacuations() []identifier.FailureDomain {
 	var domains []identifier.FailureDomain
 	for _, d := range []identifier.FailureDomain{"west", "east"} {
 		if w.evacuated[d] {
@@ -55,7 +55,7 @@
 	return domains
 }
 
-func (w *fleetWorld) applyEvacuations(i int, domains []identifier.FailureDomain) {
+func (w *simulatedFleet) applyEvacuations(i int, domains []identifier.FailureDomain) {
 	if !w.endpointFaults {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // toggleEvacuation evacuates a domain or ends its evacuation; after the evacuation its endpoints are cold.
-func (w *fleetWorld) toggleEvacuation(d identifier.FailureDomain) {
+func (w *simulatedFleet) toggleEvacuation(d identifier.FailureDomain) {
 	if w.storeDown {
 		return
 	}
@@ -82,20 +82,20 @@
 }
 
 // turnCold makes an endpoint cold; it sends a heartbeat that says so at once if its node can receive it.
-func (w *fleetWorld) turnCold(i int) {
+func (w *simulatedFleet) turnCold(i int) {
 	n := w.nodes[i]
 	n.endpoint.coldUntil = w.now.Add(fuzzColdStart)
 	w.sendMissedHeartbeat(i)
 }
 
 // sendMissedHeartbeat sends a heartbeat to a node that could not receive it before.
-func (w *fleetWorld) sendMissedHeartbeat(i int) {
+func (w *simulatedFleet) sendMissedHeartbeat(i int) {
 	if n := w.nodes[i]; w.endpointFaults && n.up && !n.frozen {
 		w.heartbeat(i)
 	}
 }
 
-func (w *fleetWorld) crashEndpoint(i int) {
+func (w *simulatedFleet) crashEndpoint(i int) {
 	n := w.nodes[i]
 	if n.endpoint.down || n.leaving {
 		return
@@ -110,7 +110,7 @@
 }
 
 // reachesEndpoint reports whether a dispatched request reaches its endpoint, and checks that it may.
-func (w *fleetWorld) reachesEndpoint(to int, local CallID, done func(Outcome)) bool {
+func (w *simulatedFleet) reachesEndpoint(to int, local CallID, done func(Outcome)) bool {
 	n := w.nodes[to]
 	if n.endpoint.down {
 		w.apply(to, local, DeliveryEnded{ID: local, Outcome: Unreached})
@@ -127,7 +127,7 @@
 	return true
 }
 
-func (w *fleetWorld) checkColdRate() {
+func (w *simulatedFleet) checkColdRate() {
 	if !w.endpointFaults {
 		return
 	}
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -86,7 +86,7 @@
 	Fatalf(string, ...any)
 }
 
-type fleetWorld struct {
+type simulatedFleet struct {
 	t          failer
 	random     *rand.Rand
 	now        clock.Time
@@ -107,19 +107,19 @@
 	evacuated      map[identifier.FailureDomain]bool
 }
 
-func (w *fleetWorld) after(d clock.Duration, run func()) {
+func (w *simulatedFleet) after(d clock.Duration, run func()) {
 	w.order++
 	heap.Push(&w.eventQueue, scheduled{at: w.now.Add(d), order: w.order, run: run})
 }
 
-func (w *fleetWorld) member(i int) exchanger.Member {
+func (w *simulatedFleet) member(i int) exchanger.Member {
 	return exchanger.Member{
 		Node: identifier.Node(fmt.Sprintf("n%d", i)), DeliveryAddress: fmt.Sprint(i), PeerAddress: "p", Domain: w.domainOf(i),
 		Service: "portal", Incarnation: int64(w.now) + 1,
 	}
 }
 
-func (w *fleetWorld) startNode(i int) {
+func (w *simulatedFleet) startNode(i int) {
 	n := w.nodes[i]
 	n.generation++
 	n.up, n.frozen = true, false
@@ -143,7 +143,7 @@
 	w.every(i, generation, 700, func() { w.heartbeat(i) })
 }
 
-func (w *fleetWorld) every(i, generation int, period clock.Duration, run func()) {
+func (w *simulatedFleet) every(i, generation int, period clock.Duration, run func()) {
 	var again func()
 	again = func() {
 		n := w.nodes[i]
@@ -158,7 +158,7 @@
 	w.after(clock.Duration(w.random.Int64N(int64(period))), again)
 }
 
-func (w *fleetWorld) configuration() matcher.Configuration {
+func (w *simulatedFleet) configuration() matcher.Configuration {
 	var keys []string
 	for _, key := range []string{"k0", "k1", "k2"} {
 		if _, gone := w.withdrawn[key]; !gone {
@@ -176,7 +176,7 @@
 }
 
 // poll reads the store; the answer may take long, and proves only the state at the time of the request.
-func (w *fleetWorld) poll(i int) {
+func (w *simulatedFleet) poll(i int) {
 	if w.storeDown {
 		return
 	}
@@ -197,7 +197,7 @@
 	})
 }
 
-func (w *fleetWorld) report(i int) {
+func (w *simulatedFleet) report(i int) {
 	r := w.nodes[i].c.Report(w.now)
 	version, asOf, proved := w.nodes[i].c.ProvedAt()
 	for j, other := range w.nodes {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *fleetWorld) heartbeat(i int) {
+func (w *simulatedFleet) heartbeat(i int) {
 	n := w.nodes[i]
 	if n.endpoint.down {
 		return
@@ -226,9 +226,9 @@
 }
 
 // apply applies an event to a node, passes on effects on other requests, and returns the effect on the given request.
-func (w *fleetWorld) apply(i int, own CallID, e Event) Effect {
+func (w *simulatedFleet) apply(i int, request CallID, e Event) Effect {
 	n := w.nodes[i]
-	var mine Effect
+	var result Effect
 	for _, effect := range append([]Effect(nil), n.c.Apply(e, w.now)...) {
 		id := CallID(0)
 		switch e := effect.(type) {
@@ -264,8 +264,8 @@
 		case Reply:
 			id = e.ID
 		}
-		if id == own {
-			mine = effect
+		if id == request {
+			result = effect
 			continue
 		}
 		if wake, ok := n.waiting[id]; ok {
@@ -273,10 +273,10 @@
 			wake(effect)
 		}
 	}
-	return mine
+	return result
 }
 
-func (w *fleetWorld) send(i int, key string, idempotent bool) {
+func (w *simulatedFleet) send(i int, key string, idempotent bool) {
 	n := w.nodes[i]
 	if !n.up || n.frozen {
 		return
@@ -292,7 +292,7 @@
 }
 
 // performEffect performs a node's decision on a request that entered there.
-func (w *fleetWorld) performEffect(i, generation int, id CallID, e Effect) {
+func (w *simulatedFleet) performEffect(i, generation int, id CallID, e Effect) {
 	n := w.nodes[i]
 	switch e := e.(type) {
 	case Refuse:
@@ -324,7 +324,7 @@
 }
 
 // probe opens a connection to another node: a node that is down refuses it, a frozen node does not respond.
-func (w *fleetWorld) probe(i int, p Probe) {
+func (w *simulatedFleet) probe(i int, p Probe) {
 	generation := w.nodes[i].generation
 	wait, reached := clock.Duration(fuzzLatency), true
 	if w.nodes[w.nodeOf(p.Node)].frozen {
@@ -338,7 +338,7 @@
 }
 
 // draw requests a token from another node: a node that is down refuses the connection, a frozen node does not respond.
-func (w *fleetWorld) draw(d Draw, done func(TokenDrawn)) {
+func (w *simulatedFleet) draw(d Draw, done func(TokenDrawn)) {
 	failed := TokenDrawn{ID: d.ID, Node: d.Node}
 	w.after(fuzzLatency, func() {
 		to := w.nodeOf(d.Node)
@@ -357,14 +357,14 @@
 	})
 }
 
-func (w *fleetWorld) nodeOf(name identifier.Node) (i int) {
+func (w *simulatedFleet) nodeOf(name identifier.Node) (i int) {
 	if _, err := fmt.Sscanf(string(name), "n%d", &i); err != nil {
 		w.t.Fatal(err)
 	}
 	return i
 }
 
-func (w *fleetWorld) deliver(s Send, id CallID, done func(Outcome)) {
+func (w *simulatedFleet) deliver(s Send, id CallID, done func(Outcome)) {
 	to := w.nodeOf(s.Node)
 	n := w.nodes[to]
 	if !n.up {
@@ -400,7 +400,7 @@
 }
 
 // runAtEndpoint lets the endpoint run a request, decline it, or lose its answer.
-func (w *fleetWorld) runAtEndpoint(to, generation int, id, local CallID, s Send, done func(Outcome)) {
+func (w *simulatedFleet) runAtEndpoint(to, generation int, id, local CallID, s Send, done func(Outcome)) {
 	n := w.nodes[to]
 	if n.leavingAnnouncedAt != 0 && w.now > n.leavingAnnouncedAt {
 		w.t.Fatalf("%d: endpoint i%d got request %d although it announced at %d that it leaves", w.now, to, id, n.leavingAnnouncedAt)
@@ -435,7 +435,7 @@
 	})
 }
 
-func (w *fleetWorld) checkRun(id CallID) {
+func (w *simulatedFleet) checkRun(id CallID) {
 	r := w.requests[id]
 	r.runs++
 	w.runSentAt = append(w.runSentAt, r.sentAt)
@@ -450,7 +450,7 @@
 	}
 }
 
-func (w *fleetWorld) injectFault() {
+func (w *simulatedFleet) injectFault() {
 	i := w.random.IntN(len(w.nodes))
 	n := w.nodes[i]
 	kinds := 8
@@ -496,7 +496,7 @@
 	}
 }
 
-func (w *fleetWorld) kill(i int) {
+func (w *simulatedFleet) kill(i int) {
 	n := w.nodes[i]
 	if !n.up {
 		return
@@ -554,7 +554,7 @@
 }
 
 func simulateFleet(t failer, d fleetScenario) {
-	w := &fleetWorld{
+	w := &simulatedFleet{
 		t:              t,
 		random:         rand.New(rand.NewPCG(d.seed, 7)),
 		version:        1,
@@ -587,8 +587,8 @@
 	w.checkColdRate()
 }
 
-func (w *fleetWorld) checkRate() {
-	most := (w.rate*fuzzWindow/1000+w.rate)*1.1 + 20
+func (w *simulatedFleet) checkRate() {
+	maxRuns := (w.rate*fuzzWindow/1000+w.rate)*1.1 + 20
 	for first := range w.runSentAt {
 		count := 0
 		for _, at := range w.runSentAt {
@@ -596,8 +596,8 @@
 				count++
 			}
 		}
-		if float64(count) > most {
-			w.t.Fatalf("%d requests of a team were sent and run within %d ms from %d, expected at most %.0f", count, fuzzWindow, w.runSentAt[first], most)
+		if float64(count) > maxRuns {
+			w.t.Fatalf("%d requests of a team were sent and run within %d ms from %d, expected at most %.0f", count, fuzzWindow, w.runSentAt[first], maxRuns)
 		}
 	}
 }
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -22,8 +22,8 @@
 	nodes map[identifier.Node]*Conductor
 	names []identifier.Node
 	last  CallID
-	// asked and passed are the counts of askAndCount.
-	asked, passed int
+	// sent and passed are the counts of askAndCount.
+	sent, admitted int
 	// partitioned reports whether two nodes can't reach each other.
 	partitioned func(from, to identifier.Node) bool
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// ask sends a request of the team to a node, and reports whether it is admitted.
-func (f *poolFleet) ask(at identifier.Node, now clock.Time) bool {
+// sendRequest sends a request of the team to a node, and reports whether it is admitted.
+func (f *poolFleet) sendRequest(at identifier.Node, now clock.Time) bool {
 	f.last++
 	c := f.nodes[at]
 	effect := onlyEffect[Effect](f.t, c.Apply(arrival(f.last, "/obs/x"), now))
@@ -102,15 +102,15 @@
 	return sent
 }
 
-// askAndCount calls ask, and counts the requests from a time on at which the fleet has learned the demand.
-func (f *poolFleet) askAndCount(at identifier.Node, now, from clock.Time) {
-	allowed := f.ask(at, now)
+// sendAndCount calls ask, and counts the requests from a time on at which the fleet has learned the demand.
+func (f *poolFleet) sendAndCount(at identifier.Node, now, from clock.Time) {
+	allowed := f.sendRequest(at, now)
 	if now < from {
 		return
 	}
-	f.asked++
+	f.sent++
 	if allowed {
-		f.passed++
+		f.admitted++
 	}
 }
 
@@ -134,10 +134,10 @@
 					if random.Float64() >= 16.0/float64(c.active)/1000 {
 						continue
 					}
-					f.askAndCount(f.names[i], now, 10000)
+					f.sendAndCount(f.names[i], now, 10000)
 				}
 			}
-			assert.Assert(t, f.passed >= f.asked*97/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
+			assert.Assert(t, f.admitted >= f.sent*97/100, "%d of %d requests admitted, expected nearly all", f.admitted, f.sent)
 		})
 	}
 }
@@ -154,9 +154,9 @@
 		if random.Float64() >= 13.0/1000 {
 			continue
 		}
-		f.askAndCount(f.names[random.IntN(len(f.names))], now, 5000)
+		f.sendAndCount(f.names[random.IntN(len(f.names))], now, 5000)
 	}
-	assert.Assert(t, f.passed >= f.asked*95/100, "%d of %d requests admitted, expected nearly all", f.passed, f.asked)
+	assert.Assert(t, f.admitted >= f.sent*95/100, "%d of %d requests admitted, expected nearly all", f.admitted, f.sent)
 }
 
 // A failure domain with a quarter of the nodes is partitioned off while a small team sends eight times its rate
@@ -179,7 +179,7 @@
 			if now >= 4000+clock.Time(shift)*500 {
 				demand = 8 * rate
 			}
-			if random.Float64() < demand/1000 && f.ask(f.names[random.IntN(len(f.names))], now) {
+			if random.Float64() < demand/1000 && f.sendRequest(f.names[random.IntN(len(f.names))], now) {
 				passed = append(passed, now)
 			}
 		}
@@ -202,18 +202,18 @@
 	if asker == holder {
 		asker = f.names[1]
 	}
-	assert.Assert(t, f.ask(asker, 3600))
-	assert.Assert(t, !f.ask(asker, 3700))
+	assert.Assert(t, f.sendRequest(asker, 3600))
+	assert.Assert(t, !f.sendRequest(asker, 3700))
 	for now := clock.Time(4000); now <= 7000; now += 500 {
 		f.report(now)
 	}
 	next := f.nodes[asker].holder("parish", 7000).Node
 	assert.Assert(t, next != holder)
-	assert.Assert(t, f.ask(asker, 7000))
+	assert.Assert(t, f.sendRequest(asker, 7000))
 }
 
 // The holder's bucket is empty: the caller is refused with the time until a token is available, and this node does not
-// ask the holder again for requests that arrive before then.
+// sendRequest the holder again for requests that arrive before then.
 func TestEmptyBucketIsNotAskedAgainAtOnce(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
@@ -273,7 +273,7 @@
 			continue
 		}
 		// No request is sent to a frozen node.
-		if at := f.names[random.IntN(len(f.names))]; (at != holder || !frozen) && f.ask(at, now) {
+		if at := f.names[random.IntN(len(f.names))]; (at != holder || !frozen) && f.sendRequest(at, now) {
 			passed = append(passed, now)
 		}
 	}
--- a/internal/deduplicator/fuzz_test.go
+++ b/internal/deduplicator/fuzz_test.go
@@ -14,7 +14,7 @@
 )
 
 type fuzz struct {
-	w   *world
+	w   *simulation
 	ids []deduplicator.ID
 }
 
@@ -144,7 +144,7 @@
 	f.check(t)
 }
 
-func (w *world) newIDFor(c deduplicator.Claim, kind int) deduplicator.ID {
+func (w *simulation) newIDFor(c deduplicator.Claim, kind int) deduplicator.ID {
 	for {
 		if id := w.newID(0, kind); deduplicator.ClaimOf("team", id) == c {
 			return id
@@ -157,7 +157,7 @@
 func TestFuzzAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{4, 1000}).Draw(t, "bound")
-		f := &fuzz{w: newWorld(rapid.Uint64().Draw(t, "seed"), 4, bound)}
+		f := &fuzz{w: newSimulation(rapid.Uint64().Draw(t, "seed"), 4, bound)}
 		t.Repeat(f.actions())
 		f.checkRecovery(t)
 	})
@@ -165,7 +165,7 @@
 
 // An owner at its bound must refuse new ids: if it dropped a record to make room, a retry of that id would run again.
 func TestFullOwnerRefusesNewIDs(t *testing.T) {
-	w := newWorld(1, 1, 2)
+	w := newSimulation(1, 1, 2)
 	o := w.nodes[0].owner
 	begin := func(id deduplicator.ID, attempt uint64) deduplicator.Verdict {
 		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
@@ -188,7 +188,7 @@
 func TestClockSkewBetweenOwners(t *testing.T) {
 	for name, ahead := range map[string]clock.Duration{"callers ahead": deduplicator.DefaultCallerSkew, "on time": 0} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 2, 10)
+			w := newSimulation(1, 2, 10)
 			w.nodes[0].skew, w.nodes[1].skew = 250, -250
 			id := w.newID(250+ahead, 0)
 			h := w.claimState(deduplicator.ClaimOf("team", id))
@@ -209,7 +209,7 @@
 // A handover is complete, but another node takes the claim first and allows an id. The records handed over lack that
 // id, and using them at a later epoch would run it again.
 func TestHandoverOfOlderEpochIsNotUsed(t *testing.T) {
-	w := newWorld(1, 3, 10)
+	w := newSimulation(1, 3, 10)
 	id := w.newID(0, 0)
 	h := w.claimState(deduplicator.ClaimOf("team", id))
 	for _, part := range h.holder.owner.Export(h.hold, w.now) {
@@ -264,7 +264,7 @@
 			for i := range names {
 				names[i] = identifier.Team(fmt.Sprintf("team-%d", i))
 			}
-			id := newWorld(1, 1, 1).newID(0, 0)
+			id := newSimulation(1, 1, 1).newID(0, 0)
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
@@ -279,7 +279,7 @@
 
 // A request that was permitted but never sent must not block its id: the caller's retry has to run.
 func TestAbandonedIDRunsAgain(t *testing.T) {
-	w := newWorld(1, 2, 10)
+	w := newSimulation(1, 2, 10)
 	id := w.newID(0, 0)
 	first := w.call(w.nodes[0], id, 1)
 	w.wait(clock.Second)
@@ -294,7 +294,7 @@
 // An attempt is delayed, and the caller's retry elsewhere is refused as not run because there is no room. When there
 // is room again the first attempt arrives, and running it would make that refusal untrue.
 func TestDelayedAttemptIsRefusedAfterNotRun(t *testing.T) {
-	w := newWorld(1, 1, 1)
+	w := newSimulation(1, 1, 1)
 	o := w.nodes[0].owner
 	begin := func(id deduplicator.ID, attempt uint64, asked clock.Wall) deduplicator.Judgement {
 		h := deduplicator.Hold{Claim: "ids/0", Epoch: 1, FirstHolder: true}
@@ -317,7 +317,7 @@
 // An id's record is dropped as expired, and then the owner's clock is set back a little. The id seems valid again,
 // and running it would run the request a second time.
 func TestClockSetBackKeepsIDExpired(t *testing.T) {
-	w := newWorld(1, 1, 10)
+	w := newSimulation(1, 1, 10)
 	o := w.nodes[0].owner
 	id := w.newID(0, 0)
 	begin := func(attempt uint64, wall clock.Wall) deduplicator.Verdict {
--- a/internal/deduplicator/world_test.go
+++ b/internal/deduplicator/helpers_test.go
@@ -66,7 +66,7 @@
 	notRun clock.Time
 }
 
-type world struct {
+type simulation struct {
 	rand         *rand.Rand
 	now          clock.Time
 	nodes        []*node
@@ -82,8 +82,8 @@
 	recordBound  int
 }
 
-func newWorld(seed uint64, nodes, maxRecords int) *world {
-	w := &world{
+func newSimulation(seed uint64, nodes, maxRecords int) *simulation {
+	w := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 3)), now: 1, recordBound: maxRecords,
 		claims: map[deduplicator.Claim]*claimState{}, calls: map[deduplicator.CallID]*call{},
 		requests: map[string]*request{}, verdicts: map[deduplicator.CallID]string{},
@@ -94,7 +94,7 @@
 	return w
 }
 
-func (w *world) start() *node {
+func (w *simulation) start() *node {
 	w.startedNodes++
 	id := identifier.Node(fmt.Sprintf("n%d", w.startedNodes))
 	return &node{
@@ -106,13 +106,13 @@
 	}
 }
 
-func (w *world) wall(m *node) clock.Wall {
+func (w *simulation) wall(m *node) clock.Wall {
 	return clock.Wall(1_700_000_000_000 + int64(w.now) + int64(m.skew))
 }
 
 // newID returns a UUIDv7 of a caller whose clock is ahead by the given duration, one with a home, or an opaque id,
 // for kinds 0, 1 and 2.
-func (w *world) newID(ahead clock.Duration, kind int) deduplicator.ID {
+func (w *simulation) newID(ahead clock.Duration, kind int) deduplicator.ID {
 	var u uuid.UUID
 	binary.BigEndian.PutUint64(u[:8], uint64(1_700_000_000_000+int64(w.now)+int64(ahead))<<16)
 	binary.BigEndian.PutUint64(u[8:], w.rand.Uint64())
@@ -126,14 +126,14 @@
 	return id
 }
 
-func (w *world) call(entry *node, id deduplicator.ID, f deduplicator.Fingerprint) deduplicator.CallID {
+func (w *simulation) call(entry *node, id deduplicator.ID, f deduplicator.Fingerprint) deduplicator.CallID {
 	c := deduplicator.CallID(len(w.calls) + 1)
 	w.calls[c] = &call{id: id, fingerprint: f, entry: entry, asked: w.now}
 	w.performEffects(entry, entry.asker.Ask(c, "team", id, f, w.now.Add(30*clock.Second), w.now, w.wall(entry)))
 	return c
 }
 
-func (w *world) requestOf(c *call) *request {
+func (w *simulation) requestOf(c *call) *request {
 	key := fmt.Sprint(c.id.Text, " ", c.fingerprint)
 	if w.requests[key] == nil {
 		w.requests[key] = &request{}
@@ -141,7 +141,7 @@
 	return w.requests[key]
 }
 
-func (w *world) performEffects(m *node, effects []deduplicator.Effect) {
+func (w *simulation) performEffects(m *node, effects []deduplicator.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case deduplicator.Send:
@@ -170,7 +170,7 @@
 }
 
 // run counts a permitted request as sent to its backend server, and checks that this is allowed.
-func (w *world) run(id deduplicator.CallID) {
+func (w *simulation) run(id deduplicator.CallID) {
 	c := w.calls[id]
 	r := w.requestOf(c)
 	r.runs++
@@ -189,7 +189,7 @@
 	r.permitted = c.permitted
 }
 
-func (w *world) finish(id deduplicator.CallID, unknown bool) {
+func (w *simulation) finish(id deduplicator.CallID, unknown bool) {
 	c := w.calls[id]
 	r := w.requestOf(c)
 	o := deduplicator.Outcome{Unknown: unknown, Status: 200 + int(id), Body: make([]byte, 15)}
@@ -199,7 +199,7 @@
 	w.performEffects(c.entry, c.entry.asker.Finish(id, o, w.now))
 }
 
-func (w *world) send(from *node, e deduplicator.Send) {
+func (w *simulation) send(from *node, e deduplicator.Send) {
 	copies := 1
 	if w.loss > 0 && w.rand.IntN(10) == 0 {
 		copies = 2
@@ -216,7 +216,7 @@
 	}
 }
 
-func (w *world) find(id identifier.Node) *node {
+func (w *simulation) find(id identifier.Node) *node {
 	for _, m := range w.nodes {
 		if m.id == id {
 			return m
@@ -225,7 +225,7 @@
 	return nil
 }
 
-func (w *world) claimState(c deduplicator.Claim) *claimState {
+func (w *simulation) claimState(c deduplicator.Claim) *claimState {
 	if w.claims[c] == nil {
 		m := w.nodes[0]
 		w.claims[c] = &claimState{holder: m, hold: deduplicator.Hold{Claim: c, Epoch: 1, Gained: w.wall(m), FirstHolder: true}}
@@ -234,18 +234,18 @@
 }
 
 // takeOver makes a node the holder of a claim at the next epoch; the old holder isn't notified.
-func (w *world) takeOver(h *claimState, m *node) {
+func (w *simulation) takeOver(h *claimState, m *node) {
 	h.holder, h.next = m, nil
 	h.hold = deduplicator.Hold{Claim: h.hold.Claim, Epoch: h.hold.Epoch + 1, Gained: w.wall(m)}
 }
 
-func (w *world) export(h *claimState) {
+func (w *simulation) export(h *claimState) {
 	for _, part := range h.holder.owner.Export(h.hold, w.now) {
 		w.send(h.holder, deduplicator.Send{To: h.next.id, Message: part})
 	}
 }
 
-func (w *world) wait(span clock.Duration) {
+func (w *simulation) wait(span clock.Duration) {
 	for end := w.now.Add(span); w.now < end; w.now++ {
 		due := w.messages
 		w.messages = nil
@@ -264,7 +264,7 @@
 	}
 }
 
-func (w *world) deliver(e envelope) {
+func (w *simulation) deliver(e envelope) {
 	to := w.find(e.send.To)
 	if e.send.Claim != "" {
 		to = w.claimState(e.send.Claim).holder
@@ -296,7 +296,7 @@
 	w.performEffects(to, to.asker.Receive(e.send.Message, w.now))
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	for _, m := range w.nodes {
 		w.performEffects(m, m.asker.Tick(w.now))
 		m.owner.Tick(w.now, w.wall(m))
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -13,35 +13,35 @@
 	"github.com/jackdawtide/jackdawtide/internal/identifier"
 )
 
-func drawMachine(t *rapid.T, w *world) *machine {
-	return w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(t, "node")]
+func drawNode(t *rapid.T, w *simulation) *simulatedNode {
+	return w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 }
 
-func actions(w *world) map[string]func(*rapid.T) {
+func actions(w *simulation) map[string]func(*rapid.T) {
 	domain := rapid.SampledFrom([]identifier.FailureDomain{"domain-0", "domain-1", "domain-2"})
 	step := func(t *rapid.T) { w.run(clock.Duration(rapid.IntRange(50, 1500).Draw(t, "span"))) }
 	return map[string]func(*rapid.T){
 		"start": func(t *rapid.T) {
-			if len(w.machines) < 16 && w.isolatedDomain == "" {
+			if len(w.nodes) < 16 && w.isolatedDomain == "" {
 				w.start(domain.Draw(t, "domain"))
 			}
 			step(t)
 		},
 		"crash": func(t *rapid.T) {
-			if len(w.machines) > 4 {
-				w.remove(drawMachine(t, w), deadLimit)
+			if len(w.nodes) > 4 {
+				w.remove(drawNode(t, w), deadLimit)
 			}
 			step(t)
 		},
 		"leave": func(t *rapid.T) {
-			if len(w.machines) > 4 {
-				w.remove(drawMachine(t, w), leavingLimit)
+			if len(w.nodes) > 4 {
+				w.remove(drawNode(t, w), leavingLimit)
 			}
 			step(t)
 		},
-		"announce": func(t *rapid.T) { w.announce(drawMachine(t, w)); step(t) },
+		"announce": func(t *rapid.T) { w.announce(drawNode(t, w)); step(t) },
 		"endpoint leaves": func(t *rapid.T) {
-			m := drawMachine(t, w)
+			m := drawNode(t, w)
 			for _, e := range m.g.Self().Endpoints {
 				w.endEndpoint(e.ID, leavingLimit)
 				if rapid.Bool().Draw(t, "at once") {
@@ -58,7 +58,7 @@
 		},
 		"heal": func(t *rapid.T) { w.isolatedDomain = ""; step(t) },
 		"pause": func(t *rapid.T) {
-			m := drawMachine(t, w)
+			m := drawNode(t, w)
 			m.pausedUntil = w.now.Add(clock.Duration(rapid.IntRange(100, 10_000).Draw(t, "pause")))
 			w.disturbedUntil = max(w.disturbedUntil, m.pausedUntil)
 			step(t)
@@ -76,7 +76,7 @@
 }
 
 func membershipHolds(t *rapid.T) {
-	w := newWorld(rapid.Uint64().Draw(t, "seed"), 4, 3, 3)
+	w := newSimulation(rapid.Uint64().Draw(t, "seed"), 4, 3, 3)
 	w.run(8 * clock.Second)
 	w.disturbedUntil = w.now
 	t.Repeat(actions(w))
@@ -90,7 +90,7 @@
 func TestMessageLossCausesNoFalseRemovals(t *testing.T) {
 	for name, domains := range map[string][]int{"14 nodes": {4, 4, 3, 3}, "100 nodes": {100}} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(11, domains...)
+			w := newSimulation(11, domains...)
 			w.run(15 * clock.Second)
 			w.lossRate = 0.2
 			w.falseRemovals = 0
@@ -104,14 +104,14 @@
 // Two nodes start with nothing but the log's records, one of which names a node that died long ago: it must not become
 // a member.
 func TestJoinByLog(t *testing.T) {
-	w := newWorld(2)
+	w := newSimulation(2)
 	a := w.start("domain-0")
 	b := w.start("domain-0")
 	b.g = gossiper.New(gossiper.Options{Self: b.g.Self(), Rand: w.rand})
 	w.run(200)
 	dead := gossiper.Joined{Contact: gossiper.Contact{Node: "gone", Domain: "domain-0", Address: "10.9.9.9:1"}}
 	for _, r := range append([]any{dead}, w.log...) {
-		for _, m := range []*machine{a, b} {
+		for _, m := range []*simulatedNode{a, b} {
 			w.perform(m, m.g.ReadRecord(r, w.now))
 			assert.Assert(t, !slices.Contains(m.g.Members(), "gone"))
 		}
@@ -171,7 +171,7 @@
 }
 
 func (f fleet) measure(t testing.TB) measurement {
-	w := newWorld(4, f.domains...)
+	w := newSimulation(4, f.domains...)
 	w.run(15 * clock.Second)
 	w.lossRate = f.lossRate
 	w.falseRemovals = 0
@@ -180,12 +180,12 @@
 	var m measurement
 	m.ordinary, m.relay = w.measureTraffic(10 * clock.Second)
 	m.leaving = w.measureSpread(func() {
-		n := w.machines[len(w.machines)/2]
+		n := w.nodes[len(w.nodes)/2]
 		id := n.g.Self().Endpoints[0].ID
 		w.endEndpoint(id, leavingLimit)
 		w.perform(n, n.g.LeaveEndpoint(id, w.now))
 	})
-	m.dead = w.measureSpread(func() { w.remove(w.machines[len(w.machines)/3], deadLimit) })
+	m.dead = w.measureSpread(func() { w.remove(w.nodes[len(w.nodes)/3], deadLimit) })
 	assert.Assert(t, m.leaving <= leavingLimit && m.dead <= deadLimit, "leaving endpoint used for %d ms, dead one for %d ms, expected at most 2000 ms and 5000 ms", m.leaving, m.dead)
 	assert.Assert(t, m.ordinary.bytes <= f.maxBytes, "ordinary node sends %s per second, more than its limit of bytes", m.ordinary)
 	assert.Equal(t, w.falseRemovals, 0)
@@ -199,16 +199,16 @@
 
 func (f traffic) String() string { return fmt.Sprintf("%.1f messages %d bytes", f.messages, f.bytes) }
 
-func (w *world) measureTraffic(span clock.Duration) (ordinary, relay traffic) {
+func (w *simulation) measureTraffic(span clock.Duration) (ordinary, relay traffic) {
 	w.countsTraffic = true
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		m.messages, m.bytes = 0, 0
 	}
 	w.run(span)
 	w.countsTraffic = false
 	var count [2]float64
 	var sum [2]traffic
-	for _, m := range w.machines {
+	for _, m := range w.nodes {
 		i := 0
 		if m.g.IsRelay() {
 			i = 1
@@ -225,7 +225,7 @@
 }
 
 // measureSpread runs an event that ends endpoints, and returns how long any node kept using them.
-func (w *world) measureSpread(event func()) clock.Duration {
+func (w *simulation) measureSpread(event func()) clock.Duration {
 	before := map[identifier.Endpoint]bool{}
 	for id, a := range w.endpointTruths {
 		before[id] = a.goneAt > 0
@@ -238,7 +238,7 @@
 			if a.goneAt == 0 || before[id] {
 				continue
 			}
-			for _, m := range w.machines {
+			for _, m := range w.nodes {
 				p, known := m.effectView[id]
 				used = used || (known && p.State != gossiper.Leaving)
 			}
@@ -254,9 +254,9 @@
 func BenchmarkEndpoints(b *testing.B) {
 	for _, nodes := range []int{8, 300} {
 		b.Run(fmt.Sprintf("%d nodes", nodes), func(b *testing.B) {
-			w := newWorld(1, nodes)
+			w := newSimulation(1, nodes)
 			w.run(10 * clock.Second)
-			g := w.machines[0].g
+			g := w.nodes[0].g
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(g.Endpoints(service)) != nodes {
--- a/internal/gossiper/world_test.go
+++ b/internal/gossiper/helpers_test.go
@@ -40,7 +40,7 @@
 	recoveryTime = 3 * clock.Second
 )
 
-type machine struct {
+type simulatedNode struct {
 	id          identifier.Node
 	address     string
 	domain      identifier.FailureDomain
@@ -59,23 +59,23 @@
 
 // endpointTruth is the true state of one endpoint.
 type endpointTruth struct {
-	node *machine
+	node *simulatedNode
 	// readyAt is when the endpoint was announced, goneAt when it left or died; zero if it hasn't.
 	readyAt, goneAt clock.Time
 	useLimit        clock.Duration
 }
 
 type envelope struct {
-	from *machine
+	from *simulatedNode
 	send gossiper.Send
 }
 
-type world struct {
+type simulation struct {
 	rand          *rand.Rand
 	now           clock.Time
-	machines      []*machine
-	byID          map[identifier.Node]*machine
-	byAddress     map[string]*machine
+	nodes      []*simulatedNode
+	byID          map[identifier.Node]*simulatedNode
+	byAddress     map[string]*simulatedNode
 	messagesDue   map[clock.Time][]envelope
 	log           []any
 	lossRate      float64
@@ -93,10 +93,10 @@
 	falseRemovals  int
 }
 
-func newWorld(seed uint64, domains ...int) *world {
-	w := &world{
+func newSimulation(seed uint64, domains ...int) *simulation {
+	w := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 5)), now: 1000,
-		byID: map[identifier.Node]*machine{}, byAddress: map[string]*machine{},
+		byID: map[identifier.Node]*simulatedNode{}, byAddress: map[string]*simulatedNode{},
 		lastCrash: map[identifier.FailureDomain]clock.Time{}, unsettledUntil: map[identifier.FailureDomain]clock.Time{},
 		messagesDue: map[clock.Time][]envelope{}, endpointTruths: map[identifier.Endpoint]*endpointTruth{},
 	}
@@ -108,28 +108,28 @@
 	return w
 }
 
-func (w *world) start(domain identifier.FailureDomain) *machine {
-	if !w.hasMachines(domain) {
+func (w *simulation) start(domain identifier.FailureDomain) *simulatedNode {
+	if !w.hasNodes(domain) {
 		// A domain that died whole is in use again as soon as a node starts in it, and that node has to detect which of
 		// the old members are dead.
 		w.unsettledUntil[domain] = w.now.Add(deadLimit)
 	}
 	w.startCount++
 	id := identifier.Node(fmt.Sprintf("node-%05d-4f7a", w.startCount*7919%100_000))
-	m := &machine{
+	m := &simulatedNode{
 		id: id, address: fmt.Sprintf("10.0.%d.%d:7400", w.startCount/250, w.startCount%250), domain: domain, startedAt: w.now,
 		effectView: map[identifier.Endpoint]gossiper.PlacedEndpoint{}, tickOffset: clock.Time(w.rand.IntN(100)),
 	}
 	var seeds []string
-	for range min(3, len(w.machines)) {
-		seeds = append(seeds, w.machines[w.rand.IntN(len(w.machines))].address)
+	for range min(3, len(w.nodes)) {
+		seeds = append(seeds, w.nodes[w.rand.IntN(len(w.nodes))].address)
 	}
 	m.g = gossiper.New(gossiper.Options{
 		Self:  gossiper.Member{Node: id, Domain: domain, Address: m.address, AdminAddress: m.address},
 		Seeds: seeds, Rand: rand.New(rand.NewPCG(uint64(w.startCount), 9)),
 	})
 	m.seeds = seeds
-	w.machines = append(w.machines, m)
+	w.nodes = append(w.nodes, m)
 	w.byID[id] = m
 	w.byAddress[m.address] = m
 	m.g.SetStatus(gossiper.Status{Offset: 123_456, Version: 87, InForce: "ordinary", Reader: id, Stamp: 1_000_000, Age: 250})
@@ -138,14 +138,14 @@
 	return m
 }
 
-func (w *world) announce(m *machine) {
+func (w *simulation) announce(m *simulatedNode) {
 	id := identifier.Endpoint(fmt.Sprintf("e%d", len(w.endpointTruths)+1))
 	w.endpointTruths[id] = &endpointTruth{node: m, readyAt: w.now}
 	e := gossiper.Endpoint{ID: id, Service: service, Slots: 150, ConnectionLimit: 1000, State: gossiper.Ready}
 	w.perform(m, m.g.SetEndpoint(e, w.now))
 }
 
-func (w *world) endEndpoint(id identifier.Endpoint, useLimit clock.Duration) {
+func (w *simulation) endEndpoint(id identifier.Endpoint, useLimit clock.Duration) {
 	if a := w.endpointTruths[id]; a.goneAt == 0 {
 		a.goneAt = w.now
 		a.useLimit = useLimit
@@ -153,7 +153,7 @@
 }
 
 // remove ends a node, after announcing that it leaves if the limit is leavingLimit, otherwise by a crash.
-func (w *world) remove(m *machine, useLimit clock.Duration) {
+func (w *simulation) remove(m *simulatedNode, useLimit clock.Duration) {
 	for id, a := range w.endpointTruths {
 		if a.node == m {
 			w.endEndpoint(id, useLimit)
@@ -169,7 +169,7 @@
 		}
 		w.lastCrash[m.domain] = w.now
 	}
-	w.machines = slices.DeleteFunc(w.machines, func(o *machine) bool { return o == m })
+	w.nodes = slices.DeleteFunc(w.nodes, func(o *simulatedNode) bool { return o == m })
 	delete(w.byID, m.id)
 	delete(w.byAddress, m.address)
 }
@@ -177,7 +177,7 @@
 // extendUnheardLeaving allows the time of a crash for endpoints that started to leave just before their node crashed,
 // if no living node has received that they leave: no node is left to report it, and no call can reach them through a
 // dead node.
-func (w *world) extendUnheardLeaving(crashed *machine) {
+func (w *simulation) extendUnheardLeaving(crashed *simulatedNode) {
 	for id, a := range w.endpointTruths {
 		if a.node != crashed || a.goneAt == 0 || a.useLimit != leavingLimit || w.now.Sub(a.goneAt) > leavingLimit || w.isLeavingKnown(id, crashed) {
 			continue
@@ -186,15 +186,15 @@
 	}
 }
 
-func (w *world) isLeavingKnown(id identifier.Endpoint, crashed *machine) bool {
-	return slices.ContainsFunc(w.machines, func(m *machine) bool {
+func (w *simulation) isLeavingKnown(id identifier.Endpoint, crashed *simulatedNode) bool {
+	return slices.ContainsFunc(w.nodes, func(m *simulatedNode) bool {
 		p, used := m.effectView[id]
 		return m != crashed && (!used || p.State == gossiper.Leaving)
 	})
 }
 
 // readLog lets a node without a living seed read the log, which is the other way to find the fleet.
-func (w *world) readLog(m *machine) {
+func (w *simulation) readLog(m *simulatedNode) {
 	for _, s := range m.seeds {
 		if w.byAddress[s] != nil {
 			return
@@ -205,7 +205,7 @@
 	}
 }
 
-func (w *world) perform(m *machine, effects []gossiper.Effect) {
+func (w *simulation) perform(m *simulatedNode, effects []gossiper.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case gossiper.Send:
@@ -223,7 +223,7 @@
 	}
 }
 
-func (w *world) send(from *machine, e gossiper.Send) {
+func (w *simulation) send(from *simulatedNode, e gossiper.Send) {
 	if w.countsTraffic {
 		raw, err := encoder.Encode(e.Message)
 		if err != nil {
@@ -239,14 +239,14 @@
 	w.messagesDue[due] = append(w.messagesDue[due], envelope{from: from, send: e})
 }
 
-func (w *world) run(span clock.Duration) {
+func (w *simulation) run(span clock.Duration) {
 	for end := w.now.Add(span); w.now < end; {
 		w.now++
 		for _, e := range w.messagesDue[w.now] {
 			w.deliver(e)
 		}
 		delete(w.messagesDue, w.now)
-		for _, m := range slices.Clone(w.machines) {
+		for _, m := range slices.Clone(w.nodes) {
 			if (w.now+m.tickOffset)%clock.Time(gossiper.TickInterval) == 0 && w.now >= m.pausedUntil {
 				w.perform(m, m.g.Tick(w.now))
 				w.readLog(m)
@@ -258,7 +258,7 @@
 	}
 }
 
-func (w *world) deliver(e envelope) {
+func (w *simulation) deliver(e envelope) {
 	to := w.byID[e.send.To]
 	if e.send.To == "" {
 		to = w.byAddress[e.send.Address]
@@ -270,13 +270,13 @@
 	w.perform(to, to.g.Receive(e.from.id, e.send.Message, w.now))
 }
 
-func (w *world) hasMachines(d identifier.FailureDomain) bool {
-	return slices.ContainsFunc(w.machines, func(m *machine) bool { return m.domain == d })
+func (w *simulation) hasNodes(d identifier.FailureDomain) bool {
+	return slices.ContainsFunc(w.nodes, func(m *simulatedNode) bool { return m.domain == d })
 }
 
 // findFault describes an endpoint that some node's view still has wrong after its time limit, or returns "".
-func (w *world) findFault() string {
-	for _, m := range w.machines {
+func (w *simulation) findFault() string {
+	for _, m := range w.nodes {
 		if w.now < m.pausedUntil {
 			continue
 		}
@@ -294,7 +294,7 @@
 			p, known := view[id]
 			used := known && p.State != gossiper.Leaving
 			useLimit := a.useLimit
-			if !w.hasMachines(a.node.domain) {
+			if !w.hasNodes(a.node.domain) {
 				// No node of the domain is left to report it, so relays must detect its silence, and they may have just
 				// been elected.
 				useLimit = deadLimit + 4*clock.Second
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -80,10 +80,10 @@
 	records      []claimer.Claim
 	logDown      bool
 	// loss, repeat and late are probabilities per mille; loss and late also apply to appends.
-	loss, repeat, late int
-	// cut and cutLog name failure domains or single nodes.
-	cut    map[[2]string]bool
-	cutLog map[string]bool
+	loss, duplicate, late int
+	// partitions and cutLog name failure domains or single nodes.
+	partitions    map[[2]string]bool
+	partitionedFromLog map[string]bool
 	// claimsOnly fleets run no granters and tick less often.
 	claimsOnly   bool
 	held         map[claimer.Name]held
@@ -102,8 +102,8 @@
 func newFleet(seed uint64, domains, nodes int, shortTerms bool) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 7)),
-		cut:    map[[2]string]bool{},
-		cutLog: map[string]bool{},
+		partitions:    map[[2]string]bool{},
+		partitionedFromLog: map[string]bool{},
 		held:   map[claimer.Name]held{},
 		oracle: oracle{},
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	n.version = f.version
-	f.performGrantEffects(n, n.grants.SetTeams(f.teams, f.domains, f.leastShares(), f.version, f.local(n)))
+	f.performGrantEffects(n, n.grants.SetTeams(f.teams, f.domains, f.minShares(), f.version, f.local(n)))
 }
 
 type pastShares struct {
@@ -177,17 +177,17 @@
 	domains []definer.DomainShare
 }
 
-// leastShares returns each domain's least share within the claims' long term, as the configuration provides it.
-func (f *fleet) leastShares() []definer.DomainShare {
-	least := slices.Clone(f.domains)
+// minShares returns each domain's least share within the claims' long term, as the configuration provides it.
+func (f *fleet) minShares() []definer.DomainShare {
+	shares := slices.Clone(f.domains)
 	for _, h := range f.shareHistory {
 		for i, d := range h.domains {
 			if h.until > f.now-8000 {
-				least[i].PerMille = min(least[i].PerMille, d.PerMille)
+				shares[i].PerMille = min(shares[i].PerMille, d.PerMille)
 			}
 		}
 	}
-	return least
+	return shares
 }
 
 // scheduleMemberUpdate stands for gossip: the nodes of the domain learn of a change of members within half a second.
@@ -328,7 +328,7 @@
 		return
 	}
 	copies := 1
-	if f.chance(f.repeat) {
+	if f.chance(f.duplicate) {
 		copies = 2
 	}
 	for range copies {
@@ -337,7 +337,7 @@
 			delay += f.random.Int64N(2000)
 		}
 		f.whenAwake(n, delay, func() {
-			if f.cut[[2]string{string(from.domain), string(n.domain)}] || f.cut[[2]string{string(from.id), string(n.id)}] {
+			if f.partitions[[2]string{string(from.domain), string(n.domain)}] || f.partitions[[2]string{string(from.id), string(n.id)}] {
 				return
 			}
 			f.performClaimEffects(n, n.claims.Receive(from.id, message, f.local(n)))
@@ -349,7 +349,7 @@
 // append may take effect late or never; the node that appends gets no answer in either case.
 func (f *fleet) append(n *node, r claimer.Claim) {
 	f.appends++
-	if f.chance(f.loss) || f.cutFromLog(n) {
+	if f.chance(f.loss) || f.isPartitionedFromLog(n) {
 		return
 	}
 	delay := 2 + f.random.Int64N(20)
@@ -363,13 +363,13 @@
 	})
 }
 
-func (f *fleet) cutFromLog(n *node) bool {
-	return f.cutLog[string(n.domain)] || f.cutLog[string(n.id)]
+func (f *fleet) isPartitionedFromLog(n *node) bool {
+	return f.partitionedFromLog[string(n.domain)] || f.partitionedFromLog[string(n.id)]
 }
 
 func (f *fleet) pollLog(n *node) {
 	f.whenAwake(n, 10+f.random.Int64N(20), func() {
-		up := !f.logDown && !f.cutFromLog(n) && !f.chance(f.loss)
+		up := !f.logDown && !f.isPartitionedFromLog(n) && !f.chance(f.loss)
 		for up && n.readOffset < len(f.records) {
 			r := f.records[n.readOffset]
 			f.performClaimEffects(n, n.claims.ReadRecord(identifier.Offset(n.readOffset), r, f.local(n)))
@@ -459,10 +459,10 @@
 }
 
 func (f *fleet) clearFaults() {
-	f.loss, f.repeat, f.late = 0, 0, 0
+	f.loss, f.duplicate, f.late = 0, 0, 0
 	f.logDown = false
-	clear(f.cut)
-	clear(f.cutLog)
+	clear(f.partitions)
+	clear(f.partitionedFromLog)
 }
 
 func (f *fleet) setLoad(t identifier.Team, perSecond ...int64) {
--- a/internal/granter/fuzz_test.go
+++ b/internal/granter/fuzz_test.go
@@ -57,19 +57,19 @@
 		n.load[team.Name] = int64(team.Rate) / 1000 * rapid.SampledFrom([]int64{0, 1, 1, 3, 10}).Draw(t, "times")
 	case "messageFaults":
 		f.loss = rapid.SampledFrom([]int{0, 30, 200}).Draw(t, "loss")
-		f.repeat = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "repeat")
+		f.duplicate = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "repeat")
 		f.late = rapid.SampledFrom([]int{0, 50, 300}).Draw(t, "late")
 	case "log":
 		f.logDown = !f.logDown
 	case "cut":
-		f.cutBetween(t, string(a), string(b))
+		f.partition(t, string(a), string(b))
 	case "cutNodes":
 		m := rapid.SampledFrom(f.nodes).Draw(t, "node")
-		f.cutBetween(t, string(n.id), string(m.id))
+		f.partition(t, string(n.id), string(m.id))
 	case "cutLog":
-		f.cutLog[string(a)] = !f.cutLog[string(a)]
+		f.partitionedFromLog[string(a)] = !f.partitionedFromLog[string(a)]
 	case "cutNodeLog":
-		f.cutLog[string(n.id)] = !f.cutLog[string(n.id)]
+		f.partitionedFromLog[string(n.id)] = !f.partitionedFromLog[string(n.id)]
 	case "burst":
 		f.sendBurst(t)
 	case "pause":
@@ -90,11 +90,11 @@
 	}
 }
 
-func (f *fleet) cutBetween(t *rapid.T, a, b string) {
+func (f *fleet) partition(t *rapid.T, a, b string) {
 	if a != b {
-		c := !f.cut[[2]string{a, b}]
-		f.cut[[2]string{a, b}] = c
-		f.cut[[2]string{b, a}] = c || rapid.Bool().Draw(t, "oneWay")
+		c := !f.partitions[[2]string{a, b}]
+		f.partitions[[2]string{a, b}] = c
+		f.partitions[[2]string{b, a}] = c || rapid.Bool().Draw(t, "oneWay")
 	}
 }
 
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -95,25 +95,25 @@
 		fault func(f *fleet, second int)
 	}{
 		"none":         {0.99, func(*fleet, int) {}},
-		"holder dies":  {0.93, func(f *fleet, s int) { f.once(s, func() { f.replace(f.holderOf("rates/alfa/0")) }) }},
-		"holder stops": {0.95, func(f *fleet, s int) { f.once(s, func() { f.leave(f.holderOf("rates/alfa/0")) }) }},
+		"holder dies":  {0.93, func(f *fleet, s int) { f.inThirdSecond(s, func() { f.replace(f.holderOf("rates/alfa/0")) }) }},
+		"holder stops": {0.95, func(f *fleet, s int) { f.inThirdSecond(s, func() { f.leave(f.holderOf("rates/alfa/0")) }) }},
 		"log down":     {0.99, func(f *fleet, s int) { f.logDown = s < 30 }},
 		"domain cut off": {0.99, func(f *fleet, s int) {
-			f.once(s, func() {
-				f.cutLog["alfa"] = true
+			f.inThirdSecond(s, func() {
+				f.partitionedFromLog["alfa"] = true
 				for _, d := range f.domains[1:] {
-					f.cut[[2]string{"alfa", string(d.Domain)}] = true
-					f.cut[[2]string{string(d.Domain), "alfa"}] = true
+					f.partitions[[2]string{"alfa", string(d.Domain)}] = true
+					f.partitions[[2]string{string(d.Domain), "alfa"}] = true
 				}
 			})
 		}},
 		"5% lost": {0.90, func(f *fleet, _ int) { f.loss = 50 }},
 		"holder paused past its lease": {0.95, func(f *fleet, s int) {
-			f.once(s, func() { f.holderOf("rates/alfa/0").pausedUntil = f.now + 15_000 })
+			f.inThirdSecond(s, func() { f.holderOf("rates/alfa/0").pausedUntil = f.now + 15_000 })
 		}},
 		"log down and holder dies": {0.80, func(f *fleet, s int) {
 			f.logDown = s < 30
-			f.once(s, func() { f.replace(f.holderOf("rates/alfa/0")) })
+			f.inThirdSecond(s, func() { f.replace(f.holderOf("rates/alfa/0")) })
 		}},
 	}
 	for name, c := range tables {
@@ -144,8 +144,8 @@
 	}
 }
 
-// once runs do in the third second only.
-func (f *fleet) once(second int, do func()) {
+// inThirdSecond runs do in the third second only.
+func (f *fleet) inThirdSecond(second int, do func()) {
 	if second == 2 {
 		do()
 	}
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -72,12 +72,12 @@
 	return strings.Join(paths, " ")
 }
 
-func isLookup(r *http.Request) bool { return r.Method == http.MethodGet }
+func isIdempotent(r *http.Request) bool { return r.Method == http.MethodGet }
 
 func serve(t testing.TB, maxAhead int) *service {
 	t.Helper()
 	s := &service{}
-	p := New(Options{Handler: http.HandlerFunc(s.serve), MaxAhead: maxAhead, MayStartAhead: isLookup})
+	p := New(Options{Handler: http.HandlerFunc(s.serve), MaxAhead: maxAhead, MayStartAhead: isIdempotent})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: p, ConnContext: p.Context, IdleTimeout: 3 * time.Second}
--- a/internal/reducer/random_test.go
+++ b/internal/reducer/random_test.go
@@ -39,8 +39,8 @@
 	m.call(testKey, b.service, "POST", b.id, 0)
 }
 
-// repeatWithID is a caller that sends a request again with the same id, whether or not it got an answer.
-func (m *randomCalls) repeatWithID(t *rapid.T) {
+// retryWithID is a caller that sends a request again with the same id, whether or not it got an answer.
+func (m *randomCalls) retryWithID(t *rapid.T) {
 	if len(m.sentWithID) == 0 {
 		t.Skip("no call with an id was sent yet")
 	}
@@ -182,7 +182,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"callRoot":     m.callRoot,
 			"book":         m.callWithID,
-			"bookAgain":    m.repeatWithID,
+			"bookAgain":    m.retryWithID,
 			"callNested":   m.callNested,
 			"forgedToken":  m.callWithDeadToken,
 			"deliverCall":  m.deliverCall,
