--- a/internal/conductor/endpoint_wait_test.go
+++ b/internal/conductor/endpoint_wait_test.go
@@ -89,7 +89,8 @@
 	assert.Assert(t, c.Idle())
 }
 
-// An order was sent, no answer arrived, and no endpoint is left. It may have run, so it must not wait to be sent again.
+// A non-idempotent request was sent, no answer arrived, and no endpoint is left. It may have run, so it must not wait to
+// be sent again.
 func TestNonIdempotentRequestThatMayHaveRunDoesNotWait(t *testing.T) {
 	c := readyConductor(t, matcher.NonIdempotent, peer("a", "portal"))
 	onlyEffect[Send](t, c.Apply(arrival(1, "/obs/x"), 0))
--- a/internal/conductor/entry_test.go
+++ b/internal/conductor/entry_test.go
@@ -203,7 +203,7 @@
 	assert.DeepEqual(t, counts, map[identifier.Service]int{"portal": 900, "clock": 100})
 }
 
-// The service at the end of the chain is overloaded. Lookups that lead to it are refused before any work, the less
+// The service at the end of the chain is overloaded. Root requests that lead to it are refused before any work, the less
 // important ones first; uploads to another service and the nested calls of admitted requests are not refused.
 func TestRootRequestsAreShedForOverloadedDependency(t *testing.T) {
 	browse, order, other := route("obs", "portal", matcher.Idempotent), route("ord", "desk", matcher.NonIdempotent), route("up", "desk2", matcher.Upload)
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -22,10 +22,11 @@
 // are checked against what endpoints ran and callers were told, not against the nodes' own state.
 
 const (
-	fuzzNodes  = 5
+	fuzzNodes = 5
+	// Durations are in milliseconds.
 	fuzzRevoke = 2000
 	fuzzLength = 12000
-	// fuzzRate is divided among the nodes, fuzzPooled is kept in one shared bucket.
+	// A rate of fuzzRate requests a second is divided among the nodes, one of fuzzPooled is kept in one shared bucket.
 	fuzzRate    = 40.0
 	fuzzPooled  = 15.0
 	fuzzWindow  = 5000
@@ -86,6 +87,7 @@
 	Fatalf(string, ...any)
 }
 
+// simulatedFleet is the simulated store, nodes, endpoints and callers, with the queue of their next events.
 type simulatedFleet struct {
 	t          failer
 	random     *rand.Rand
@@ -505,9 +507,9 @@
 	w.after(clock.Duration(500+w.random.Int64N(1000)), func() { w.startNode(i) })
 }
 
-// Whatever happens to the fleet, an order runs at most once, a request refused as not run has not run, a withdrawn key
-// is rejected by every node in time, a leaving endpoint gets no more requests, and no team exceeds its rate and burst
-// by more than the tolerance.
+// Whatever happens to the fleet, a non-idempotent request runs at most once, a request refused as not run has not run, a
+// withdrawn key is rejected by every node in time, a leaving endpoint gets no more requests, and no team exceeds its rate
+// and burst by more than the tolerance.
 func TestFuzzFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulateFleet(t, fleetScenario{
--- a/internal/conductor/helpers_test.go
+++ b/internal/conductor/helpers_test.go
@@ -14,6 +14,7 @@
 	"github.com/jackdawtide/jackdawtide/internal/registrar"
 )
 
+// boot is the boot clock's time at which the conductor's clock is 0.
 const boot = clock.Time(1_000_000)
 
 func newConductor(service identifier.Service) *Conductor {
--- a/internal/conductor/pool_test.go
+++ b/internal/conductor/pool_test.go
@@ -22,7 +22,7 @@
 	nodes map[identifier.Node]*Conductor
 	names []identifier.Node
 	last  CallID
-	// sent and passed are the counts of askAndCount.
+	// sent and admitted are the counts of sendAndCount.
 	sent, admitted int
 	// partitioned reports whether two nodes can't reach each other.
 	partitioned func(from, to identifier.Node) bool
@@ -102,7 +102,8 @@
 	return sent
 }
 
-// sendAndCount calls ask, and counts the requests from a time on at which the fleet has learned the demand.
+// sendAndCount sends a request, and counts it if it is not before the time from, at which the fleet has learned the
+// demand.
 func (f *poolFleet) sendAndCount(at identifier.Node, now, from clock.Time) {
 	allowed := f.sendRequest(at, now)
 	if now < from {
@@ -213,7 +214,7 @@
 }
 
 // The holder's bucket is empty: the caller is refused with the time until a token is available, and this node does not
-// sendRequest the holder again for requests that arrive before then.
+// ask the holder again for requests that arrive before then.
 func TestEmptyBucketIsNotAskedAgainAtOnce(t *testing.T) {
 	f := newPoolFleet(t, 20, 20)
 	c := f.nodes["n00"]
--- a/internal/conductor/reachability_test.go
+++ b/internal/conductor/reachability_test.go
@@ -16,9 +16,10 @@
 	return m
 }
 
-// A failure domain is partitioned off while lookups and an order are in flight there. Without an abort, the callers of
-// the lookups would wait until their deadline; the order may have run and must not be answered as not run. After that,
-// no further request may go there: an order sent on a dead connection can't be sent again.
+// A failure domain is partitioned off while idempotent requests and a non-idempotent one are in flight there. Without an
+// abort, the callers of the idempotent requests would wait until their deadline; the non-idempotent one may have run and
+// must not be answered as not run. After that, no further request may go there: a non-idempotent request sent on a dead
+// connection can't be sent again.
 func TestUnreachableDomainIsAvoidedWithinASecond(t *testing.T) {
 	c := newConductor("desk")
 	configure(t, c, configuration(3, route("obs", "portal", matcher.Idempotent), route("ord", "clock", matcher.NonIdempotent)), 0)
@@ -35,12 +36,12 @@
 	assert.DeepEqual(t, probes, []identifier.Node{"a", "b"})
 	assert.Equal(t, onlyEffect[Abort](t, c.Apply(Probed{Node: "a"}, 1550)).ID, CallID(1))
 	onlyEffect[Abort](t, c.Apply(Probed{Node: "b"}, 1550))
-	// The lookup is sent elsewhere, and so are all new requests.
+	// The idempotent request is sent elsewhere, and so are all new requests.
 	assert.Equal(t, onlyEffect[Send](t, c.Apply(AttemptEnded{ID: 1, Outcome: Broken, Replayable: true}, 1551)).Node, identifier.Node("c"))
 	for id := CallID(10); id < 30; id++ {
 		assert.Equal(t, onlyEffect[Send](t, c.Apply(arrival(id, "/ord/x"), 1600)).Node, identifier.Node("d"))
 	}
-	// When its attempt ends, the order is answered as possibly run.
+	// When its attempt ends, the non-idempotent request is answered as possibly run.
 	assert.Equal(t, onlyEffect[Refuse](t, c.Apply(AttemptEnded{ID: 2, Outcome: Late, Replayable: true}, 6000)).Status, 504)
 }
 
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -96,7 +96,7 @@
 	assert.Assert(t, !d.Lost("e1"))
 }
 
-// A successful probe clears a suspicion. Otherwise, among 88 nodes that had once failed each other, each pair would be
+// A successful probe clears a suspicion. Otherwise, among 88 nodes that have all been suspected once, each pair would be
 // probed every second and a half from then on.
 func TestClearedSuspicionCausesNoMoreProbes(t *testing.T) {
 	d := newTestDetector()
--- a/internal/exchanger/fleet_test.go
+++ b/internal/exchanger/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Machines that are gone leave their records in the store. The fleet's collector probes members without a fresh report in
+// Removed nodes leave their records in the store. The fleet's collector probes members without a fresh report in
 // rotation, so that one dead member does not keep it from reaching the others.
 func TestNextMissingRotates(t *testing.T) {
 	f := newFleet(4)
--- a/internal/gossiper/helpers_test.go
+++ b/internal/gossiper/helpers_test.go
@@ -1,6 +1,6 @@
 package gossiper_test
 
-// The world simulates a fleet of nodes in several failure domains, connected by a lossy network. It records which nodes
+// A simulation of a fleet of nodes in several failure domains, connected by a lossy network. It records which nodes
 // live and when each endpoint was announced or ended; a node's view may lag behind by the specified limits and no more.
 
 import (
@@ -73,7 +73,7 @@
 type simulation struct {
 	rand          *rand.Rand
 	now           clock.Time
-	nodes      []*simulatedNode
+	nodes         []*simulatedNode
 	byID          map[identifier.Node]*simulatedNode
 	byAddress     map[string]*simulatedNode
 	messagesDue   map[clock.Time][]envelope
@@ -163,7 +163,7 @@
 		w.perform(m, m.g.Leave(w.now))
 		w.run(clock.Second)
 	} else {
-		w.extendUnheardLeaving(m)
+		w.extendUnknownLeaving(m)
 		if previous := w.lastCrash[m.domain]; previous > 0 && w.now.Sub(previous) < 6*clock.Second {
 			w.unsettledUntil[m.domain] = w.now.Add(deadLimit)
 		}
@@ -174,10 +174,10 @@
 	delete(w.byAddress, m.address)
 }
 
-// extendUnheardLeaving allows the time of a crash for endpoints that started to leave just before their node crashed,
+// extendUnknownLeaving allows the time of a crash for endpoints that started to leave just before their node crashed,
 // if no living node has received that they leave: no node is left to report it, and no call can reach them through a
 // dead node.
-func (w *simulation) extendUnheardLeaving(crashed *simulatedNode) {
+func (w *simulation) extendUnknownLeaving(crashed *simulatedNode) {
 	for id, a := range w.endpointTruths {
 		if a.node != crashed || a.goneAt == 0 || a.useLimit != leavingLimit || w.now.Sub(a.goneAt) > leavingLimit || w.isLeavingKnown(id, crashed) {
 			continue
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -1,5 +1,5 @@
 // A simulated fleet of claimers and granters, connected by their effects: true time in milliseconds, a clock for each
-// node that runs at its own rate, messages that are delayed, lost, repeated and reordered, and a log with late and
+// node that runs at its own rate, messages that are delayed, lost, duplicated and reordered, and a log with late and
 // lost appends. The fleet decides nothing; it only carries out effects, as package reducer does.
 //
 // Example: f := newFleet(1, 2, 2, false); f.run(5000) gives four nodes in two domains time to found their claims.
@@ -81,8 +81,8 @@
 	logDown      bool
 	// loss, repeat and late are probabilities per mille; loss and late also apply to appends.
 	loss, duplicate, late int
-	// partitions and cutLog name failure domains or single nodes.
-	partitions    map[[2]string]bool
+	// partitions holds pairs of a sender and a receiver. It and partitionedFromLog name failure domains or single nodes.
+	partitions         map[[2]string]bool
 	partitionedFromLog map[string]bool
 	// claimsOnly fleets run no granters and tick less often.
 	claimsOnly   bool
@@ -101,11 +101,11 @@
 // shortTerms is set.
 func newFleet(seed uint64, domains, nodes int, shortTerms bool) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 7)),
-		partitions:    map[[2]string]bool{},
+		random:             rand.New(rand.NewPCG(seed, 7)),
+		partitions:         map[[2]string]bool{},
 		partitionedFromLog: map[string]bool{},
-		held:   map[claimer.Name]held{},
-		oracle: oracle{},
+		held:               map[claimer.Name]held{},
+		oracle:             oracle{},
 	}
 	if shortTerms {
 		f.terms = claimer.Options{
@@ -169,7 +169,7 @@
 		return
 	}
 	n.version = f.version
-	f.performGrantEffects(n, n.grants.SetTeams(f.teams, f.domains, f.minShares(), f.version, f.local(n)))
+	f.performGrantEffects(n, n.grants.SetTeams(f.teams, f.domains, f.leastShares(), f.version, f.local(n)))
 }
 
 type pastShares struct {
@@ -177,17 +177,17 @@
 	domains []definer.DomainShare
 }
 
-// minShares returns each domain's least share within the claims' long term, as the configuration provides it.
-func (f *fleet) minShares() []definer.DomainShare {
-	shares := slices.Clone(f.domains)
+// leastShares returns each domain's least share within the claims' long term, as the configuration provides it.
+func (f *fleet) leastShares() []definer.DomainShare {
+	least := slices.Clone(f.domains)
 	for _, h := range f.shareHistory {
 		for i, d := range h.domains {
 			if h.until > f.now-8000 {
-				shares[i].PerMille = min(shares[i].PerMille, d.PerMille)
+				least[i].PerMille = min(least[i].PerMille, d.PerMille)
 			}
 		}
 	}
-	return shares
+	return least
 }
 
 // scheduleMemberUpdate stands for gossip: the nodes of the domain learn of a change of members within half a second.
--- a/internal/granter/fuzz_test.go
+++ b/internal/granter/fuzz_test.go
@@ -1,4 +1,4 @@
-// Tests of the guarantees of claims and rates under combinations of faults: messages lost, late, repeated and
+// Tests of the guarantees of claims and rates under combinations of faults: messages lost, late, duplicated and
 // reordered, the log down or slow, appends lost or late, domains partitioned, nodes paused past their leases,
 // crashed, replaced and leaving, clocks at different rates, and changed rates.
 //
--- a/internal/granter/measure_test.go
+++ b/internal/granter/measure_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// inThirdSecond runs do in the third second only.
+// inThirdSecond runs do if second, which counts from 0, is 2.
 func (f *fleet) inThirdSecond(second int, do func()) {
 	if second == 2 {
 		do()
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -135,7 +135,7 @@
 	assert.Equal(t, l.Limit(), 10)
 }
 
-// Uploads hold slots for minutes. If they hold all slots, a bulletin that arrives then waits for one of them to end
+// Uploads hold slots for minutes. If they hold all slots, an urgent call that arrives then waits for one of them to end
 // although it is first in the queue, and times out.
 func TestUrgentCallFindsReservedSlot(t *testing.T) {
 	l := New(Options{Slots: 8}, 0)
--- a/internal/mesher/mesher_test.go
+++ b/internal/mesher/mesher_test.go
@@ -85,7 +85,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// fleet is a simulated store whose topics a test's nodes and their endpoints share.
+// fleet holds what the nodes of a test share: the topics of a simulated store, and the work of their endpoints.
 type fleet struct {
 	operators, members memoryTopic
 	// work, if set, is called for each request that reaches an endpoint.
--- a/internal/pipeliner/pipeliner_test.go
+++ b/internal/pipeliner/pipeliner_test.go
@@ -154,7 +154,7 @@
 }
 
 // A caller that has sent further requests closes the connection while the first is under way. If its requests were not
-// cancelled, endpoints would continue work that nobody waits for, until it occupies all their slots.
+// cancelled, endpoints would continue work whose result is not needed, until it occupies all their slots.
 func TestClosedConnectionCancelsAllItsRequests(t *testing.T) {
 	for name, behind := range map[string][]string{
 		"alone":                           nil,
--- a/internal/reducer/lonenode_test.go
+++ b/internal/reducer/lonenode_test.go
@@ -10,7 +10,7 @@
 )
 
 // All other nodes of a fleet have failed. The remaining node must read the log itself; otherwise it would learn of a
-// withdrawn key only after its last news of the log has become stale, seconds after the operator got the withdrawal confirmed.
+// withdrawn key only when its newest log contact is too old, seconds after the operator got the withdrawal confirmed.
 func TestLoneNodeReadsTheLog(t *testing.T) {
 	w := &simulatedNode{now: 1, fail: t.Fatalf}
 	w.state = New(Options{Self: "a1", Domain: "alfa", Address: "127.0.0.1:1", Seed: 7, Decode: encoder.Decode})
--- a/internal/requester/client_test.go
+++ b/internal/requester/client_test.go
@@ -265,8 +265,8 @@
 	assert.Assert(t, errors.As(err, &dial))
 }
 
-// The caller leaves while the endpoint works. Unless the connection is closed at once, the endpoint continues work that
-// nobody waits for.
+// The caller leaves while the endpoint works. Unless the connection is closed at once, the endpoint continues work
+// whose result is not needed.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
@@ -308,7 +308,7 @@
 }
 
 // The caller leaves while a partition or a congested link still delays the request. After an orderly close the request
-// would be delivered later, and the endpoint would do work that nobody waits for; a reset discards it.
+// would be delivered later, and the endpoint would do work whose result is not needed; a reset discards it.
 func TestCancelResetsTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	s := serve(t, func(_ net.Conn, _ *http.Request, reader *bufio.Reader) bool {
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -162,7 +162,7 @@
 }
 
 // Each node sees few retries of many callers. Only the overloaded service sees all of them; without its hint each node
-// would continue to send its tenth.
+// would continue to retry up to a tenth of its calls.
 func TestHintBlocksRetriesUntilItExpires(t *testing.T) {
 	d := NewDamper(DamperOptions{})
 	m := &Meter{}
