--- a/internal/apportioner/apportioner_test.go
+++ b/internal/apportioner/apportioner_test.go
@@ -207,10 +207,10 @@
 // whole burst a second time within the same window.
 func TestFleetRestartGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst = 180.0, 180.0
-	press := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
+	highDemand := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
 	f := newFleet(14, rate, burst)
 	f.simulate(0, 6000, func(int, clock.Time) float64 { return 5 })
-	before := f.simulate(6000, 8000, press)
+	before := f.simulate(6000, 8000, highDemand)
 	again := newFleet(14, rate, burst)
 	for _, a := range again.nodes {
 		a.start = 8000
@@ -218,7 +218,7 @@
 			b.filledAt, b.decayedAt = 8000, 8000
 		}
 	}
-	after := again.simulate(8000, 12000, press)
+	after := again.simulate(8000, 12000, highDemand)
 	got := maxInWindow(append(before, after...), 5*clock.Second)
 	assert.Assert(t, float64(got) <= (rate*5+burst)*1.06+12, "%d requests in 5 s", got)
 }
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -86,7 +86,7 @@
 	partitionedFromLog map[string]bool
 	// claimsOnly fleets run no granters and tick less often.
 	claimsOnly   bool
-	held         map[claimer.Name]held
+	lastHolders  map[claimer.Name]lastHolder
 	terms        claimer.Options
 	grantTerms   granter.Options
 	teams        []definer.Team
@@ -104,7 +104,7 @@
 		random:             rand.New(rand.NewPCG(seed, 7)),
 		partitions:         map[[2]string]bool{},
 		partitionedFromLog: map[string]bool{},
-		held:               map[claimer.Name]held{},
+		lastHolders:        map[claimer.Name]lastHolder{},
 		oracle:             oracle{},
 	}
 	if shortTerms {
@@ -411,8 +411,8 @@
 	}
 }
 
-// held is the last node that had authority over a name, and until when.
-type held struct {
+// lastHolder is the last node that had authority over a name, and until when.
+type lastHolder struct {
 	node  identifier.Node
 	epoch identifier.Epoch
 	until int64
@@ -422,17 +422,17 @@
 // granted in its last moment. Without this check the oracle would miss a successor that starts too early, unless the
 // old holder granted something just then.
 func (f *fleet) checkWaitOut(name claimer.Name, n identifier.Node) {
-	last, ok := f.held[name]
+	last, ok := f.lastHolders[name]
 	if ok && f.terms.WaitOut > 0 && last.node != n && f.now-last.until < f.waitOut(name, last) {
 		f.faults = append(f.faults, fmt.Sprintf("at %d ms: %s is held by %s only %d ms after %s", f.now, name, n, f.now-last.until, last.node))
 	}
 	_, epoch, _ := f.node(n).claims.HolderOf(name)
-	f.held[name] = held{node: n, epoch: epoch, until: f.now}
+	f.lastHolders[name] = lastHolder{node: n, epoch: epoch, until: f.now}
 }
 
 // waitOut returns how long a successor must wait after the last holder; after a handover that is what the record
 // states as outstanding.
-func (f *fleet) waitOut(name claimer.Name, last held) int64 {
+func (f *fleet) waitOut(name claimer.Name, last lastHolder) int64 {
 	w := int64(f.terms.WaitOut)
 	for _, r := range f.records {
 		if r.Name == name && r.Kind == claimer.Handover && r.By == last.node && r.Epoch > last.epoch {
