--- a/internal/admitter/simulation_test.go
+++ b/internal/admitter/simulation_test.go
@@ -73,7 +73,7 @@
 	route     admitter.Route
 	origin    origin
 	deadline  clock.Time
-	tries     int
+	attempts  int
 	arrivedAt clock.Time
 }
 
@@ -233,7 +233,7 @@
 func (w *simulation) send(q *request) {
 	e := w.entries[w.rand.IntN(len(w.entries))]
 	again := func() {
-		if q.tries++; q.tries <= w.retries {
+		if q.attempts++; q.attempts <= w.retries {
 			q.deadline = w.now.Add(w.callerTimeout)
 			w.send(q)
 		}
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -137,16 +137,18 @@
 // domains and its traffic. When the endpoint is full, calls would wait in its queue although others have headroom.
 func TestSpilloverIsLimitedToExcessLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		near, far     float64
-		least, most   float64
-		longestOfMost clock.Duration
+		near, far float64
+		// minCrossing and maxCrossing bound the fraction of calls that leave the own domain; 95% of calls wait at most
+		// maxUsualWait.
+		minCrossing, maxCrossing float64
+		maxUsualWait             clock.Duration
 	}{
-		"half used": {near: 0.5, far: 0.3, most: 0.002, longestOfMost: 5},
+		"half used": {near: 0.5, far: 0.3, maxCrossing: 0.002, maxUsualWait: 5},
 		// At this utilization one call in eleven would find all slots taken if none left.
-		"well used":             {near: 0.75, far: 0.3, most: 0.09, longestOfMost: 10},
-		"more than it can take": {near: 1.3, far: 0.3, least: 0.2, most: 0.6, longestOfMost: 60},
-		"as full as the other":  {near: 0.95, far: 0.95, most: 0.25, longestOfMost: 150},
-		"the other is fuller":   {near: 0.9, far: 0.99, most: 0.15, longestOfMost: 100},
+		"well used":             {near: 0.75, far: 0.3, maxCrossing: 0.09, maxUsualWait: 10},
+		"more than it can take": {near: 1.3, far: 0.3, minCrossing: 0.2, maxCrossing: 0.6, maxUsualWait: 60},
+		"as full as the other":  {near: 0.95, far: 0.95, maxCrossing: 0.25, maxUsualWait: 150},
+		"the other is fuller":   {near: 0.9, far: 0.99, maxCrossing: 0.15, maxUsualWait: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newSimulation()
@@ -154,12 +156,12 @@
 			crossed := float64(p.crossDomainCalls) / float64(len(p.waits))
 			waitedLonger := 0
 			for _, wait := range p.waits {
-				if wait > float64(c.longestOfMost) {
+				if wait > float64(c.maxUsualWait) {
 					waitedLonger++
 				}
 			}
-			summary := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), waitedLonger, c.longestOfMost)
-			assert.Assert(t, crossed >= c.least && crossed <= c.most, summary)
+			summary := fmt.Sprintf("a fraction of %.3f of %d calls left the own failure domain, %d waited longer than %d ms", crossed, len(p.waits), waitedLonger, c.maxUsualWait)
+			assert.Assert(t, crossed >= c.minCrossing && crossed <= c.maxCrossing, summary)
 			assert.Assert(t, waitedLonger <= len(p.waits)/20, summary)
 			t.Log(summary)
 		})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -28,23 +28,23 @@
 // checkPick checks a pick: a leaving, excluded or full endpoint is never picked; a suspect or stopping one only if
 // there is no other.
 func (o oracle) checkPick(t *rapid.T, picked Endpoint, ok bool, exclude []identifier.Endpoint) {
-	sound, suspect := 0, 0
+	healthy, suspect := 0, 0
 	for _, e := range o.known {
 		switch {
 		case e.State == Leaving || !o.available(e, exclude):
 		case e.State == Suspect || e.State == Stopping:
 			suspect++
 		default:
-			sound++
+			healthy++
 		}
 	}
-	assert.Equal(t, ok, sound+suspect > 0)
+	assert.Equal(t, ok, healthy+suspect > 0)
 	if !ok {
 		return
 	}
 	assert.Equal(t, picked, o.known[picked.ID])
 	assert.Assert(t, picked.State != Leaving && o.available(picked, exclude))
-	assert.Assert(t, picked.State != Suspect && picked.State != Stopping || sound == 0)
+	assert.Assert(t, picked.State != Suspect && picked.State != Stopping || healthy == 0)
 }
 
 func TestRouterAgainstOracle(t *testing.T) {
--- a/internal/soaker/judge_test.go
+++ b/internal/soaker/judge_test.go
@@ -45,8 +45,8 @@
 		return standin.Run{Request: id, Instance: instance, Team: "parish", At: second(at)}
 	}
 	tests := map[string]struct {
-		plant func(r *Record)
-		want  string
+		inject func(r *Record)
+		want   string
 	}{
 		"no fault": {func(*Record) {}, ""},
 		"answer to another request": {func(r *Record) {
@@ -55,12 +55,12 @@
 			r.AddRequest(s)
 			r.AddRun(ran("x", "i-1", 1))
 		}, "wrongAnswer"},
-		"an order that ran twice": {func(r *Record) {
+		"a non-idempotent request that ran twice": {func(r *Record) {
 			r.AddRequest(sent("x", 1, 502))
 			r.AddRun(ran("x", "i-1", 1))
 			r.AddRun(ran("x", "i-2", 2))
 		}, "ranTwice"},
-		"a lookup that ran twice": {func(r *Record) {
+		"an idempotent request that ran twice": {func(r *Record) {
 			s := sent("x", 1, 200)
 			s.Idempotent = true
 			r.AddRequest(s)
@@ -104,7 +104,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := recordWithoutBreaches()
-			test.plant(r)
+			test.inject(r)
 			got := ""
 			for _, b := range r.Judge(terms) {
 				got = b.Check
