--- a/internal/apportioner/apportioner_test.go
+++ b/internal/apportioner/apportioner_test.go
@@ -262,7 +262,7 @@
 func TestUnevenArrivalsWithinTheRateAreNotRefused(t *testing.T) {
 	f := newFleet(18, 52, 52)
 	random := rand.New(rand.NewPCG(3, 4))
-	asked, passed := 0, 0
+	sent, admitted := 0, 0
 	for now := clock.Time(0); now < 30000; now++ {
 		f.step(now)
 		for _, a := range f.nodes {
@@ -273,13 +273,13 @@
 			if now < 5000 {
 				continue
 			}
-			asked++
+			sent++
 			if allowed {
-				passed++
+				admitted++
 			}
 		}
 	}
-	assert.Assert(t, passed >= asked*98/100, "%d of %d allowed", passed, asked)
+	assert.Assert(t, admitted >= sent*98/100, "%d of %d allowed", admitted, sent)
 }
 
 // A team sends exactly its rate, evenly to all nodes. By chance some buckets are full while others are empty, so that
@@ -297,7 +297,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(18, 54, 54)
 			random := rand.New(rand.NewPCG(5, 6))
-			asked, passed := 0, 0
+			sent, admitted := 0, 0
 			for now := clock.Time(0); now < 40000; now++ {
 				f.step(now)
 				for _, a := range f.nodes {
@@ -312,13 +312,13 @@
 					if now < 10000 {
 						continue
 					}
-					asked++
+					sent++
 					if allowed {
-						passed++
+						admitted++
 					}
 				}
 			}
-			part := float64(passed) / float64(asked)
+			part := float64(admitted) / float64(sent)
 			t.Logf("fraction %.3f allowed", part)
 			assert.Assert(t, part >= test.least, "fraction %.3f allowed", part)
 		})
--- a/internal/conductor/entry_test.go
+++ b/internal/conductor/entry_test.go
@@ -128,19 +128,19 @@
 		again      bool
 		status     int
 	}{
-		"moved":                                {matcher.NonIdempotent, Moved, false, true, 0},
-		"full":                                 {matcher.NonIdempotent, Full, false, true, 0},
-		"unreached":                            {matcher.NonIdempotent, Unreached, false, true, 0},
-		"declined":                             {matcher.NonIdempotent, Declined, false, true, 0},
-		"broken order":                         {matcher.NonIdempotent, Broken, false, false, 502},
-		"broken lookup":                        {matcher.Idempotent, Broken, false, true, 0},
-		"broken upload":                        {matcher.Upload, Broken, false, false, 502},
-		"late order":                           {matcher.NonIdempotent, Late, false, false, 504},
-		"late lookup":                          {matcher.Idempotent, Late, false, false, 504},
-		"moved, body not replayable":           {matcher.NonIdempotent, Moved, true, false, 503},
-		"broken lookup, body not replayable":   {matcher.Idempotent, Broken, true, false, 502},
-		"declined upload, body not replayable": {matcher.Upload, Declined, true, false, 503},
-		"full upload, body not replayable":     {matcher.Upload, Full, true, false, 503},
+		"moved":                         {matcher.NonIdempotent, Moved, false, true, 0},
+		"full":                          {matcher.NonIdempotent, Full, false, true, 0},
+		"unreached":                     {matcher.NonIdempotent, Unreached, false, true, 0},
+		"declined":                      {matcher.NonIdempotent, Declined, false, true, 0},
+		"broken non-idempotent request": {matcher.NonIdempotent, Broken, false, false, 502},
+		"broken idempotent request":     {matcher.Idempotent, Broken, false, true, 0},
+		"broken upload":                 {matcher.Upload, Broken, false, false, 502},
+		"late non-idempotent request":   {matcher.NonIdempotent, Late, false, false, 504},
+		"late idempotent request":       {matcher.Idempotent, Late, false, false, 504},
+		"moved, body not replayable":    {matcher.NonIdempotent, Moved, true, false, 503},
+		"broken idempotent request, body not replayable": {matcher.Idempotent, Broken, true, false, 502},
+		"declined upload, body not replayable":           {matcher.Upload, Declined, true, false, 503},
+		"full upload, body not replayable":               {matcher.Upload, Full, true, false, 503},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/conductor/fuzz_test.go
+++ b/internal/conductor/fuzz_test.go
@@ -447,8 +447,8 @@
 	if r.runs > 1 && !r.idempotent {
 		w.t.Fatalf("%d: non-idempotent request %d runs a second time", w.now, id)
 	}
-	if gone, ok := w.withdrawn[r.key]; ok && r.sentAt > gone.Add(fuzzRevoke) {
-		w.t.Fatalf("%d: request %d sent at %d runs with a key withdrawn at %d", w.now, id, r.sentAt, gone)
+	if withdrawnAt, ok := w.withdrawn[r.key]; ok && r.sentAt > withdrawnAt.Add(fuzzRevoke) {
+		w.t.Fatalf("%d: request %d sent at %d runs with a key withdrawn at %d", w.now, id, r.sentAt, withdrawnAt)
 	}
 }
 
--- a/internal/exchanger/fleet_test.go
+++ b/internal/exchanger/fleet_test.go
@@ -196,12 +196,12 @@
 // Nodes of a partitioned failure domain must keep exchanging reports with each other, and must have fresh reports of all
 // others soon after the partition heals.
 func TestPartitionedFailureDomainRecovers(t *testing.T) {
-	for name, cut := range map[string]identifier.FailureDomain{"the first": "domain-0", "another": "domain-3"} {
+	for name, partitioned := range map[string]identifier.FailureDomain{"the first": "domain-0", "another": "domain-3"} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleetOf(60, 6)
 			f.runRounds(0, 5000, allReachable)
 			apart := func(a, b identifier.Node) bool {
-				return (f.members[a].Domain == cut) == (f.members[b].Domain == cut)
+				return (f.members[a].Domain == partitioned) == (f.members[b].Domain == partitioned)
 			}
 			f.runRounds(5000, 65_000, apart)
 			for node, table := range f.tables {
--- a/internal/gossiper/pause_test.go
+++ b/internal/gossiper/pause_test.go
@@ -32,10 +32,10 @@
 // A suspicion received right after a pause must not be extended by the length of the pause; a dead endpoint would be
 // used for that much longer.
 func TestPauseDoesNotProlongNewSuspicion(t *testing.T) {
-	const woken = clock.Time(20_000)
+	const resumed = clock.Time(20_000)
 	g := newTestGossiper("other")
-	g.Receive("other", Gossip{Updates: []Member{testMember("dead", Suspect)}}, woken)
-	for now := woken; now <= woken.Add(DefaultSuspicion); now = now.Add(TickInterval) {
+	g.Receive("other", Gossip{Updates: []Member{testMember("dead", Suspect)}}, resumed)
+	for now := resumed; now <= resumed.Add(DefaultSuspicion); now = now.Add(TickInterval) {
 		g.Tick(now)
 	}
 	m, ok := g.Member("dead")
@@ -46,12 +46,12 @@
 // A message received right after a pause must not move a domain's last contact time into the future; the domain's
 // silence would be detected too late.
 func TestPauseDoesNotMoveLastContactIntoTheFuture(t *testing.T) {
-	const woken = clock.Time(20_000)
+	const resumed = clock.Time(20_000)
 	g := newTestGossiper()
 	g.recordContact("east", 50)
-	g.recordContact("east", woken)
-	g.Tick(woken)
-	assert.Assert(t, g.relayer.remotes["east"].lastContact <= woken)
+	g.recordContact("east", resumed)
+	g.Tick(resumed)
+	assert.Assert(t, g.relayer.remotes["east"].lastContact <= resumed)
 }
 
 // When only another domain reports a member of the own domain as alive, its endpoints must stay unused until it refutes
--- a/internal/mesher/orders_test.go
+++ b/internal/mesher/orders_test.go
@@ -27,11 +27,11 @@
 	again := o.merge(watcher.Update{Records: []watcher.Record{record("rules", "1", 3)}, Next: 9, Snapshot: true}, isTestOrder)
 	assert.Assert(t, again.evacuations)
 	assert.Equal(t, len(again.configurations("rules")), 0)
-	passed, changed := o.from(5)
+	relayed, changed := o.from(5)
 	assert.Assert(t, changed == nil)
-	assert.Equal(t, len(passed), 1)
-	assert.Equal(t, passed[0].Key, "east")
-	assert.Equal(t, len(passed[0].Value), 0)
+	assert.Equal(t, len(relayed), 1)
+	assert.Equal(t, relayed[0].Key, "east")
+	assert.Equal(t, len(relayed[0].Value), 0)
 	assert.Equal(t, o.next(), identifier.Offset(9))
 }
 
--- a/internal/reducer/random_test.go
+++ b/internal/reducer/random_test.go
@@ -201,7 +201,7 @@
 // settle ends all calls and deliveries in progress, and checks that every caller then has exactly one answer and that
 // the node has removed all calls.
 func (m *randomCalls) settle(t *rapid.T) {
-	for quiet := false; !quiet; quiet = len(m.forwards) == 0 && len(m.running) == 0 {
+	for settled := false; !settled; settled = len(m.forwards) == 0 && len(m.running) == 0 {
 		for len(m.forwards) > 0 {
 			f := m.forwards[0]
 			m.forwards = m.forwards[1:]
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -144,7 +144,7 @@
 func TestDamperLimitsRetryRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDamper(DamperOptions{})
-		now, first, retries, quiet := clock.Time(0), 0, 0, 0
+		now, first, retries, seconds := clock.Time(0), 0, 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "calls") {
 			gap := rapid.SampledFrom([]clock.Duration{0, 0, 0, 1, 2, 700}).Draw(t, "gap")
 			now = now.Add(gap)
@@ -155,9 +155,9 @@
 					retries++
 				}
 			}
-			quiet = int(now / 1000)
+			seconds = int(now / 1000)
 		}
-		assert.Assert(t, retries <= first/10+1+quiet, "%d retries of %d calls in %d s", retries, first, quiet)
+		assert.Assert(t, retries <= first/10+1+seconds, "%d retries of %d calls in %d s", retries, first, seconds)
 	})
 }
 
