--- a/internal/apportioner/apportioner_test.go
+++ b/internal/apportioner/apportioner_test.go
@@ -207,10 +207,10 @@
 // whole burst a second time within the same window.
 func TestFleetRestartGrantsNoSecondBurst(t *testing.T) {
 	const rate, burst = 180.0, 180.0
-	press := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
+	highDemand := func(int, clock.Time) float64 { return 110.0 * 7 / 14 }
 	f := newFleet(14, rate, burst)
 	f.simulate(0, 6000, func(int, clock.Time) float64 { return 5 })
-	before := f.simulate(6000, 8000, press)
+	before := f.simulate(6000, 8000, highDemand)
 	again := newFleet(14, rate, burst)
 	for _, a := range again.nodes {
 		a.start = 8000
@@ -218,7 +218,7 @@
 			b.filledAt, b.decayedAt = 8000, 8000
 		}
 	}
-	after := again.simulate(8000, 12000, press)
+	after := again.simulate(8000, 12000, highDemand)
 	got := maxInWindow(append(before, after...), 5*clock.Second)
 	assert.Assert(t, float64(got) <= (rate*5+burst)*1.06+12, "%d requests in 5 s", got)
 }
@@ -262,7 +262,7 @@
 func TestUnevenArrivalsWithinTheRateAreNotRefused(t *testing.T) {
 	f := newFleet(18, 52, 52)
 	random := rand.New(rand.NewPCG(3, 4))
-	asked, passed := 0, 0
+	sent, admitted := 0, 0
 	for now := clock.Time(0); now < 30000; now++ {
 		f.step(now)
 		for _, a := range f.nodes {
@@ -273,13 +273,13 @@
 			if now < 5000 {
 				continue
 			}
-			asked++
+			sent++
 			if allowed {
-				passed++
+				admitted++
 			}
 		}
 	}
-	assert.Assert(t, passed >= asked*98/100, "%d of %d allowed", passed, asked)
+	assert.Assert(t, admitted >= sent*98/100, "%d of %d allowed", admitted, sent)
 }
 
 // A team sends exactly its rate, evenly to all nodes. By chance some buckets are full while others are empty, so that
@@ -297,7 +297,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(18, 54, 54)
 			random := rand.New(rand.NewPCG(5, 6))
-			asked, passed := 0, 0
+			sent, admitted := 0, 0
 			for now := clock.Time(0); now < 40000; now++ {
 				f.step(now)
 				for _, a := range f.nodes {
@@ -312,13 +312,13 @@
 					if now < 10000 {
 						continue
 					}
-					asked++
+					sent++
 					if allowed {
-						passed++
+						admitted++
 					}
 				}
 			}
-			part := float64(passed) / float64(asked)
+			part := float64(admitted) / float64(sent)
 			t.Logf("fraction %.3f allowed", part)
 			assert.Assert(t, part >= test.least, "fraction %.3f allowed", part)
 		})
--- a/internal/granter/fleet_test.go
+++ b/internal/granter/fleet_test.go
@@ -1,5 +1,5 @@
 // A simulated fleet of claimers and granters, connected by their effects: true time in milliseconds, a clock for each
-// node that runs at its own rate, messages that are delayed, lost, repeated and reordered, and a log with late and
+// node that runs at its own rate, messages that are delayed, lost, duplicated and reordered, and a log with late and
 // lost appends. The fleet decides nothing; it only carries out effects, as package reducer does.
 //
 // Example: f := newFleet(1, 2, 2, false); f.run(5000) gives four nodes in two domains time to found their claims.
@@ -80,13 +80,13 @@
 	records      []claimer.Claim
 	logDown      bool
 	// loss, repeat and late are probabilities per mille; loss and late also apply to appends.
-	loss, repeat, late int
-	// cut and cutLog name failure domains or single nodes.
-	cut    map[[2]string]bool
-	cutLog map[string]bool
+	loss, duplicate, late int
+	// partitions holds pairs of a sender and a receiver. It and partitionedFromLog name failure domains or single nodes.
+	partitions         map[[2]string]bool
+	partitionedFromLog map[string]bool
 	// claimsOnly fleets run no granters and tick less often.
 	claimsOnly   bool
-	held         map[claimer.Name]held
+	lastHolders  map[claimer.Name]lastHolder
 	terms        claimer.Options
 	grantTerms   granter.Options
 	teams        []definer.Team
@@ -101,11 +101,11 @@
 // shortTerms is set.
 func newFleet(seed uint64, domains, nodes int, shortTerms bool) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 7)),
-		cut:    map[[2]string]bool{},
-		cutLog: map[string]bool{},
-		held:   map[claimer.Name]held{},
-		oracle: oracle{},
+		random:             rand.New(rand.NewPCG(seed, 7)),
+		partitions:         map[[2]string]bool{},
+		partitionedFromLog: map[string]bool{},
+		lastHolders:        map[claimer.Name]lastHolder{},
+		oracle:             oracle{},
 	}
 	if shortTerms {
 		f.terms = claimer.Options{
@@ -328,7 +328,7 @@
 		return
 	}
 	copies := 1
-	if f.chance(f.repeat) {
+	if f.chance(f.duplicate) {
 		copies = 2
 	}
 	for range copies {
@@ -337,7 +337,7 @@
 			delay += f.random.Int64N(2000)
 		}
 		f.whenAwake(n, delay, func() {
-			if f.cut[[2]string{string(from.domain), string(n.domain)}] || f.cut[[2]string{string(from.id), string(n.id)}] {
+			if f.partitions[[2]string{string(from.domain), string(n.domain)}] || f.partitions[[2]string{string(from.id), string(n.id)}] {
 				return
 			}
 			f.performClaimEffects(n, n.claims.Receive(from.id, message, f.local(n)))
@@ -349,7 +349,7 @@
 // append may take effect late or never; the node that appends gets no answer in either case.
 func (f *fleet) append(n *node, r claimer.Claim) {
 	f.appends++
-	if f.chance(f.loss) || f.cutFromLog(n) {
+	if f.chance(f.loss) || f.isPartitionedFromLog(n) {
 		return
 	}
 	delay := 2 + f.random.Int64N(20)
@@ -363,13 +363,13 @@
 	})
 }
 
-func (f *fleet) cutFromLog(n *node) bool {
-	return f.cutLog[string(n.domain)] || f.cutLog[string(n.id)]
+func (f *fleet) isPartitionedFromLog(n *node) bool {
+	return f.partitionedFromLog[string(n.domain)] || f.partitionedFromLog[string(n.id)]
 }
 
 func (f *fleet) pollLog(n *node) {
 	f.whenAwake(n, 10+f.random.Int64N(20), func() {
-		up := !f.logDown && !f.cutFromLog(n) && !f.chance(f.loss)
+		up := !f.logDown && !f.isPartitionedFromLog(n) && !f.chance(f.loss)
 		for up && n.readOffset < len(f.records) {
 			r := f.records[n.readOffset]
 			f.performClaimEffects(n, n.claims.ReadRecord(identifier.Offset(n.readOffset), r, f.local(n)))
@@ -411,8 +411,8 @@
 	}
 }
 
-// held is the last node that had authority over a name, and until when.
-type held struct {
+// lastHolder is the last node that had authority over a name, and until when.
+type lastHolder struct {
 	node  identifier.Node
 	epoch identifier.Epoch
 	until int64
@@ -422,17 +422,17 @@
 // granted in its last moment. Without this check the oracle would miss a successor that starts too early, unless the
 // old holder granted something just then.
 func (f *fleet) checkWaitOut(name claimer.Name, n identifier.Node) {
-	last, ok := f.held[name]
+	last, ok := f.lastHolders[name]
 	if ok && f.terms.WaitOut > 0 && last.node != n && f.now-last.until < f.waitOut(name, last) {
 		f.faults = append(f.faults, fmt.Sprintf("at %d ms: %s is held by %s only %d ms after %s", f.now, name, n, f.now-last.until, last.node))
 	}
 	_, epoch, _ := f.node(n).claims.HolderOf(name)
-	f.held[name] = held{node: n, epoch: epoch, until: f.now}
+	f.lastHolders[name] = lastHolder{node: n, epoch: epoch, until: f.now}
 }
 
 // waitOut returns how long a successor must wait after the last holder; after a handover that is what the record
 // states as outstanding.
-func (f *fleet) waitOut(name claimer.Name, last held) int64 {
+func (f *fleet) waitOut(name claimer.Name, last lastHolder) int64 {
 	w := int64(f.terms.WaitOut)
 	for _, r := range f.records {
 		if r.Name == name && r.Kind == claimer.Handover && r.By == last.node && r.Epoch > last.epoch {
@@ -459,10 +459,10 @@
 }
 
 func (f *fleet) clearFaults() {
-	f.loss, f.repeat, f.late = 0, 0, 0
+	f.loss, f.duplicate, f.late = 0, 0, 0
 	f.logDown = false
-	clear(f.cut)
-	clear(f.cutLog)
+	clear(f.partitions)
+	clear(f.partitionedFromLog)
 }
 
 func (f *fleet) setLoad(t identifier.Team, perSecond ...int64) {
--- a/internal/reducer/random_test.go
+++ b/internal/reducer/random_test.go
@@ -39,8 +39,8 @@
 	m.call(testKey, b.service, "POST", b.id, 0)
 }
 
-// repeatWithID is a caller that sends a request again with the same id, whether or not it got an answer.
-func (m *randomCalls) repeatWithID(t *rapid.T) {
+// retryWithID is a caller that sends a request again with the same id, whether or not it got an answer.
+func (m *randomCalls) retryWithID(t *rapid.T) {
 	if len(m.sentWithID) == 0 {
 		t.Skip("no call with an id was sent yet")
 	}
@@ -182,7 +182,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"callRoot":     m.callRoot,
 			"book":         m.callWithID,
-			"bookAgain":    m.repeatWithID,
+			"bookAgain":    m.retryWithID,
 			"callNested":   m.callNested,
 			"forgedToken":  m.callWithDeadToken,
 			"deliverCall":  m.deliverCall,
@@ -201,7 +201,7 @@
 // settle ends all calls and deliveries in progress, and checks that every caller then has exactly one answer and that
 // the node has removed all calls.
 func (m *randomCalls) settle(t *rapid.T) {
-	for quiet := false; !quiet; quiet = len(m.forwards) == 0 && len(m.running) == 0 {
+	for settled := false; !settled; settled = len(m.forwards) == 0 && len(m.running) == 0 {
 		for len(m.forwards) > 0 {
 			f := m.forwards[0]
 			m.forwards = m.forwards[1:]
