--- a/internal/deliverer/deliverer.go
+++ b/internal/deliverer/deliverer.go
@@ -206,7 +206,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, head.Method, target, body)
 	if err != nil {
-		return nil, fmt.Errorf("make request for %s: %w", e.Endpoint, err)
+		return nil, fmt.Errorf("create request for %s: %w", e.Endpoint, err)
 	}
 	req.ContentLength = head.ContentLength
 	for _, f := range head.Header {
