--- a/internal/inspector/types.go
+++ b/internal/inspector/types.go
@@ -27,7 +27,8 @@
 	Leaving   bool  `json:"leaving"`
 }
 
-// Status is the answer to GET /status: the node itself, and the last known status of each other node.
+// Status is the answer to GET /status: the node itself, and the last known status of each other node of its own failure
+// domain.
 type Status struct {
 	Self  NodeStatus   `json:"self"`
 	Fleet []NodeStatus `json:"fleet"`
--- a/internal/throttler/shed.go
+++ b/internal/throttler/shed.go
@@ -4,8 +4,8 @@
 // two equally important kinds of request, one that makes eight calls to the service is refused before one that makes a
 // single call, since eight requests of the second kind can be served with the same capacity.
 //
-// Example: orders of importance 1 that make 8 calls each, and look-ups of importance 1/2 that make 1: orders are
-// refused first.
+// Example: non-idempotent requests of importance 1 that make 8 calls each, and idempotent requests of importance 1/2
+// that make 1: the non-idempotent ones are refused first.
 
 import (
 	"cmp"
