--- a/internal/configurer/configurer.go
+++ b/internal/configurer/configurer.go
@@ -29,7 +29,7 @@
 	MaxSilence clock.Duration
 	// Readers is how many nodes per failure domain read the log.
 	Readers int
-	// Fanout is how many peers of the own failure domain get each hint of new records.
+	// Fanout is how many peers of the local failure domain get each hint of new records.
 	Fanout int
 	// MaxRecords and MaxBytes are upper bounds of the tail kept for peers.
 	MaxRecords int
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -40,7 +40,7 @@
 	readScheduled bool
 }
 
-// SetPeers sets the other live nodes of the own failure domain and some nodes of other domains.
+// SetPeers sets the other live nodes of the local failure domain and some nodes of other domains.
 func (c *Configurer) SetPeers(local, remote []identifier.Node) {
 	c.relay.local = local
 	c.relay.remote = remote
--- a/internal/configurer/relay.go
+++ b/internal/configurer/relay.go
@@ -113,8 +113,8 @@
 	return c.reader.failed && now.Sub(c.reader.failedSince) >= skipDelay
 }
 
-// pull sends a request to a random peer: of the own failure domain, or of another one if the own has no other node and
-// in a third of all cases.
+// pull sends a request to a random peer: of the local failure domain, or of another one if the local one has no other
+// node and in a third of all cases.
 func (c *Configurer) pull(now clock.Time) []Effect {
 	peers := c.relay.local
 	if len(peers) == 0 || (len(c.relay.remote) > 0 && c.options.Rand.IntN(3) == 0) {
--- a/internal/exchanger/table.go
+++ b/internal/exchanger/table.go
@@ -136,8 +136,8 @@
 }
 
 // isForwardedTo reports whether a question to the target forwards the report. Reports of all nodes are forwarded to another
-// failure domain; within the own domain only those that its collector may lack: reports received from the reporting node
-// itself or from another domain.
+// failure domain; within the local failure domain only those that its collector may lack: reports received from the
+// reporting node itself or from another domain.
 func (h heldReport) isForwardedTo(target Member, ownDomain identifier.FailureDomain) bool {
 	if h.source == target.Node || h.report.Member.Node == target.Node {
 		return false
@@ -257,10 +257,10 @@
 	delete(t.backoffs, node)
 }
 
-// Next returns the node to ask, which may be this one. It is the first by name in the own failure domain with a fresh
+// Next returns the node to ask, which may be this one. It is the first by name in the local failure domain with a fresh
 // report and no current backoff; for that node itself it is the first such node of all domains. A node without any fresh
 // report of another tries all others in turn, nodes of its own domain and with the shortest backoff first: the store keeps
-// the records of machines that are gone, and by name alone these could always come first.
+// the records of removed VMs, and by name alone these could always come first.
 func (t *Table) Next(members map[identifier.Node]Member, now clock.Time) identifier.Node {
 	names := t.sortedMemberNames(members)
 	if !t.hasFreshPeer(members, now) {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -87,7 +87,7 @@
 	g.status = s
 }
 
-// StatusOf returns the last status received from a node of the own domain.
+// StatusOf returns the last status received from a node of the local failure domain.
 func (g *Gossiper) StatusOf(n identifier.Node) (ReceivedStatus, bool) {
 	if e := g.ownTable.members[n]; e != nil && e.status.At > 0 {
 		return e.status, true
@@ -100,13 +100,13 @@
 	return g.self
 }
 
-// Members returns the names of the own domain's alive and suspect members, sorted; the caller must not change the
-// slice.
+// Members returns the names of the local failure domain's alive and suspect members, sorted; the caller must not change
+// the slice.
 func (g *Gossiper) Members() []identifier.Node {
 	return g.ownTable.up
 }
 
-// Member returns the record of a member of the own domain.
+// Member returns the record of a member of the local failure domain.
 func (g *Gossiper) Member(n identifier.Node) (Member, bool) {
 	if e := g.ownTable.members[n]; e != nil {
 		return e.Member, true
@@ -271,7 +271,7 @@
 	return append(effects, g.flushOwnPushes()...)
 }
 
-// applyUpdates applies records of the own domain and ignores others.
+// applyUpdates applies records of the local failure domain and ignores others.
 func (g *Gossiper) applyUpdates(updates []Member, now clock.Time) []Effect {
 	var effects []Effect
 	for _, m := range updates {
@@ -297,7 +297,7 @@
 	return g.applyRecord(g.self, now)
 }
 
-// applyRecord stores a record of the own domain if it is newer, and starts to spread it.
+// applyRecord stores a record of the local failure domain if it is newer, and starts to spread it.
 func (g *Gossiper) applyRecord(m Member, now clock.Time) []Effect {
 	old, ok := g.ownTable.put(m, now)
 	if !ok {
--- a/internal/gossiper/joiner.go
+++ b/internal/gossiper/joiner.go
@@ -3,8 +3,8 @@
 // member: the node may have died long ago, and every newcomer that read the record would revive it throughout the
 // domain.
 //
-// Example: settings name 10.0.0.7:7000 of another domain; its JoinAnswer names three relays of the own domain, and a
-// Join to those brings the member table.
+// Example: settings name 10.0.0.7:7000 of another domain; its JoinAnswer names three relays of the local failure
+// domain, and a Join to those brings the member table.
 
 package gossiper
 
--- a/internal/gossiper/messages.go
+++ b/internal/gossiper/messages.go
@@ -10,7 +10,7 @@
 
 import "github.com/jackdawtide/jackdawtide/internal/identifier"
 
-// Ping checks whether a member of the own domain is alive.
+// Ping checks whether a member of the local failure domain is alive.
 type Ping struct {
 	Sequence uint32
 	Status   Status
@@ -97,7 +97,7 @@
 	Contacts []Contact
 }
 
-// Subscribe subscribes at a relay of the own domain to the endpoints of services in other domains, for
+// Subscribe subscribes at a relay of the local failure domain to the endpoints of services in other domains, for
 // subscriptionTerm.
 type Subscribe struct {
 	Services []identifier.Service
--- a/internal/gossiper/pause_test.go
+++ b/internal/gossiper/pause_test.go
@@ -54,8 +54,8 @@
 	assert.Assert(t, g.relayer.remotes["east"].lastContact <= resumed)
 }
 
-// When only another domain reports a member of the own domain as alive, its endpoints must stay unused until it refutes
-// the suspicion itself: they may be long gone.
+// When only another domain reports a member of the local failure domain as alive, its endpoints must stay unused until
+// it refutes the suspicion itself: they may be long gone.
 func TestMemberReportedByOtherDomainIsUsedOnceItRefutes(t *testing.T) {
 	g := newTestGossiper()
 	g.Receive("relayOfEast", Members{Domain: "west", Members: []Member{testMember("n", Alive)}}, 200)
--- a/internal/gossiper/pusher.go
+++ b/internal/gossiper/pusher.go
@@ -82,7 +82,7 @@
 	return effects
 }
 
-// pushToOwnRelays sends records of another domain to the other relays of the own domain.
+// pushToOwnRelays sends records of another domain to the other relays of the local failure domain.
 func (g *Gossiper) pushToOwnRelays(d identifier.FailureDomain, changed []identifier.Node) []Effect {
 	var effects []Effect
 	for _, n := range g.relayer.relays {
--- a/internal/gossiper/relayer.go
+++ b/internal/gossiper/relayer.go
@@ -31,8 +31,8 @@
 	urgentProbesAfterSilence = 10
 	contactRequestInterval   = 2 * clock.Second
 	subscriptionTerm         = 12 * clock.Second
-	// pushCopies is how often a change is pushed to a subscriber, to the other relays of the own domain, and to
-	// relayFanout relays of each other domain: pushes are not acknowledged, and for an endpoint that leaves, the
+	// pushCopies is how often a change is pushed to a subscriber, to the other relays of the local failure domain, and
+	// to relayFanout relays of each other domain: pushes are not acknowledged, and for an endpoint that leaves, the
 	// comparison of tables may come too late.
 	pushCopies  = 4
 	relayFanout = 2
@@ -45,8 +45,8 @@
 
 type remoteDomain struct {
 	contacts []Contact
-	// lastContact is when a message last came from a node of that domain, or from a relay of the own domain that is in
-	// contact with it.
+	// lastContact is when a message last came from a node of that domain, or from a relay of the local failure domain
+	// that is in contact with it.
 	lastContact     clock.Time
 	nextUrgentProbe clock.Time
 	// remainingProbes is how many urgent probes are still to be sent because the table differs or may be old. The
@@ -68,8 +68,9 @@
 	tables        map[identifier.FailureDomain]*table
 	remotes       map[identifier.FailureDomain]*remoteDomain
 	subscribers   map[identifier.Node]*subscriber
-	// ownPushes and remotePushes are the changes still to be pushed, of members of the own domain and of others. A node
-	// that is no relay only pushes its own record: it sends it to other domains itself, since its relays may be dead.
+	// ownPushes and remotePushes are the changes still to be pushed, of members of the local failure domain and of
+	// others. A node that is no relay only pushes its own record: it sends it to other domains itself, since its relays
+	// may be dead.
 	ownPushes    []push
 	remotePushes []push
 	nextProbe    clock.Time
@@ -79,7 +80,7 @@
 	domain identifier.FailureDomain
 	node   identifier.Node
 	copies int
-	// toOwnRelays means that the change is also pushed to the other relays of the own domain.
+	// toOwnRelays means that the change is also pushed to the other relays of the local failure domain.
 	toOwnRelays bool
 }
 
@@ -172,7 +173,7 @@
 }
 
 // probeDomain compares the table of a domain with one of that domain's relays, or, one time in four, with a relay of
-// the own domain, which may have received what this node missed.
+// the local failure domain, which may have received what this node missed.
 func (g *Gossiper) probeDomain(d identifier.FailureDomain) []Effect {
 	o := g.relayer.remotes[d]
 	t := g.relayer.tables[d]
--- a/internal/gossiper/spreader.go
+++ b/internal/gossiper/spreader.go
@@ -123,7 +123,7 @@
 	return Send{To: to, Address: address, Message: message}
 }
 
-// randomPeers draws distinct members of the own domain, without this node and the excepted one.
+// randomPeers draws distinct members of the local failure domain, without this node and the excepted one.
 //
 // The member list is empty once the last node of a domain has left; drawing from it would panic during the planned stop
 // and cut off uploads in progress.
--- a/internal/gossiper/types.go
+++ b/internal/gossiper/types.go
@@ -150,7 +150,8 @@
 	Node identifier.Node
 }
 
-// MembersChanged reports that the result of Members, for the own domain, or of Contacts, for another one, has changed.
+// MembersChanged reports that the result of Members, for the local failure domain, or of Contacts, for another one, has
+// changed.
 type MembersChanged struct {
 	Domain identifier.FailureDomain
 }
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -1,6 +1,6 @@
-// The view holds the endpoints that the node can route to: all endpoints of the own domain, and of other domains those
-// of the services that it calls. Records come from the own domain's table, from a relay's tables and from
-// subscriptions; the incarnation decides which record is newer, whatever its source.
+// The view holds the endpoints that the node can route to: all endpoints of the local failure domain, and of other
+// domains those of the services that it calls. Records come from the local failure domain's table, from a relay's
+// tables and from subscriptions; the incarnation decides which record is newer, whatever its source.
 //
 // Example: n9's endpoint "ice-3" becomes Leaving: the record of incarnation 6 replaces that of 5 and one
 // EndpointChanged results, however often the record arrives.
--- a/internal/router/load_test.go
+++ b/internal/router/load_test.go
@@ -138,8 +138,8 @@
 func TestSpilloverIsLimitedToExcessLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		near, far float64
-		// minCrossing and maxCrossing bound the fraction of calls that leave the own domain; 95% of calls wait at most
-		// maxUsualWait.
+		// minCrossing and maxCrossing bound the fraction of calls that leave the local failure domain; 95% of calls wait
+		// at most maxUsualWait.
 		minCrossing, maxCrossing float64
 		maxUsualWait             clock.Duration
 	}{
