--- a/internal/mesher/mesher_test.go
+++ b/internal/mesher/mesher_test.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"net/http/httptest"
 	"net/netip"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -77,12 +78,31 @@
 	return nil
 }
 
+const (
+	// firstPort and portCount bound the ports of nodes. The range lies below the ephemeral ports: an outgoing connection could
+	// otherwise take a port before its node listens on it.
+	firstPort = 15000
+	portCount = 15000
+	// portsPerProcess spreads the processes of concurrent test runs over the range.
+	portsPerProcess = 499
+)
+
+var nextPort = os.Getpid() * portsPerProcess
+
+// freeAddress returns an address on which nothing listens, each one once.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	defer l.Close()
-	return netip.MustParseAddrPort(l.Addr().String())
+	for range portCount {
+		nextPort++
+		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort%portCount))
+		if err != nil {
+			continue
+		}
+		defer l.Close()
+		return netip.MustParseAddrPort(l.Addr().String())
+	}
+	t.Fatal("no port is free")
+	return netip.AddrPort{}
 }
 
 // fleet holds what the nodes of a test share: the topics of a simulated store, and the work of their endpoints.
